--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -185,3 +185,14 @@
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
         runner.run(scene())
     assert caplog.text.count("a fault of ours") >= 2
+
+
+def test_a_successor_that_knows_of_a_failing_class_still_decides_about_it() -> None:
+    old = dispatcher(1)
+    now = served(old)
+    assert any(until > now for _, until in old.workers["w1"].faults.values()), "w1 is out for a class"
+    new = dispatcher(2, now)
+    snapshot.adopt(new, handed(old, now), now + 200.0)
+    for i in range(40):
+        actions = new.handle(now + 200.0, fw.Request(f"n{i}", "once", ONCE.deadline, f"n{i}"))
+        assert any(isinstance(action, fw.Send) for action in actions)
