--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The tests that KNOWN-RED.txt names show a fault that is not mended yet: they have to fail, and are printed."""
+"""Tests named in KNOWN-RED.txt show a fault that is not mended yet: they have to fail, and are printed."""
 
 from __future__ import annotations
 
