--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -13,9 +13,9 @@
 import time
 
 from oxbowyard.core.clock import steady_unix_ms
-from oxbowyard.core.measure import ServiceMeasure
-from oxbowyard.core.req import Ending, FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
+from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.collector import spare_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Settings
@@ -33,14 +33,14 @@
         self.go = asyncio.Event()
         self.result = Result.OK
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         """Wait for the word."""
-        notes.written = True
-        notes.on_began()
+        context.written = True
+        context.on_started()
         await self.go.wait()
-        if req.id != "j0":  # children are freed; running them is not measured here
+        if request.id != "j0":  # children are freed; running them is not measured here
             await asyncio.Event().wait()
-        return Ending(self.result)
+        return AttemptOutcome(self.result)
 
 
 async def one(shape: str, how: str, jobs: int) -> tuple[float, float, int]:
@@ -52,7 +52,7 @@
     most = 2 * jobs
     limits = WaitingSettings(max_jobs=most, max_jobs_per_class=most, max_ended=most, max_children=most)
     room = WaitingRoom(limits, CLASSES, scheduler, clock)
-    scheduler.learn(Scope.FULL, (WorkerInfo("w"),))
+    scheduler.update_endpoints(Scope.FULL, (WorkerInfo("w"),))
     ends = 0
 
     def ended(final: Final) -> None:
@@ -62,7 +62,7 @@
     for i in range(jobs + 1):
         parent = i - 1 if shape == "chain" else 0
         after = (Parent(f"j{parent}"),) if i else ()
-        room.hand_in([(Req(f"j{i}", "once", 5.0), Wait(after=after))], ended)
+        room.hand_in([(Request(f"j{i}", "once", 5.0), Wait(after=after))], ended)
     await asyncio.sleep(0.05)
     worker.result = Result.ERROR if how == "fails" else Result.OK
     start = last = time.perf_counter()
--- a/oxbowyard/backends/http.py
+++ b/oxbowyard/backends/http.py
@@ -1,4 +1,4 @@
-"""Fetches over HTTP: one POST a fetch, each on a connection of its own, never sent again by the library."""
+"""Attempts over HTTP: one POST each, on a connection of its own, never sent again by the library."""
 
 from __future__ import annotations
 
@@ -13,7 +13,15 @@
 from aiohttp.http_exceptions import HttpProcessingError
 from yarl import URL
 
-from ..core.req import Ending, FetchNotes, Note, NoteKind, Req, granted, why_not_sent
+from ..core.request import (
+    AttemptContext,
+    AttemptOutcome,
+    AttemptUpdate,
+    Request,
+    UpdateKind,
+    lease_recorded,
+    reason_not_to_send,
+)
 from ..decision.facade import Result
 from ..discovery.registry import Registry
 from .lines import MOST_LINES, LineReader, load_header, status_ending
@@ -47,7 +55,7 @@
 
 
 class _NotSent(Exception):
-    """The req may not be sent to the backend any more; the text says why."""
+    """The request may not be sent to the backend any more; the text says why."""
 
 
 class HttpBackends:
@@ -66,12 +74,12 @@
         self.once = once  # classes that must not run twice
         self._tails: set[asyncio.Task[None]] = set()
         self._most_tails = most_tails  # connections held for the end of an answer that is known
-        self.relayed: Counter[str] = Counter()  # fetches written whole, by class
+        self.relayed: Counter[str] = Counter()  # attempts written whole, by class
         self._session = aiohttp.ClientSession(
             request_class=_TimedRequest,
-            # A connection a fetch: backends close kept ones early and unseen, or were restarted meanwhile,
+            # A connection an attempt: backends close kept ones early and unseen, or were restarted meanwhile,
             # and what is written to one may have run. A new one costs them 1 to 4 ms, little for a job.
-            # The core bounds the reqs and so the connections: a limit here would be a hidden queue.
+            # The core bounds the requests and so the connections: a limit here would be a hidden queue.
             connector=aiohttp.TCPConnector(limit=0, limit_per_host=0, force_close=True),
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout / 1000),
@@ -87,26 +95,28 @@
             task.cancel()
         await self._session.close()
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
-        """One fetch, from connect to the last line."""
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        """One attempt, from connect to the last line."""
         address = self._registry.address(backend)
         if address is None:
-            return Ending(Result.NOT_SENT, reason="backend is leaving or unknown")
-        url = URL(f"http://{address}{req.target}", encoded=True)
+            return AttemptOutcome(Result.NOT_SENT, reason="backend is leaving or unknown")
+        url = URL(f"http://{address}{request.target}", encoded=True)
         try:
-            body = self._body(backend, address, req, notes)
+            body = self._body(backend, address, request, context)
             response = await self._session.post(
-                url, data=body, headers=_headers(req, notes), allow_redirects=False
+                url, data=body, headers=_headers(request, context), allow_redirects=False
             )
         except _NotSent as why:
-            return Ending(Result.NOT_SENT, reason=str(why))
+            return AttemptOutcome(Result.NOT_SENT, reason=str(why))
         except (aiohttp.ClientError, OSError) as fault:
             if isinstance(fault.__cause__, _NotSent):
-                return Ending(Result.NOT_SENT, reason=str(fault.__cause__))
-            return _broken(fault, notes)
-        return await self._read(response, req, notes)
+                return AttemptOutcome(Result.NOT_SENT, reason=str(fault.__cause__))
+            return _broken(fault, context)
+        return await self._read(response, request, context)
 
-    async def _body(self, backend: str, address: str, req: Req, notes: FetchNotes) -> AsyncIterator[bytes]:
+    async def _body(
+        self, backend: str, address: str, request: Request, context: AttemptContext
+    ) -> AsyncIterator[bytes]:
         """Runs when the connection is up and nothing is sent: the headers go out with the body.
 
         `written` is set before the last byte goes: a break while it is written may leave it sent.
@@ -115,37 +125,42 @@
             # Connecting took long: its drain second has passed, or it is at another address by now.
             raise _NotSent("backend left while connecting")
         held = 0
-        if req.job_class in self.once and len(req.payload) > 1:
+        if request.job_class in self.once and len(request.payload) > 1:
             # A backend that resets the connection at once does so before the last byte: then the job never
             # ran, and may go elsewhere. Written in one piece it would count as run.
             held = 1
-            _still_allowed(req, notes)  # an attempt begins with its first byte
-            yield req.payload[:-held]
+            _still_allowed(request, context)  # an attempt begins with its first byte
+            yield request.payload[:-held]
             await asyncio.sleep(LAST_BYTE_AFTER)
-        await granted(req, backend)  # before the last byte: a record that comes later may never come
-        _still_allowed(req, notes)
-        notes.written = True
-        yield req.payload[-held:]
-        self.relayed[req.job_class] += 1  # the library asks for more once the last piece is written
-
-    async def _read(self, response: aiohttp.ClientResponse, req: Req, notes: FetchNotes) -> Ending:
+        # Before the last byte: a record that comes later may never come.
+        await lease_recorded(request, backend)
+        _still_allowed(request, context)
+        context.written = True
+        yield request.payload[-held:]
+        self.relayed[request.job_class] += 1  # the library asks for more once the last piece is written
+
+    async def _read(
+        self, response: aiohttp.ClientResponse, request: Request, context: AttemptContext
+    ) -> AttemptOutcome:
         kept = False
         try:
             load = load_header(response.headers.get("Srv-Load"), self._load_names)
             ending = status_ending(response.status, response.headers.get("Srv-Declined"), load)
             if ending is None:
-                ending = await self._lines(response, req, notes)
+                ending = await self._lines(response, request, context)
             self._drain_tail(response)
             kept = True
             return ending
         except BROKEN as fault:
-            return _broken(fault, notes)
+            return _broken(fault, context)
         finally:
             if not kept:  # cut off by us or broken: bytes may be outstanding on it
                 response.close()
 
-    async def _lines(self, response: aiohttp.ClientResponse, req: Req, notes: FetchNotes) -> Ending:
-        reader = LineReader(req.id, self._load_names)
+    async def _lines(
+        self, response: aiohttp.ClientResponse, request: Request, context: AttemptContext
+    ) -> AttemptOutcome:
+        reader = LineReader(request.id, self._load_names)
         told, size = False, 0
         while line := await response.content.readline():
             size += len(line)
@@ -156,11 +171,11 @@
                 return ending
             if reader.began and not told:
                 told = True
-                notes.on_began()
+                context.on_started()
             elif reader.share is not None:
-                notes.on_note(Note(NoteKind.STATUS, done=reader.share))
+                context.on_update(AttemptUpdate(UpdateKind.STATUS, done=reader.share))
                 reader.share = None
-        return Ending(Result.RESET, reason="answer ended before its last line")
+        return AttemptOutcome(Result.RESET, reason="answer ended before its last line")
 
     def _drain_tail(self, response: aiohttp.ClientResponse) -> None:
         """The answer is known: its connection is closed once the end of the chunks is read."""
@@ -175,9 +190,9 @@
         task.add_done_callback(self._tails.discard)
 
 
-def _still_allowed(req: Req, notes: FetchNotes) -> None:
+def _still_allowed(request: Request, context: AttemptContext) -> None:
     """Asked just before bytes of a request are written; raises if they may not be any more."""
-    if why := why_not_sent(req, notes):
+    if why := reason_not_to_send(request, context):
         raise _NotSent(why)
 
 
@@ -197,15 +212,15 @@
         raise
 
 
-def _headers(req: Req, notes: FetchNotes) -> dict[str, str]:
+def _headers(request: Request, context: AttemptContext) -> dict[str, str]:
     return {
-        "Req-Id": req.id,
-        "Req-Kind": req.backend_class or req.job_class,
-        TIME_LEFT: _milliseconds(notes.time_left),
-        "Content-Length": str(len(req.payload)),
-        # As the client sent it: a backend knows a repeat by it, and takes a req that lacks it for another.
-        **({"Idempotency-Key": req.idempotency_key} if req.idempotency_key else {}),
-        **({"Job-Lease": req.lease} if req.lease else {}),
+        "Req-Id": request.id,
+        "Req-Kind": request.backend_class or request.job_class,
+        TIME_LEFT: _milliseconds(context.time_left_s),
+        "Content-Length": str(len(request.payload)),
+        # As the client sent it: a backend knows a repeat by it, and takes one that lacks it for another.
+        **({"Idempotency-Key": request.idempotency_key} if request.idempotency_key else {}),
+        **({"Job-Lease": request.lease} if request.lease else {}),
     }
 
 
@@ -213,6 +228,6 @@
     return f"{max(round(seconds * 1000), 1)}m"
 
 
-def _broken(fault: Exception, notes: FetchNotes) -> Ending:
+def _broken(fault: Exception, context: AttemptContext) -> AttemptOutcome:
     """Before the last byte was handed over it never ran; after that it may have."""
-    return Ending(Result.RESET if notes.written else Result.UNREACHABLE, reason=repr(fault))
+    return AttemptOutcome(Result.RESET if context.written else Result.UNREACHABLE, reason=repr(fault))
--- a/oxbowyard/backends/lines.py
+++ b/oxbowyard/backends/lines.py
@@ -7,14 +7,14 @@
 
 import orjson
 
-from ..core.req import Ending
+from ..core.request import AttemptOutcome
 from ..decision.facade import Result
 
 log = logging.getLogger("oxbowyard.backends")
 
 MOST_LINES = 10_000  # of one answer: progress every second for an hour is less than half of it
 MOST_TOLD = 3  # broken lines of one answer that are logged
-OF_THE_BACKEND = (408, 425, 429)  # 4xx that say something of it; the others are about the req
+OF_THE_BACKEND = (408, 425, 429)  # 4xx that say something of it; the others are about the request
 LAST = {"done": Result.OK, "failed": Result.ERROR, "returned": Result.FULL, "lost": Result.RESET}
 
 
@@ -45,14 +45,14 @@
     return load_figures(pairs, names)
 
 
-def status_ending(status: int, declined: str | None, load: dict[str, float]) -> Ending | None:
+def status_ending(status: int, declined: str | None, load: dict[str, float]) -> AttemptOutcome | None:
     """The ending that a status alone tells; None for 200, where lines follow."""
     if status == 200:
         return None
     if status in (503, 504) and declined == "1":
-        return Ending(Result.FULL, load=load, reason=f"declined with {status}")
+        return AttemptOutcome(Result.FULL, load=load, reason=f"declined with {status}")
     result = Result.REJECTED if 400 <= status < 500 and status not in OF_THE_BACKEND else Result.ERROR
-    return Ending(result, load=load, reason=f"status {status}")
+    return AttemptOutcome(result, load=load, reason=f"status {status}")
 
 
 class LineReader:
@@ -65,7 +65,7 @@
         self.began = False
         self.share: float | None = None
 
-    def take(self, line: bytes) -> Ending | None:
+    def take(self, line: bytes) -> AttemptOutcome | None:
         """One line; an ending if it is the last. A broken line is logged, the first few, and passed over."""
         self.lines += 1
         try:
@@ -75,7 +75,7 @@
         if not isinstance(message, dict) or message.get("id") != self._req_id:
             self._broken += 1
             if self._broken <= MOST_TOLD:
-                log.warning("req %s: broken answer line passed over: %.120r", self._req_id, line)
+                log.warning("request %s: broken answer line passed over: %.120r", self._req_id, line)
             return None
         state = message.get("state")
         if state == "started":
@@ -86,15 +86,15 @@
         elif state in LAST:
             return self._last(state, message)
         else:
-            log.warning("req %s: answer line of unknown state %.40r", self._req_id, state)
+            log.warning("request %s: answer line of unknown state %.40r", self._req_id, state)
         return None
 
-    def _last(self, state: str, message: dict[str, object]) -> Ending:
+    def _last(self, state: str, message: dict[str, object]) -> AttemptOutcome:
         report = message.get("load")
         load = load_figures(report, self._names) if isinstance(report, dict) else {}
         if state != "done":
-            return Ending(LAST[state], load=load, reason=state)
+            return AttemptOutcome(LAST[state], load=load, reason=state)
         result = message.get("result")
         if not isinstance(result, str):  # there is nothing to serve that a worker made
-            return Ending(Result.ERROR, load=load, reason="done without a result")
-        return Ending(Result.OK, result.encode(), load)
+            return AttemptOutcome(Result.ERROR, load=load, reason="done without a result")
+        return AttemptOutcome(Result.OK, result.encode(), load)
--- a/oxbowyard/clients/session.py
+++ b/oxbowyard/clients/session.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from aiohttp.web_request import BaseRequest
 
-from ..core.req import Kind
+from ..core.request import AnswerKind
 from ..core.scheduler import Scheduler
 from ..listeners.disconnects import peer_disconnected, unread
 from .connection import Connection, Phase
@@ -184,7 +184,7 @@
         payload = await read_body(request)
         req = read_req(request.method, request.raw_path, request.headers, payload, classes)
         answer = await scheduler.serve(replace(req, client_connected=lambda: _stays(request)))
-    body = answer.body if answer.kind is Kind.SERVED else answer.reason.encode()
+    body = answer.body if answer.kind is AnswerKind.SERVED else answer.reason.encode()
     return web.Response(status=STATUS[answer.kind], headers=answer_headers(answer), body=body)
 
 
--- a/oxbowyard/clients/waiting.py
+++ b/oxbowyard/clients/waiting.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 from aiohttp.web_request import BaseRequest
 
-from ..core.req import Kind, Ran, Req
+from ..core.request import AnswerKind, Request, RunState
 from ..waiting.ledger import Recalled
 from ..waiting.order import HIGH, LOW, Code, End, Job, Parent, Rejected, State, Wait, When
 from ..waiting.room import WaitingRoom
@@ -191,7 +191,7 @@
             jobs.append(self._from_form(form, own, print_))
         return await self._take(jobs, many)
 
-    def _from_form(self, form: JobForm, token: str, print_: bytes) -> tuple[Req, Wait]:
+    def _from_form(self, form: JobForm, token: str, print_: bytes) -> tuple[Request, Wait]:
         if form.payload and form.payload_base64:
             raise Fault(400, "payload and payload_base64 exclude each other")
         payload = form.payload.encode() or form.payload_base64
@@ -250,7 +250,7 @@
         extra: str,
         deadline: float,
         wait: Wait,
-    ) -> Req:
+    ) -> Request:
         if job_class not in self._classes:
             raise Rejected(Code.UNKNOWN_CLASS, f"no class {job_class}")
         path, query = read_target(target)
@@ -259,10 +259,10 @@
         if id_ is not None and self._room.is_own_id(id_):  # it may be another job's, long forgotten here
             raise Rejected(Code.DUPLICATE_ID, "ids of this form are given by the scheduler")
         extras = read_extras(extra)
-        return Req(
+        return Request(
             id=read_id(id_) if id_ is not None else self._room.new_id(),
             job_class=job_class,
-            patience=deadline,
+            timeout_s=deadline,
             target=target,
             payload=payload,
             key=parse_qs(query).get("obj", [None])[0],
@@ -272,7 +272,7 @@
             idempotency_key=wait.token,  # a worker drops a repeat of the job, and of a hand-in of it, by this
         )
 
-    async def _take(self, jobs: list[tuple[Req, Wait]], many: bool) -> web.Response:
+    async def _take(self, jobs: list[tuple[Request, Wait]], many: bool) -> web.Response:
         if (recalled := await self._room.look_up(jobs)) is not None:
             views = [_view(known) for known in recalled]
         else:
@@ -310,12 +310,12 @@
         if final is None:
             return _json(202, self._view(known.job))
         answer = final.answer()
-        if answer.kind is Kind.LEFT:
+        if answer.kind is AnswerKind.CLIENT_DISCONNECTED:
             return Understood(status=410, text="cancelled\n")
         headers = answer_headers(answer) | {"Job-End": final.end.value, "Job-Ran": final.ran.value}
         body = answer.body
         if final.end is not End.SERVED:
-            body = f"{final.reason}{'; it never ran' if final.ran is Ran.NEVER else ''}\n".encode()
+            body = f"{final.reason}{'; it never ran' if final.ran is RunState.NEVER_RAN else ''}\n".encode()
         return web.Response(status=STATUS[answer.kind], headers=headers, body=body)
 
     # ---- Proof ----
--- a/oxbowyard/clients/wording.py
+++ b/oxbowyard/clients/wording.py
@@ -9,7 +9,7 @@
 
 from multidict import MultiMapping
 
-from ..core.req import Answer, Kind, Req
+from ..core.request import Answer, AnswerKind, Request
 from .limits import MAX_DEADLINE_S
 
 ID_FORM = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:~-]{0,127}", re.ASCII)
@@ -18,7 +18,7 @@
 IDEMPOTENCY_KEY_FORM = re.compile(rf"[!-~]{{1,{MOST_IDEMPOTENCY_KEY}}}", re.ASCII)
 TARGET_FORM = re.compile(r"/(?:[!-~]*)", re.ASCII)
 UNITS = {"m": 1e-3, "u": 1e-6}
-STATUS = {Kind.SERVED: 200, Kind.REFUSED: 503, Kind.FAILED: 502}
+STATUS = {AnswerKind.SERVED: 200, AnswerKind.REJECTED: 503, AnswerKind.FAILED: 502}
 
 
 @dataclass(slots=True)
@@ -111,15 +111,15 @@
 
 def read_req(
     method: str, target: str, headers: MultiMapping[str], body: bytes, classes: Collection[str]
-) -> Req:
+) -> Request:
     """The whole request as the core takes it."""
     path, query = read_target(target)
     name = read_class(path, single(headers, "Req-Kind"), method, classes)
     extras = read_extras(single(headers, "Req-Extra"))
-    return Req(
+    return Request(
         id=read_id(single(headers, "Req-Id")),
         job_class=name,
-        patience=read_deadline(single(headers, "Req-Deadline")),
+        timeout_s=read_deadline(single(headers, "Req-Deadline")),
         target=target,
         payload=body,
         key=parse_qs(query).get("obj", [None])[0],
@@ -132,6 +132,6 @@
 
 def answer_headers(answer: Answer) -> dict[str, str]:
     """The headers beside the body; a refusal tells when to come back."""
-    if answer.kind is Kind.REFUSED and answer.retry_after > 0:
-        return {"Retry-After": f"{answer.retry_after:.3f}"}
+    if answer.kind is AnswerKind.REJECTED and answer.retry_after_s > 0:
+        return {"Retry-After": f"{answer.retry_after_s:.3f}"}
     return {}
--- a/oxbowyard/control/figures.py
+++ b/oxbowyard/control/figures.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ..core.measure import ServiceMeasure
-from ..core.req import Kind
+from ..core.request import AnswerKind
+from ..core.service_measure import ServiceMeasure
 from ..discovery.registry import Registry
 
-NAMES = {Kind.SERVED: "fulfilled", Kind.REFUSED: "throttled", Kind.FAILED: "faulted"}
+NAMES = {AnswerKind.SERVED: "fulfilled", AnswerKind.REJECTED: "throttled", AnswerKind.FAILED: "faulted"}
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 
 def figures(counted: Counted, open_requests: int) -> Mapping[str, object]:
     """One JSON object. A req whose client went is counted under none of the three."""
-    answers = counted.measure.answers_of()
+    answers = counted.measure.answers_by_class()
     told: dict[str, object] = {
         name: {cls: counts[kind] for cls, counts in answers.items()} for kind, name in NAMES.items()
     }
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -1,4 +1,4 @@
-"""Owns every req from taken to its one final answer, its fetches and its deadline."""
+"""Owns every request from taken to its one final answer, its attempts and its deadline."""
 
 from __future__ import annotations
 
@@ -32,39 +32,48 @@
     WorkerInfo,
 )
 from ..decision.interface import JobClass, Repeat, Settings
-from .measure import ServiceMeasure
-from .req import Answer, BackendTransport, Ending, FetchNotes, Kind, Note, Ran, Req
+from .request import (
+    Answer,
+    AnswerKind,
+    AttemptContext,
+    AttemptOutcome,
+    AttemptUpdate,
+    BackendTransport,
+    Request,
+    RunState,
+)
+from .service_measure import ServiceMeasure
 
 log = logging.getLogger("oxbowyard.core")
 
-ANSWER_AHEAD = 0.010  # seconds before its deadline that a req is answered: the answer has to travel
-MAX_FETCHES = 16  # a limit of our own, past all settings met: a fault in the decisions must have an end
+ANSWER_AHEAD = 0.010  # seconds before its deadline that a request is answered: the answer has to travel
+MAX_ATTEMPTS = 16  # a limit of our own, past all settings met: a fault in the decisions must have an end
 NO_END_SEEN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)
-BUSY_RETRY_AFTER = 1.0  # seconds, with the refusal of a req that found no room
+BUSY_RETRY_AFTER = 1.0  # seconds, with the refusal of a request that found no room
 
 
 @dataclass(slots=True, eq=False)
 class _Open:
-    """A req that has no final answer yet, or whose last fetch has not ended."""
+    """A request that has no final answer yet, or whose last attempt has not ended."""
 
-    req: Req
+    request: Request
     taken_at: float
     deadline: float
     answer: asyncio.Future[Answer]
     # Seconds from a first attempt that may have run in which a repeat does no harm; None: it must not be
     # repeated. As its class was when it was taken: it keeps that class.
     window: float | None
-    most_fetches: int
+    max_attempts: int
     alarm: asyncio.TimerHandle | None = None
-    fetches: int = 0
-    task: asyncio.Task[Ending] | None = None
-    notes: FetchNotes | None = None
+    attempts: int = 0
+    task: asyncio.Task[AttemptOutcome] | None = None
+    notes: AttemptContext | None = None
     calling_off: bool = False
     expired: bool = False
     may_have_run: bool = False
     repeat_by: float = math.inf  # loop time
-    may_run_on: bool = False  # no end was seen of a fetch that may have run
+    may_run_on: bool = False  # no end was seen of an attempt that may have run
     began_at: float | None = None
     ran: float | None = None
 
@@ -73,12 +82,12 @@
 class Limits:
     """What one process may hold."""
 
-    open_reqs: int = 20_000
-    fetches: int = MAX_FETCHES
+    max_open_requests: int = 20_000
+    max_attempts: int = MAX_ATTEMPTS
 
 
 class Scheduler:
-    """The core: fronts await `serve`, the facade decides, a backend transport fetches."""
+    """The core: fronts await `serve`, the facade decides, a backend transport attempts."""
 
     def __init__(
         self,
@@ -95,7 +104,7 @@
         self._loop = asyncio.get_running_loop()
         self._limits = limits
         self._busy_wait = min(BUSY_RETRY_AFTER, settings.max_backoff / 1000)  # none where clients heed none
-        self._max_fetches = min(settings.max_attempts, limits.fetches)
+        self._max_attempts = min(settings.max_attempts, limits.max_attempts)
         self._windows = {c.name: _window(c) for c in settings.classes}
         self._open: dict[str, _Open] = {}
         self._open_by_class: Counter[str] = Counter()
@@ -108,29 +117,31 @@
 
     # ---- For the fronts ----
 
-    async def serve(self, req: Req) -> Answer:
-        """Take a req and wait for its final answer. Cancel this when its client has gone."""
-        if req.id in self._open:  # a second copy could run beside the first
-            return Answer(Kind.FAILED, reason="a req with this id is open")
-        self.measure.asked(req.job_class, req.is_retry)
-        if len(self._open) >= self._limits.open_reqs:
-            self.measure.answered(req.job_class, Kind.REFUSED, 0.0, None)
-            return Answer(Kind.REFUSED, retry_after=self._busy_wait, reason="too many open reqs")
-        entry = self._take(req)
+    async def serve(self, request: Request) -> Answer:
+        """Take a request and wait for its final answer. Cancel this when its client has gone."""
+        if request.id in self._open:  # a second copy could run beside the first
+            return Answer(AnswerKind.FAILED, reason="a req with this id is open")
+        self.measure.record_request(request.job_class, request.is_retry)
+        if len(self._open) >= self._limits.max_open_requests:
+            self.measure.record_answer(request.job_class, AnswerKind.REJECTED, 0.0, None)
+            return Answer(AnswerKind.REJECTED, retry_after_s=self._busy_wait, reason="too many open reqs")
+        entry = self._take(request)
         try:
             return await entry.answer
         except asyncio.CancelledError:
             self._left(entry)
             raise
 
-    def retune(self, settings: Settings) -> None:
-        """Other classes and fetches for the reqs taken from now on; those open keep theirs."""
-        self._max_fetches = min(settings.max_attempts, self._limits.fetches)
+    def apply_settings(self, settings: Settings) -> None:
+        """Other classes and attempts for the requests taken from now on; those open keep theirs."""
+        self._max_attempts = min(settings.max_attempts, self._limits.max_attempts)
         self._windows = {c.name: _window(c) for c in settings.classes}
         self._facade.retune(settings)
-        self.measure.retune(settings.classes)
+        self.measure.set_classes(settings.classes)
 
-    def learn(self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str = "discovery") -> None:
+    def update_endpoints(
+        self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str = "discovery"
+    ) -> None:
         """Take a list, or a change of it. A whole list is whole for its source: others' backends stay."""
         listed = self._listed.setdefault(source, {})
         if scope is not Scope.CHANGES:
@@ -144,7 +155,7 @@
             backends = (*backends, *chain.from_iterable(others))
         self._follow(self._facade.learn(scope, backends))
 
-    def reckon(self, siblings: int) -> None:
+    def set_scheduler_count(self, siblings: int) -> None:
         """So many schedulers send to the same backends from now on."""
         self._facade.reckon(siblings)
 
@@ -152,12 +163,12 @@
         """What the decisions have learned, for a process that replaces this one."""
         return self._facade.snapshot()
 
-    def adopt(self, learned: Snapshot) -> None:
+    def restore(self, learned: Snapshot) -> None:
         """Go on from what the process that this one replaces has learned."""
         self._facade.adopt(learned)
 
-    def troubles(self) -> list[Trouble]:
-        """Backends that own fetches show to be in trouble; it walks all of them. A cold start that the list
+    def worker_faults(self) -> list[Trouble]:
+        """Backends that own attempts show to be in trouble; it walks all of them. A cold start that the list
         tells is left out: all are told it."""
         told: dict[str, float] = {}
         for rows in self._listed.values():
@@ -168,22 +179,22 @@
         )
         return [t for t in found if t.lasts or t.since]
 
-    def hear(self, troubles: tuple[Trouble, ...]) -> None:
+    def apply_peer_faults(self, troubles: tuple[Trouble, ...]) -> None:
         """Take what other schedulers tell of backends' troubles, all that holds now."""
         self._follow(self._facade.hear(troubles))
 
     @property
-    def open_count(self) -> int:
+    def open_request_count(self) -> int:
         """Reqs taken and not yet done with."""
         return len(self._open)
 
-    def longest_left(self) -> float:
-        """Seconds until the last deadline of the reqs that are open; their clients may wait longer than their
-        classes say."""
+    def max_time_left_s(self) -> float:
+        """Seconds until the last deadline of the open requests; their clients may wait longer than
+        their classes say."""
         last = max((entry.deadline for entry in self._open.values()), default=0.0)
         return max(last - self._loop.time(), 0.0)
 
-    def open_of(self, classes: Iterable[str]) -> int:
+    def open_request_count_of(self, classes: Iterable[str]) -> int:
         """The same for some classes."""
         return sum(self._open_by_class[name] for name in classes)
 
@@ -191,31 +202,39 @@
         """What the listed backends can do for a class."""
         return self._facade.capacity(job_class)
 
-    def since_refusal(self) -> float:
-        """Seconds since a req was last refused."""
+    def seconds_since_rejection(self) -> float:
+        """Seconds since a request was last refused."""
         return self._loop.time() - self._refused_at
 
-    def ran(self, req: str) -> Ran:
-        """Whether an open req may have run by now; one that is not open never did."""
-        entry = self._open.get(req)
-        return _ran(entry) if entry else Ran.NEVER
+    def run_state(self, request: str) -> RunState:
+        """Whether an open request may have run by now; one that is not open never did."""
+        entry = self._open.get(request)
+        return _ran(entry) if entry else RunState.NEVER_RAN
 
-    async def idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing taken is open."""
         await self._idle.wait()
 
-    # ---- A req's life ----
+    # ---- A request's life ----
 
-    def _take(self, req: Req) -> _Open:
+    def _take(self, request: Request) -> _Open:
         now = self._loop.time()
-        deadline = now + req.patience
-        window = self._windows.get(req.job_class)
-        entry = _Open(req, now, deadline, self._loop.create_future(), window, self._max_fetches)
-        self._open[req.id] = entry
-        self._open_by_class[req.job_class] += 1
+        deadline = now + request.timeout_s
+        window = self._windows.get(request.job_class)
+        entry = _Open(request, now, deadline, self._loop.create_future(), window, self._max_attempts)
+        self._open[request.id] = entry
+        self._open_by_class[request.job_class] += 1
         self._idle.clear()
         entry.alarm = self._loop.call_at(deadline - ANSWER_AHEAD, self._expire, entry)
-        ask = Ask(req.id, req.job_class, req.patience * 1000, req.key, req.tenant, req.slots, req.is_retry)
+        ask = Ask(
+            request.id,
+            request.job_class,
+            request.timeout_s * 1000,
+            request.key,
+            request.tenant,
+            request.slots,
+            request.is_retry,
+        )
         self._follow(self._facade.pick(ask), entry)
         return entry
 
@@ -227,40 +246,42 @@
         if entry.alarm:
             entry.alarm.cancel()
         elapsed = self._loop.time() - entry.taken_at
-        self.measure.answered(entry.req.job_class, answer.kind, elapsed, entry.ran)
-        if answer.kind is Kind.REFUSED:
+        self.measure.record_answer(entry.request.job_class, answer.kind, elapsed, entry.ran)
+        if answer.kind is AnswerKind.REJECTED:
             self._refused_at = self._loop.time()
-        if answer.kind is not Kind.SERVED:
-            log.debug("req %s %s: %s", entry.req.id, answer.kind.value, answer.reason)
+        if answer.kind is not AnswerKind.SERVED:
+            log.debug("request %s %s: %s", entry.request.id, answer.kind.value, answer.reason)
         self._call_off(entry)
         self._let_go(entry)
 
     def _let_go(self, entry: _Open) -> None:
         if entry.answer.done() and entry.task is None:
-            if self._open.pop(entry.req.id, None) is not None:
-                self._open_by_class[entry.req.job_class] -= 1
+            if self._open.pop(entry.request.id, None) is not None:
+                self._open_by_class[entry.request.job_class] -= 1
             if not self._open:
                 self._idle.set()
 
     def _left(self, entry: _Open) -> None:
-        """The client has gone: its req still gets its one answer in the count."""
+        """The client has gone: its request still gets its one answer in the count."""
         if not entry.answer.cancelled():  # it went while its answer was on the way: that one counts
             return
         if entry.alarm:
             entry.alarm.cancel()
-        self.measure.answered(entry.req.job_class, Kind.LEFT, self._loop.time() - entry.taken_at, None)
-        self._follow(self._facade.report(Left(entry.req.id)))
+        self.measure.record_answer(
+            entry.request.job_class, AnswerKind.CLIENT_DISCONNECTED, self._loop.time() - entry.taken_at, None
+        )
+        self._follow(self._facade.report(Left(entry.request.id)))
         self._call_off(entry)
         self._let_go(entry)
 
     def _expire(self, entry: _Open) -> None:
-        """The deadline is here. A fetch still out ends as timed out, and that asks for the answer."""
+        """The deadline is here. An attempt still out ends as timed out, and that asks for the answer."""
         if entry.answer.done():
             return
         if entry.task is not None:
             entry.expired = True
             entry.task.cancel()
-            # The fetch may take its cancellation badly; the client is answered all the same.
+            # The attempt may take its cancellation badly; the client is answered all the same.
             entry.alarm = self._loop.call_later(ANSWER_AHEAD, self._answer_ourselves, entry, "deadline")
             return
         self._answer_ourselves(entry, "held until its deadline")
@@ -269,10 +290,10 @@
         """Answer without the decisions: a refusal only where a new try surely does no harm."""
         if entry.answer.done():
             return
-        kind = Kind.REFUSED if self._harmless_to_retry(entry) else Kind.FAILED
-        wait = self._busy_wait if kind is Kind.REFUSED else 0.0
+        kind = AnswerKind.REJECTED if self._harmless_to_retry(entry) else AnswerKind.FAILED
+        wait = self._busy_wait if kind is AnswerKind.REJECTED else 0.0
         self._finish(entry, _answer(entry, kind, reason, wait))
-        self._follow(self._facade.report(Left(entry.req.id)))
+        self._follow(self._facade.report(Left(entry.request.id)))
 
     def _harmless_to_retry(self, entry: _Open) -> bool:
         out = entry.notes is not None and entry.notes.written
@@ -281,7 +302,7 @@
     # ---- Decisions ----
 
     def _follow(self, turn: Turn, about: _Open | None = None) -> None:
-        """Carry out every decision of a turn, whichever reqs they are for, and set the next tick."""
+        """Carry out every decision of a turn, whichever requests they are for, and set the next tick."""
         if turn.fault is not None:
             log.error("decision fault: %r", turn.fault, exc_info=turn.fault)
         for decision in turn.decisions:
@@ -308,52 +329,59 @@
 
     def _carry_out(self, decision: Decision) -> None:
         entry = self._open.get(decision.req)
-        if entry is None:  # answered without the decisions; a fetch that never was must not count as out
+        if entry is None:  # answered without the decisions; an attempt that never was must not count as out
             if isinstance(decision, Fetch):
                 self._loop.call_soon(self._report_unsent, decision, True)
             return
         match decision:
             case Fetch():
-                self._fetch(entry, decision)
+                self._start_attempt(entry, decision)
             case Refuse(retry_after=wait):
                 self._refuse(entry, wait / 1000)
             case Fail():
-                self._finish(entry, _answer(entry, Kind.FAILED, "given up"))
+                self._finish(entry, _answer(entry, AnswerKind.FAILED, "given up"))
             case Cancel(number=number):
-                if number == entry.fetches - 1:
+                if number == entry.attempts - 1:
                     self._call_off(entry)
             case Hold():
                 pass
 
     def _refuse(self, entry: _Open, retry_after: float) -> None:
         if self._harmless_to_retry(entry):
-            self._finish(entry, _answer(entry, Kind.REFUSED, "refused", retry_after))
+            self._finish(entry, _answer(entry, AnswerKind.REJECTED, "refused", retry_after))
         else:  # a refusal promises that a new try does no harm, and this one may have run
-            log.error("req %s: refused by the decisions though it may have run", entry.req.id)
-            self._finish(entry, _answer(entry, Kind.FAILED, "may have run"))
+            log.error("request %s: refused by the decisions though it may have run", entry.request.id)
+            self._finish(entry, _answer(entry, AnswerKind.FAILED, "may have run"))
 
     # ---- Fetches ----
 
-    def _fetch(self, entry: _Open, decision: Fetch) -> None:
+    def _start_attempt(self, entry: _Open, decision: Fetch) -> None:
         left = entry.deadline - ANSWER_AHEAD - self._loop.time()
         barred = entry.may_have_run and entry.window is None
-        if entry.answer.done() or entry.task or entry.fetches >= entry.most_fetches or left <= 0 or barred:
-            log.warning("req %s: fetch %d to %s not sent", entry.req.id, decision.number, decision.backend)
-            entry.fetches += 1
+        if entry.answer.done() or entry.task or entry.attempts >= entry.max_attempts or left <= 0 or barred:
+            log.warning(
+                "request %s: attempt %d to %s not sent", entry.request.id, decision.number, decision.backend
+            )
+            entry.attempts += 1
             self._loop.call_soon(self._report_unsent, decision, entry.answer.done())
             return
-        entry.fetches += 1
+        entry.attempts += 1
         entry.calling_off = False
         entry.began_at = None
         wait = min(left, decision.timeout / 1000) if decision.timeout > 0 else left
-        entry.notes = FetchNotes(
+        entry.notes = AttemptContext(
             wait, lambda: self._began(entry, decision), lambda note: self._note(entry, decision, note),
             entry.repeat_by,
         )  # fmt: skip
-        entry.task = self._loop.create_task(self._run(entry.req, decision, entry.notes, wait))
+        entry.task = self._loop.create_task(self._run(entry.request, decision, entry.notes, wait))
         sent_at = self._loop.time()
-        log.debug("fetch %d of req %s (%s) to %s", decision.number, entry.req.id, entry.req.job_class,
-                  decision.backend)  # fmt: skip
+        log.debug(
+            "attempt %d of request %s (%s) to %s",
+            decision.number,
+            entry.request.id,
+            entry.request.job_class,
+            decision.backend,
+        )
         # A task cancelled before its first step never enters its body: only its end is sure to be told.
         entry.task.add_done_callback(lambda task: self._ended(entry, decision, task, sent_at))
 
@@ -363,56 +391,72 @@
 
     def _began(self, entry: _Open, decision: Fetch) -> None:
         entry.began_at = self._loop.time()
-        log.debug("fetch %d of req %s began at %s", decision.number, entry.req.id, decision.backend)
-        if entry.req.on_running:
-            entry.req.on_running(True)
-        self._follow(self._facade.report(Began(entry.req.id, decision.number, decision.backend)))
-
-    def _note(self, entry: _Open, decision: Fetch, note: Note) -> None:
-        current = decision.number == entry.fetches - 1
-        if current and entry.req.on_note and not entry.answer.done():
-            entry.req.on_note(note)
-
-    async def _run(self, req: Req, decision: Fetch, notes: FetchNotes, wait: float) -> Ending:
+        log.debug("attempt %d of request %s began at %s", decision.number, entry.request.id, decision.backend)
+        if entry.request.on_running:
+            entry.request.on_running(True)
+        self._follow(self._facade.report(Began(entry.request.id, decision.number, decision.backend)))
+
+    def _note(self, entry: _Open, decision: Fetch, note: AttemptUpdate) -> None:
+        current = decision.number == entry.attempts - 1
+        if current and entry.request.on_update and not entry.answer.done():
+            entry.request.on_update(note)
+
+    async def _run(
+        self, request: Request, decision: Fetch, notes: AttemptContext, wait: float
+    ) -> AttemptOutcome:
         try:
             async with asyncio.timeout(wait):
-                return await self._transport.fetch(decision.backend, req, notes)
+                return await self._transport.attempt(decision.backend, request, notes)
         except TimeoutError:
-            return Ending(Result.TIMEOUT if notes.written else Result.NOT_SENT, reason="timed out")
+            return AttemptOutcome(Result.TIMEOUT if notes.written else Result.NOT_SENT, reason="timed out")
         except Exception as failure:
-            log.exception("fetch of req %s at %s failed in our own code", req.id, decision.backend)
-            return Ending(Result.ERROR if notes.written else Result.NOT_SENT, reason=repr(failure))
+            log.exception("attempt of request %s at %s failed in our own code", request.id, decision.backend)
+            return AttemptOutcome(Result.ERROR if notes.written else Result.NOT_SENT, reason=repr(failure))
 
-    def _cut(self, entry: _Open) -> Ending:
+    def _cut(self, entry: _Open) -> AttemptOutcome:
         if entry.notes is None or not entry.notes.written:
-            return Ending(Result.NOT_SENT, reason="called off unsent")
-        return Ending(Result.TIMEOUT if entry.expired else Result.CANCELLED, reason="called off")
+            return AttemptOutcome(Result.NOT_SENT, reason="called off unsent")
+        return AttemptOutcome(Result.TIMEOUT if entry.expired else Result.CANCELLED, reason="called off")
 
-    def _ended(self, entry: _Open, decision: Fetch, task: asyncio.Task[Ending], sent_at: float) -> None:
+    def _ended(
+        self, entry: _Open, decision: Fetch, task: asyncio.Task[AttemptOutcome], sent_at: float
+    ) -> None:
         ending = self._cut(entry) if task.cancelled() else task.result()
         duration = (self._loop.time() - sent_at) * 1000
         entry.task, entry.notes = None, None
-        if entry.req.on_running and entry.began_at is not None:
-            entry.req.on_running(False)
+        if entry.request.on_running and entry.began_at is not None:
+            entry.request.on_running(False)
         if ending.result not in NEVER_RAN and not entry.may_have_run:
             entry.may_have_run = True
             entry.repeat_by = sent_at + (math.inf if entry.window is None else entry.window)
         entry.may_run_on |= ending.result in NO_END_SEEN
         if ending.result is not Result.OK:
             log.info(
-                "fetch %d of req %s (%s) at %s: %s after %.0f ms, %s", decision.number, entry.req.id,
-                entry.req.job_class, decision.backend, ending.result.value, duration, ending.reason,
-            )  # fmt: skip
+                "attempt %d of request %s (%s) at %s: %s after %.0f ms, %s",
+                decision.number,
+                entry.request.id,
+                entry.request.job_class,
+                decision.backend,
+                ending.result.value,
+                duration,
+                ending.reason,
+            )
         else:
-            log.debug("fetch %d of req %s served by %s after %.0f ms, %s", decision.number, entry.req.id,
-                      decision.backend, duration, ending.load)  # fmt: skip
+            log.debug(
+                "attempt %d of request %s served by %s after %.0f ms, %s",
+                decision.number,
+                entry.request.id,
+                decision.backend,
+                duration,
+                ending.load,
+            )
             if entry.began_at is not None:
                 entry.ran = self._loop.time() - entry.began_at
         if ending.result is Result.OK:
-            self._finish(entry, Answer(Kind.SERVED, ending.body, ran=Ran.YES))
+            self._finish(entry, Answer(AnswerKind.SERVED, ending.body, run_state=RunState.HAS_RUN))
         final = entry.answer.done()
         outcome = Ended(
-            entry.req.id, decision.number, decision.backend, ending.result, duration, final, ending.load
+            entry.request.id, decision.number, decision.backend, ending.result, duration, final, ending.load
         )
         self._let_go(entry)
         self._follow(self._facade.report(outcome), entry)
@@ -423,13 +467,13 @@
             entry.task.cancel()
 
 
-def _ran(entry: _Open) -> Ran:
+def _ran(entry: _Open) -> RunState:
     if entry.may_run_on or entry.notes is not None and entry.notes.written:
-        return Ran.OPEN
-    return Ran.MAYBE if entry.may_have_run else Ran.NEVER
+        return RunState.MAY_BE_RUNNING
+    return RunState.MAY_HAVE_RUN if entry.may_have_run else RunState.NEVER_RAN
 
 
-def _answer(entry: _Open, kind: Kind, reason: str, retry_after: float = 0.0) -> Answer:
+def _answer(entry: _Open, kind: AnswerKind, reason: str, retry_after: float = 0.0) -> Answer:
     return Answer(kind, b"", retry_after, reason, _ran(entry))
 
 
--- a/oxbowyard/core/measure.py
+++ b/oxbowyard/core/service_measure.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 
 from ..decision.interface import JobClass
-from .req import Kind
+from .request import AnswerKind
 
-RUN_SAMPLES = 200  # the mean running time of a class follows about so many reqs
+RUN_SAMPLES = 200  # the mean running time of a class follows about so many requests
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     in_time: int = 0
     mean_run: float = 0.0
     runs: int = 0
-    answers: Counter[Kind] = field(default_factory=Counter)
+    answers: Counter[AnswerKind] = field(default_factory=Counter)
 
     def ran(self, seconds: float) -> None:
         self.runs += 1
@@ -27,31 +27,31 @@
 
 
 class ServiceMeasure:
-    """Counts each req once. Where worth goes by work, a req whose work nobody saw counts as a mean one."""
+    """Counts each request once. Where worth goes by work, one whose work nobody saw counts as a mean one."""
 
     def __init__(self, classes: Iterable[JobClass], by_work: bool = True) -> None:
         self._classes = {c.name: c for c in classes}
         self._by_work = by_work
         self._tallies = {name: _ClassTally() for name in self._classes}
 
-    def retune(self, classes: Iterable[JobClass]) -> None:
+    def set_classes(self, classes: Iterable[JobClass]) -> None:
         """Count these classes from now on, new ones from nothing; one that went keeps its counts."""
         for c in classes:
             self._classes[c.name] = c
             self._tallies.setdefault(c.name, _ClassTally())
 
-    def asked(self, job_class: str, is_retry: bool) -> None:
-        """A req was taken; a marked retry belongs to its first try, whose worth was counted."""
+    def record_request(self, job_class: str, is_retry: bool) -> None:
+        """A request was taken; a marked retry belongs to its first attempt, whose worth was counted."""
         if tally := self._tallies.get(job_class):
             tally.asked += not is_retry
 
-    def answered(self, job_class: str, kind: Kind, elapsed: float, run: float | None) -> None:
-        """A req has its one answer after `elapsed` seconds; `run` is how long it ran, where that is known."""
+    def record_answer(self, job_class: str, kind: AnswerKind, elapsed: float, run: float | None) -> None:
+        """A request has its answer after `elapsed` seconds; `run` is how long it ran, where that is known."""
         tally = self._tallies.get(job_class)
         if tally is None:
             return
         tally.answers[kind] += 1
-        if kind is not Kind.SERVED:
+        if kind is not AnswerKind.SERVED:
             return
         cls = self._classes[job_class]
         if run is not None:
@@ -60,17 +60,17 @@
             tally.in_time += 1
             tally.in_time_work += tally.mean_run if run is None else run
 
-    def mean_run(self, job_class: str) -> float:
-        """The mean running time in seconds of a class's reqs, of late; 0 if none was seen."""
+    def mean_run_s(self, job_class: str) -> float:
+        """The mean running time in seconds of a class's requests, of late; 0 if none was seen."""
         tally = self._tallies.get(job_class)
         return tally.mean_run if tally else 0.0
 
-    def answers_of(self) -> dict[str, Counter[Kind]]:
+    def answers_by_class(self) -> dict[str, Counter[AnswerKind]]:
         """The answers so far, by class and kind."""
         return {name: Counter(tally.answers) for name, tally in self._tallies.items()}
 
     @property
-    def answers(self) -> Counter[Kind]:
+    def answers(self) -> Counter[AnswerKind]:
         """All answers so far, by kind."""
         return sum((t.answers for t in self._tallies.values()), Counter())
 
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -12,9 +12,9 @@
 from ..backends.http import HttpBackends
 from ..control.maintenance import Maintenance
 from ..core.clock import steady_unix_ms
-from ..core.measure import ServiceMeasure
-from ..core.req import BackendTransport, RoutedTransport
+from ..core.request import BackendTransport, RoutedTransport
 from ..core.scheduler import Limits, Scheduler
+from ..core.service_measure import ServiceMeasure
 from ..decision.facade import Facade
 from ..decision.interface import JobClass, Repeat, Settings
 from ..discovery.call_schedule import CallSchedule
@@ -84,10 +84,10 @@
             transport = RoutedTransport(self.backends, {KIND: workers})
         # The discovery client asks for the list, whichever way it comes: the decisions need not.
         facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
-        limits = Limits(open_reqs=self.descriptors.requests)
+        limits = Limits(max_open_requests=self.descriptors.requests)
         self.scheduler = Scheduler(settings, facade, transport, clock, self.measure, limits)
         self.discovery = DiscoveryClient(
-            config.discovery, self.registry, self.scheduler.learn, on_settled,
+            config.discovery, self.registry, self.scheduler.update_endpoints, on_settled,
             CallSchedule(settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every),
         )  # fmt: skip
         self.waiting: WaitingRoom | None = None
@@ -98,7 +98,7 @@
         self.deadlines = {c.name: c.deadline / 1000 for c in plain}
         self.gearman: GearmanFront | None = None
         if gearman and workers:
-            workers.tell_to(self.scheduler.learn)
+            workers.tell_to(self.scheduler.update_endpoints)
             jobs = Jobs(gearman, self.scheduler, config.name, self.waiting)
             self.gearman = GearmanFront(gearman, jobs, workers)
         self._gearman_config = gearman
@@ -107,7 +107,7 @@
     def retune(self, settings: Settings) -> None:
         """The classes and fetches of these settings for reqs from now on; Gearman's functions stay."""
         settings = _with_functions(settings, self._gearman_config)
-        self.scheduler.retune(settings)
+        self.scheduler.apply_settings(settings)
         self.backends.once = frozenset(c.name for c in settings.classes if c.repeat is not Repeat.FREE)
         self.deadlines |= {c.name: c.deadline / 1000 for c in settings.classes}
 
@@ -131,7 +131,7 @@
         if self.waiting is not None:
             self.waiting.wind_down()
             await self.waiting.idle()
-        await self.scheduler.idle()
+        await self.scheduler.wait_until_idle()
         if self.gearman:
             await self.gearman.close()
         for chore in self._chores:
@@ -142,7 +142,7 @@
     def summary(self) -> str:
         """The service measure and the answers so far, in a line."""
         answers = ", ".join(f"{kind.value} {n}" for kind, n in self.measure.answers.items())
-        open_count = self.scheduler.open_count
+        open_count = self.scheduler.open_request_count
         return f"service {self.measure.share:.3f}, open {open_count}, answers: {answers or 'none'}"
 
 
@@ -157,7 +157,7 @@
     own = config.settings
 
     def reckon(schedulers: int) -> None:
-        scheduler.reckon(schedulers)
+        scheduler.set_scheduler_count(schedulers)
         parts.discovery.reckon(schedulers)
 
     return MembershipPart(
@@ -165,8 +165,9 @@
         Offers(
             name=config.name, zone=own.zone, configured=own.siblings, ramp=own.ramp / 1000,
             version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock=parts.clock, state=state,
-            held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed,
-            troubles=scheduler.troubles, hear=scheduler.hear, reckon=reckon,
+            held=lambda: scheduler.open_request_count, slots=parts.slots,
+            workers=lambda: parts.registry.listed,
+            troubles=scheduler.worker_faults, hear=scheduler.apply_peer_faults, reckon=reckon,
             drained=lambda: maintenance.by_hand, drain=maintenance.take,
         ),
     )  # fmt: skip
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -42,7 +42,7 @@
 
 
 # What a running program can't change about itself; `discovery` moves without a restart, and the settings
-# change live as far as `core.retune` says. The seed is new with
+# change live as far as `core.settings_update` says. The seed is new with
 # each start, and `known` is for one that begins with no list.
 NEED_RESTART = (
     "name", "host", "port", "admin", "sockets", "memory_mb", "most_held", "by_work", "load_names",
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -19,7 +19,7 @@
 from ..control.figures import Counted, Files, figures
 from ..control.handlers import AdminHandlers, Sources
 from ..control.maintenance import FOLLOW_EVERY, Maintenance, MaintenanceFile
-from ..core.retune import live_part_only, retune
+from ..core.settings_update import plan_settings_update, restart_only_changes
 from ..decision.interface import Settings
 from ..gearman.config import GearmanConfig
 from ..handover.files import BEAT_EVERY, Marks
@@ -108,7 +108,7 @@
         )
         self._learned = LearnedFile(folder, config.name, os.getpid(), self._parts.clock)
         hand = MaintenanceFile(Path(tempfile.gettempdir()) / f"oxbowyard-{config.name}-out-by-hand.json")
-        self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.learn, hand)
+        self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.update_endpoints, hand)
         self._membership: MembershipPart | None = None
         if self._started.membership is not None:
             self._membership = membership(
@@ -145,7 +145,7 @@
         counted = Counted(parts.measure, parts.backends.relayed, parts.registry, self._files)
         return Sources(
             self._is_ready,
-            lambda: figures(counted, parts.scheduler.open_count),
+            lambda: figures(counted, parts.scheduler.open_request_count),
             self._maintenance,
             self._membership.view if self._membership else None,
         )
@@ -191,7 +191,7 @@
             await asyncio.sleep(BEAT_EVERY)
             if self._handover.waiting and not adopted:
                 adopted = self._adopt()
-            step = self._handover.look(loop.time(), self._parts.scheduler.open_count)
+            step = self._handover.look(loop.time(), self._parts.scheduler.open_request_count)
             if step is Step.HAND_OVER and self.state in (State.SERVING, State.RELOADING) and self._acceptor:
                 self._enter(State.HANDING)
                 self._hand_learned()
@@ -209,7 +209,7 @@
         if learned is None:
             return False
         try:
-            self._parts.scheduler.adopt(learned)
+            self._parts.scheduler.restore(learned)
             log.info("goes on from what the old process has learned of %d workers", len(learned.workers))
         except Exception:  # guards the take-over: estimates are not worth it
             log.exception("fault while taking what the old process has learned")
@@ -316,19 +316,19 @@
     def _retune(self, settings: Settings) -> tuple[str, ...]:
         """New classes and fetches: the stricter of old and new until clients use the new alone. Returns the
         names of the settings that only a restart changes."""
-        fixed = live_part_only(self._in_force, settings)
+        fixed = restart_only_changes(self._in_force, settings)
         if self._parts.waiting is not None:  # the waiting room holds its classes from the start
             return (*fixed, "settings.lanes") if settings.classes != self._in_force.classes else fixed
-        step = retune(self._in_force, settings)
+        step = plan_settings_update(self._in_force, settings)
         if self._settling is not None:  # also where this file undoes the one before: its step must not come
             self._settling.cancel()
             self._settling = None
-        if step.after == self._in_force:
+        if step.final == self._in_force:
             return fixed
-        self._take_settings(step.meanwhile)
-        self._settling = asyncio.get_running_loop().call_later(SETTLE, self._take_settings, step.after)
-        names = ", ".join(c.name for c in step.after.classes)
-        log.info("settings read again: classes %s, %d fetches at most", names, step.after.max_attempts)
+        self._take_settings(step.transition)
+        self._settling = asyncio.get_running_loop().call_later(SETTLE, self._take_settings, step.final)
+        names = ", ".join(c.name for c in step.final.classes)
+        log.info("settings read again: classes %s, %d fetches at most", names, step.final.max_attempts)
         return fixed
 
     def _take_settings(self, settings: Settings) -> None:
@@ -353,7 +353,7 @@
             await self._acceptor.shut()
         if self._parts.gearman:
             self._parts.gearman.wind_down()
-        await self._sessions.close(max(self._longest, self._parts.scheduler.longest_left()) + 1.0)
+        await self._sessions.close(max(self._longest, self._parts.scheduler.max_time_left_s()) + 1.0)
         await self._further.close()
         await self._parts.close()
         log.info("last: %s", self._parts.summary())
--- a/oxbowyard/durable/ledger.py
+++ b/oxbowyard/durable/ledger.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import TypeVar
 
-from ..core.req import Ran, Req
+from ..core.request import Request, RunState
 from ..store.record import Ended, Kept, Lease, Moved, Stored, StoreFault, Taken
 from ..store.sqlite import Database
 from ..store.writer import LOST, Health, Writer
@@ -52,14 +52,14 @@
 
     def take(self, job: Job, order: Order) -> None:
         """A job is taken."""
-        req = order.cargo
-        assert isinstance(req, Req)
+        request = order.cargo
+        assert isinstance(request, Request)
         parents = json.dumps([[parent.id, parent.when.value] for parent in order.after]).encode()
         self._writer.put(
             Taken(
                 job.number, job.id, job.job_class, job.tenant, job.token, job.print, self._wall(),
-                order.patience / 1000, order.delay / 1000, job.quiet, job.lift, parents, pack(req),
-                req.payload,
+                order.patience / 1000, order.delay / 1000, job.quiet, job.lift, parents, pack(request),
+                request.payload,
             )
         )  # fmt: skip
 
@@ -119,17 +119,22 @@
             raise Rejected(Code.NOT_KEPT, str(fault), 1.0) from None
 
 
-def pack(req: Req) -> bytes:
-    """What of a req is needed besides its class and payload."""
-    fields = {"target": req.target, "key": req.key, "slots": req.slots, "extras": dict(req.extras)}
+def pack(request: Request) -> bytes:
+    """What of a request is needed besides its class and payload."""
+    fields = {
+        "target": request.target,
+        "key": request.key,
+        "slots": request.slots,
+        "extras": dict(request.extras),
+    }
     return json.dumps(fields).encode()
 
 
-def unpack(stored: Stored, deadline: float) -> Req:
-    """The req of a stored job; `deadline` in seconds is for running it."""
+def unpack(stored: Stored, deadline: float) -> Request:
+    """The request of a stored job; `deadline` in seconds is for running it."""
     fields, taken = json.loads(stored.taken.req), stored.taken
-    return Req(
-        id=taken.id, job_class=taken.job_class, patience=deadline, target=fields["target"],
+    return Request(
+        id=taken.id, job_class=taken.job_class, timeout_s=deadline, target=fields["target"],
         payload=taken.payload, key=fields["key"], tenant=taken.tenant or None, slots=fields["slots"],
         extras=fields["extras"], idempotency_key=taken.token,
     )  # fmt: skip
@@ -149,7 +154,7 @@
     )  # fmt: skip
     if end is None:
         if stored.kept in GRANTED:
-            job.state, job.ran, job.reason = State.DOUBT, Ran.OPEN, in_doubt(stored.lease)
+            job.state, job.ran, job.reason = State.DOUBT, RunState.MAY_BE_RUNNING, in_doubt(stored.lease)
         return Recalled(job, None, by_token)
-    job.state, job.end, job.ran, job.reason = State.ENDED, End(end.end), Ran(end.ran), end.reason
+    job.state, job.end, job.ran, job.reason = State.ENDED, End(end.end), RunState(end.ran), end.reason
     return Recalled(job, Final(job.end, job.ran, end.result, end.reason, end.retry_after, end.by), by_token)
--- a/oxbowyard/durable/recovery.py
+++ b/oxbowyard/durable/recovery.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
-from ..core.req import Ran
+from ..core.request import RunState
 from ..store.record import Ended, Kept, Lease, Stored
 from ..waiting.kin import met
 from ..waiting.order import End, Parent
@@ -46,7 +46,7 @@
         end = ended(parent.id)
         if end is True:
             after.append(parent)
-        elif end is False or not met(End(end.end), Ran(end.ran), parent.when):
+        elif end is False or not met(End(end.end), RunState(end.ran), parent.when):
             return Place(patience, delay, orphaned_by=parent.id)
     return Place(patience, delay, after=tuple(after))
 
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Protocol
 
-from ..core.req import Answer, Kind, Note, NoteKind, Ran, Req
+from ..core.request import Answer, AnswerKind, AttemptUpdate, Request, RunState, UpdateKind
 from ..core.scheduler import Scheduler
 from ..decision.interface import Repeat
 from ..waiting.order import HIGH as LIFT_HIGH
@@ -40,7 +40,7 @@
 MOST_EPOCH_DIGITS = 12  # of a Unix time: the year 33658 is far enough
 QUEUE_CODES = {Code.STOPPING: "SHUTTING_DOWN", Code.BAD_TIME: "INVALID_EPOCH", Code.TOO_LARGE: "TOO_LARGE"}
 SAME_AS_WORKLOAD = b"-"  # this unique id stands for the workload itself
-NOTE_TYPES = {NoteKind.DATA: Type.WORK_DATA, NoteKind.WARNING: Type.WORK_WARNING}
+UPDATE_TYPES = {UpdateKind.DATA: Type.WORK_DATA, UpdateKind.WARNING: Type.WORK_WARNING}
 
 
 def _key(unique: bytes) -> str | None:
@@ -139,22 +139,24 @@
         queues = self._room is not None and (function.queueing or not waits)
         self._check_room(function, len(workload), queues)
         job = self._make(function, unique, len(workload), background=not waits)
-        req = self._req(job, workload, priority)
+        request = self._request(job, workload, priority)
         if not queues:
-            job.task = asyncio.get_running_loop().create_task(self._serve(job, req))
+            job.task = asyncio.get_running_loop().create_task(self._serve(job, request))
             self._join(job, waiter, waits)
             return
         wait = Wait(function.patience, not_before=not_before, lift=LIFTS[priority], durable=not waits)
         assert self._room is not None
         if waits or not self._room.run:
-            self._queue(job, req, wait)
+            self._queue(job, request, wait)
             self._join(job, waiter, waits)
             return
         if unique and function.job_class.repeat is not Repeat.FREE:
             # What must not run twice is the same job for a client that did not hear of its first hand-in.
             wait = replace(wait, token=f"gearman:{function.name}:{_key(unique)}:{_key(workload)}")
         waiter.defer()
-        self._keeping.add(task := asyncio.get_running_loop().create_task(self._keep(job, req, wait, waiter)))
+        self._keeping.add(
+            task := asyncio.get_running_loop().create_task(self._keep(job, request, wait, waiter))
+        )
         task.add_done_callback(self._keeping.discard)
 
     def _join(self, job: Job, waiter: Waiter, waits: bool) -> None:
@@ -164,16 +166,16 @@
             job.waiters[waiter] = None
             self._by_waiter.setdefault(waiter, {})[job] = None
 
-    async def _keep(self, job: Job, req: Req, wait: Wait, waiter: Waiter) -> None:
+    async def _keep(self, job: Job, request: Request, wait: Wait, waiter: Waiter) -> None:
         """Take a job into the store; its client hears of it once it is there."""
         assert self._room is not None
         try:
-            recalled = await self._room.look_up([(req, wait)]) if wait.token else None
+            recalled = await self._room.look_up([(request, wait)]) if wait.token else None
             if recalled:
                 self._forget(job)
                 handle = recalled[0].job.id
             else:
-                handle = self._queue(job, req, wait)
+                handle = self._queue(job, request, wait)
                 await self._room.safe()
             waiter.send(encode(Type.JOB_CREATED, handle.encode()))
         except NotTaken as fault:
@@ -184,15 +186,15 @@
         finally:
             waiter.resume()
 
-    def adopt(self, req: Req) -> tuple[Req, Callable[[Final], None]] | None:
+    def adopt(self, request: Request) -> tuple[Request, Callable[[Final], None]] | None:
         """A job of an earlier run that is one of ours: it goes on under its old handle."""
-        function = self._config.functions.get(req.target)
-        if function is None or function.job_class.name != req.job_class:
+        function = self._config.functions.get(request.target)
+        if function is None or function.job_class.name != request.job_class:
             return None
-        unique = req.extras.get("unique", "").encode("latin-1")
-        job = self._enter(req.id.encode(), function, unique, len(req.payload), background=True)
-        priority = int(req.extras.get("priority", NORMAL))
-        return self._req(job, req.payload, priority), lambda final: self._ended(job, final)
+        unique = request.extras.get("unique", "").encode("latin-1")
+        job = self._enter(request.id.encode(), function, unique, len(request.payload), background=True)
+        priority = int(request.extras.get("priority", NORMAL))
+        return self._request(job, request.payload, priority), lambda final: self._ended(job, final)
 
     def _epoch(self, text: bytes) -> float:
         if self._room is None:
@@ -201,15 +203,15 @@
             raise Rejected("INVALID_EPOCH", "the time is not a whole number of seconds since 1970")
         return float(text)
 
-    def _queue(self, job: Job, req: Req, wait: Wait) -> str:
+    def _queue(self, job: Job, request: Request, wait: Wait) -> str:
         """Hand a job to the waiting room; returns the id under which it is known."""
         assert self._room is not None
         try:
-            (taken,) = self._room.hand_in([(req, wait)], lambda final: self._ended(job, final))
+            (taken,) = self._room.hand_in([(request, wait)], lambda final: self._ended(job, final))
         except NotTaken as fault:
             self._forget(job)
             raise Rejected(_code(fault), fault.text) from None
-        if taken.id != req.id:  # the same job as one that was handed in before
+        if taken.id != request.id:  # the same job as one that was handed in before
             self._forget(job)
         return taken.id
 
@@ -237,28 +239,28 @@
             self._by_unique[function.name, unique] = job
         return job
 
-    def _req(self, job: Job, workload: bytes, priority: int) -> Req:
-        return Req(
+    def _request(self, job: Job, workload: bytes, priority: int) -> Request:
+        return Request(
             id=job.handle.decode(),
             job_class=job.function.job_class.name,
-            patience=job.function.job_class.deadline / 1000,
+            timeout_s=job.function.job_class.deadline / 1000,
             target=job.function.name,
             payload=workload,
             key=_key(job.unique),
             extras={"unique": job.unique.decode("latin-1"), "priority": str(priority)},
             on_running=lambda running: self._running(job, running),
-            on_note=lambda note: self._note(job, note),
+            on_update=lambda update: self._update(job, update),
             client_connected=job.client_connected,
         )
 
-    async def _serve(self, job: Job, req: Req) -> None:
+    async def _serve(self, job: Job, request: Request) -> None:
         try:
-            answer = await self._scheduler.serve(req)
+            answer = await self._scheduler.serve(request)
         except asyncio.CancelledError:
             raise
         except Exception:  # whoever waits is told all the same
-            log.exception("job %s failed in our own code", req.id)
-            answer = Answer(Kind.FAILED, reason="internal fault")
+            log.exception("job %s failed in our own code", request.id)
+            answer = Answer(AnswerKind.FAILED, reason="internal fault")
         finally:
             self._forget(job)
         self._finish(job, answer)
@@ -266,12 +268,12 @@
     def _ended(self, job: Job, final: Final) -> None:
         """A job of the waiting room has its end."""
         self._forget(job)
-        if final.ran is Ran.NEVER and final.end not in (End.REFUSED, End.CANCELLED):
+        if final.ran is RunState.NEVER_RAN and final.end not in (End.REFUSED, End.CANCELLED):
             job.tell(encode(Type.WORK_WARNING, job.handle, f"never ran: {final.reason}".encode()))
         self._finish(job, final.answer())
 
     def _finish(self, job: Job, answer: Answer) -> None:
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             job.tell(encode(Type.WORK_COMPLETE, job.handle, answer.body))
             return
         if job.background:
@@ -282,8 +284,9 @@
                 answer.kind.value,
                 answer.reason,
             )
-        if answer.kind is Kind.REFUSED:  # the protocol has no packet for it: a warning says when to come back
-            text = f"refused retry-after={answer.retry_after:.3f}"
+        # The protocol has no packet for it: a warning says when to come back.
+        if answer.kind is AnswerKind.REJECTED:
+            text = f"refused retry-after={answer.retry_after_s:.3f}"
             job.tell(encode(Type.WORK_WARNING, job.handle, text.encode()))
         job.tell(encode(Type.WORK_FAIL, job.handle))
 
@@ -292,15 +295,15 @@
             self._run[job.function.name] += 1 if running else -1
         job.running = running
 
-    def _note(self, job: Job, note: Note) -> None:
-        if note.kind is NoteKind.STATUS:
-            job.done = f"{note.done:g}".encode(), f"{note.total:g}".encode()
+    def _update(self, job: Job, update: AttemptUpdate) -> None:
+        if update.kind is UpdateKind.STATUS:
+            job.done = f"{update.done:g}".encode(), f"{update.total:g}".encode()
             job.tell(encode(Type.WORK_STATUS, job.handle, *job.done))
-        elif note.kind is NoteKind.EXCEPTION:
+        elif update.kind is UpdateKind.EXCEPTION:
             for waiter in [w for w in job.waiters if w.exceptions]:
-                waiter.send(encode(Type.WORK_EXCEPTION, job.handle, note.body))
+                waiter.send(encode(Type.WORK_EXCEPTION, job.handle, update.body))
         else:
-            job.tell(encode(NOTE_TYPES[note.kind], job.handle, note.body))
+            job.tell(encode(UPDATE_TYPES[update.kind], job.handle, update.body))
 
     def _forget(self, job: Job) -> None:
         if self._by_handle.pop(job.handle, None) is None:  # a client that left has ended it before
--- a/oxbowyard/gearman/workers.py
+++ b/oxbowyard/gearman/workers.py
@@ -1,4 +1,4 @@
-"""The worker side: connected workers are backends, and hand-outs are fetches."""
+"""The worker side: connected workers are backends, and hand-outs are attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,14 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..core.req import Ending, FetchNotes, Note, NoteKind, Req, why_not_sent
+from ..core.request import (
+    AttemptContext,
+    AttemptOutcome,
+    AttemptUpdate,
+    Request,
+    UpdateKind,
+    reason_not_to_send,
+)
 from ..decision.facade import Readiness, Result, Scope, WorkerInfo
 from ..waiting.order import AGED
 from .config import KIND, GearmanConfig
@@ -19,10 +26,10 @@
 
 Learn = Callable[[Scope, tuple[WorkerInfo, ...], str], None]
 MOST_ABILITIES = 256  # of one worker; each is remembered, with its name
-NOTES = {
-    Type.WORK_DATA: NoteKind.DATA,
-    Type.WORK_WARNING: NoteKind.WARNING,
-    Type.WORK_EXCEPTION: NoteKind.EXCEPTION,
+UPDATES = {
+    Type.WORK_DATA: UpdateKind.DATA,
+    Type.WORK_WARNING: UpdateKind.WARNING,
+    Type.WORK_EXCEPTION: UpdateKind.EXCEPTION,
 }
 ENDS = {Type.WORK_COMPLETE: Result.OK, Type.WORK_FAIL: Result.ERROR, Type.WORK_EXCEPTION: Result.ERROR}
 
@@ -36,21 +43,21 @@
 
 @dataclass(slots=True, eq=False)
 class _HandOut:
-    """One fetch at a worker: picked for it, and later perhaps handed out."""
+    """One attempt at a worker: picked for it, and later perhaps handed out."""
 
     handle: bytes
-    req: Req
-    notes: FetchNotes
-    ending: asyncio.Future[Ending]
+    request: Request
+    context: AttemptContext
+    ending: asyncio.Future[AttemptOutcome]
     handed_out: bool = False
     alarm: asyncio.TimerHandle | None = None
 
     @property
     def order(self) -> int:
         """High priority first; the picked ones of one priority stay in their order."""
-        return int(self.req.extras.get("priority", "1"))
+        return int(self.request.extras.get("priority", "1"))
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: AttemptOutcome) -> None:
         """Say how it ended; the first word stands."""
         if self.alarm is not None:
             self.alarm.cancel()
@@ -109,12 +116,12 @@
         worker.abilities.clear()
         self._announce(worker)
         for job in worker.picked:
-            job.end(Ending(Result.UNREACHABLE, reason="worker left before it took the job"))
+            job.end(AttemptOutcome(Result.UNREACHABLE, reason="worker left before it took the job"))
         for job in worker.out.values():
             if job.handed_out:
-                job.end(Ending(Result.RESET, reason="worker lost with the job"))
+                job.end(AttemptOutcome(Result.RESET, reason="worker lost with the job"))
             else:
-                job.end(Ending(Result.UNREACHABLE, reason="worker left before the job was sent"))
+                job.end(AttemptOutcome(Result.UNREACHABLE, reason="worker left before the job was sent"))
 
     def can_do(self, worker: Worker, function: bytes, limit: float = 0.0) -> None:
         """The worker announces a function; one that the file does not name is never picked for it."""
@@ -135,9 +142,9 @@
 
     def _give_back(self, worker: Worker, reason: str) -> None:
         """What it was picked for and will not take goes elsewhere; it was never handed out."""
-        for job in [j for j in worker.picked if worker.stuck or j.req.target not in worker.abilities]:
+        for job in [j for j in worker.picked if worker.stuck or j.request.target not in worker.abilities]:
             worker.picked.remove(job)
-            job.end(Ending(Result.FULL, reason=reason))
+            job.end(AttemptOutcome(Result.FULL, reason=reason))
 
     def _announce(self, worker: Worker) -> None:
         functions = self._config.functions
@@ -154,14 +161,15 @@
 
     # ---- Fetches ----
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         """Pick a job for a worker and wait until it ends there."""
         worker = self.connected.get(backend)
-        if worker is None or req.target not in worker.abilities:
-            return Ending(Result.NOT_SENT, reason="worker is gone or can't do it any more")
-        lease = f".{req.lease}" if req.lease else ""
-        handle = f"{req.id}.{next(self._handles)}{lease}".encode()  # its own: an old hand-out may still end
-        job = _HandOut(handle, req, notes, asyncio.get_running_loop().create_future())
+        if worker is None or request.target not in worker.abilities:
+            return AttemptOutcome(Result.NOT_SENT, reason="worker is gone or can't do it any more")
+        lease = f".{request.lease}" if request.lease else ""
+        # A handle of its own: an old hand-out may still end.
+        handle = f"{request.id}.{next(self._handles)}{lease}".encode()
+        job = _HandOut(handle, request, context, asyncio.get_running_loop().create_future())
         worker.picked.append(job)
         self._wake(worker)
         try:
@@ -196,10 +204,10 @@
             return
         worker.picked.remove(job)
         worker.out[job.handle] = job
-        if job.req.grant is None:
+        if job.request.record_lease is None:
             self._assign(worker, type_, job)
         else:  # what must not run twice is on record before it is sent
-            job.req.grant(worker.name, lambda: self._assign(worker, type_, job))
+            job.request.record_lease(worker.name, lambda: self._assign(worker, type_, job))
 
     def _assign(self, worker: Worker, type_: Type, job: _HandOut) -> None:
         _end_barred(job)
@@ -209,13 +217,15 @@
             if worker.name in self.connected:
                 self._announce(worker)
             return
-        job.handed_out = job.notes.written = True
+        job.handed_out = job.context.written = True
         worker.line.send(_assign(type_, job))
-        limit = worker.abilities.get(job.req.target, 0.0)
+        limit = worker.abilities.get(job.request.target, 0.0)
         if limit > 0:
             loop = asyncio.get_running_loop()
-            job.alarm = loop.call_later(limit, job.end, Ending(Result.ERROR, reason="worker's own limit"))
-        job.notes.on_began()
+            job.alarm = loop.call_later(
+                limit, job.end, AttemptOutcome(Result.ERROR, reason="worker's own limit")
+            )
+        job.context.on_started()
 
     def work(self, worker: Worker, type_: Type, arguments: list[bytes]) -> bool:
         """News of a job from its worker; False if this worker does not have that job, or not any more."""
@@ -224,32 +234,32 @@
             return False
         if type_ is Type.WORK_STATUS:
             done, total = (_figure(a) for a in arguments[1:])
-            job.notes.on_note(Note(NoteKind.STATUS, done=done, total=total))
-        elif type_ in NOTES and not job.ending.done():
-            job.notes.on_note(Note(NOTES[type_], arguments[1]))
+            job.context.on_update(AttemptUpdate(UpdateKind.STATUS, done=done, total=total))
+        elif type_ in UPDATES and not job.ending.done():
+            job.context.on_update(AttemptUpdate(UPDATES[type_], arguments[1]))
         late = job.ending.done()
         if type_ in ENDS:
             del worker.out[job.handle]
             body = arguments[1] if type_ is Type.WORK_COMPLETE else b""
             if late:  # an end after the end: now it may have the next one
                 self._announce(worker)
-            job.end(Ending(ENDS[type_], body, worker.load(), type_.name.lower()))
+            job.end(AttemptOutcome(ENDS[type_], body, worker.load(), type_.name.lower()))
         return not (late and type_ in ENDS)
 
 
 def _end_barred(job: _HandOut) -> None:
     """Nobody waits for it any more, though the loop may not have read that yet, or its time is over."""
-    if not job.ending.done() and (why := why_not_sent(job.req, job.notes)):
-        job.end(Ending(Result.NOT_SENT, reason=why))
+    if not job.ending.done() and (why := reason_not_to_send(job.request, job.context)):
+        job.end(AttemptOutcome(Result.NOT_SENT, reason=why))
 
 
 def _assign(type_: Type, job: _HandOut) -> bytes:
-    function, unique = job.req.target.encode(), job.req.extras.get("unique", "").encode("latin-1")
+    function, unique = job.request.target.encode(), job.request.extras.get("unique", "").encode("latin-1")
     if type_ is Type.GRAB_JOB_UNIQ:
-        return encode(Type.JOB_ASSIGN_UNIQ, job.handle, function, unique, job.req.payload)
+        return encode(Type.JOB_ASSIGN_UNIQ, job.handle, function, unique, job.request.payload)
     if type_ is Type.GRAB_JOB_ALL:  # the empty argument names a reducer, which no job here has
-        return encode(Type.JOB_ASSIGN_ALL, job.handle, function, unique, b"", job.req.payload)
-    return encode(Type.JOB_ASSIGN, job.handle, function, job.req.payload)
+        return encode(Type.JOB_ASSIGN_ALL, job.handle, function, unique, b"", job.request.payload)
+    return encode(Type.JOB_ASSIGN, job.handle, function, job.request.payload)
 
 
 def _figure(text: bytes) -> float:
--- a/oxbowyard/waiting/kin.py
+++ b/oxbowyard/waiting/kin.py
@@ -7,16 +7,16 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from ..core.req import Ran
+from ..core.request import RunState
 from .order import Code, End, Job, Order, Parent, Rejected, State, When
 from .settings import WaitingSettings
 
 Find = Callable[[str], Job | None]
 
 
-def met(end: End, ran: Ran, when: When) -> bool:
+def met(end: End, ran: RunState, when: When) -> bool:
     """Whether a parent's end is what the child waits for. One that may still run is neither."""
-    return end is End.SERVED or (when is When.ENDED and ran is not Ran.OPEN)
+    return end is End.SERVED or (when is When.ENDED and ran is not RunState.MAY_BE_RUNNING)
 
 
 def in_turn(orders: Sequence[Order], find: Find, settings: WaitingSettings) -> list[tuple[Order, int]]:
--- a/oxbowyard/waiting/order.py
+++ b/oxbowyard/waiting/order.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ..core.req import Answer, Kind, Ran
+from ..core.request import Answer, AnswerKind, RunState
 
 AGED = "~aged"  # the class that an aged job is asked in: its own, with the patience to queue at a worker
 HIGH, LOW = 1.0, 0.0  # lifts of a job whose client names its priority; else its class's worth for work
@@ -139,7 +139,7 @@
     timer: float = -1.0  # what the timers hold for it; -1: nothing
     asks: int = 0
     end: End | None = None
-    ran: Ran = Ran.NEVER
+    ran: RunState = RunState.NEVER_RAN
     reason: str = ""
 
     @property
@@ -170,7 +170,12 @@
 Action = Changed | Release
 
 
-KINDS = {End.SERVED: Kind.SERVED, End.FAILED: Kind.FAILED, End.CANCELLED: Kind.LEFT}  # others: refused
+# Any other end is a rejection.
+KINDS = {
+    End.SERVED: AnswerKind.SERVED,
+    End.FAILED: AnswerKind.FAILED,
+    End.CANCELLED: AnswerKind.CLIENT_DISCONNECTED,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -194,7 +199,7 @@
     """How a job ended."""
 
     end: End
-    ran: Ran
+    ran: RunState
     body: bytes = b""
     reason: str = ""
     retry_after: float = 0.0  # seconds; 0: no advice
@@ -202,5 +207,5 @@
 
     def answer(self) -> Answer:
         """The same as the core words it."""
-        kind = KINDS.get(self.end, Kind.REFUSED)
+        kind = KINDS.get(self.end, AnswerKind.REJECTED)
         return Answer(kind, self.body, self.retry_after, self.reason, self.ran)
--- a/oxbowyard/waiting/policy.py
+++ b/oxbowyard/waiting/policy.py
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedList
 
-from ..core.req import Ran
+from ..core.request import RunState
 from .kin import in_turn, met
 from .lines import Entry, Lift, Lines, due
 from .order import AGED, Action, Changed, Code, End, Job, Order, Rejected, Release, State, When
@@ -352,7 +352,7 @@
             self._set_timer(job, min(now + wait, job.expiry))
         self._work_on(now, FEW)
 
-    def ended(self, now: float, job: Job, end: End, ran: Ran, reason: str = "", size: int = 0) -> None:
+    def ended(self, now: float, job: Job, end: End, ran: RunState, reason: str = "", size: int = 0) -> None:
         """A released job has its answer; `size` are the bytes of its result."""
         window = self.pace.window(job.job_class)
         if end is End.SERVED and job.state is State.ASKED:  # its start was not told
@@ -368,10 +368,10 @@
         self._work_on(now, FEW)
 
     def _to_doubt(self, job: Job, reason: str) -> None:
-        job.ran, job.reason = Ran.OPEN, reason
+        job.ran, job.reason = RunState.MAY_BE_RUNNING, reason
         self._to(job, State.DOUBT)
 
-    def resolve(self, now: float, job: Job, end: End, ran: Ran, reason: str, size: int = 0) -> bool:
+    def resolve(self, now: float, job: Job, end: End, ran: RunState, reason: str, size: int = 0) -> bool:
         """Proof of how a job in doubt ended; False if it is in doubt no more."""
         if job.state is not State.DOUBT:
             return False
@@ -383,7 +383,7 @@
         """Proof that a job in doubt never began: it goes on within the patience that is left to it."""
         if job.state is not State.DOUBT:
             return False
-        job.ran, job.reason = Ran.NEVER, ""
+        job.ran, job.reason = RunState.NEVER_RAN, ""
         if self._stopping or job.expiry <= now:
             self._end(job, now, End.EXPIRED, "it never ran, and its patience for waiting is over")
         else:
@@ -391,7 +391,9 @@
         self._work_on(now, FEW)
         return True
 
-    def _end(self, job: Job, now: float, end: End, reason: str, ran: Ran = Ran.NEVER, size: int = 0) -> None:
+    def _end(
+        self, job: Job, now: float, end: End, reason: str, ran: RunState = RunState.NEVER_RAN, size: int = 0
+    ) -> None:
         self._withdraw(job)
         job.end, job.ran, job.reason, job.cargo = end, ran, reason, None
         held = self.held
@@ -429,7 +431,7 @@
     def _told(self, child: Job, parent: Job, is_met: bool, now: float) -> None:
         assert parent.end is not None
         if not is_met:
-            doubt = ", it may still run" if parent.ran is Ran.OPEN else ""
+            doubt = ", it may still run" if parent.ran is RunState.MAY_BE_RUNNING else ""
             self._end(child, now, End.ORPHANED, f"{parent.id} ended: {parent.end.value}{doubt}")
             return
         child.missing -= 1
--- a/oxbowyard/waiting/room.py
+++ b/oxbowyard/waiting/room.py
@@ -1,7 +1,7 @@
 """Owns every waiting job from taken to its one end: carries out what the policy decides.
 
-All calls come from the loop's own thread. A job's payload travels as a `Req`, the cargo of its order; when
-the policy releases it, that req goes to the core like any other.
+All calls come from the loop's own thread. A job's payload travels as a `Request`, the cargo of its order;
+when the policy releases it, that request goes to the core like any other.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from msgspec import structs
 
-from ..core.req import Answer, Kind, Note, Ran, Req
+from ..core.request import Answer, AnswerKind, AttemptUpdate, Request, RunState
 from ..core.scheduler import Scheduler
 from ..decision.interface import JobClass, Repeat
 from .ledger import Leases, Ledger, Memory, Recalled
@@ -33,17 +33,22 @@
 # An aged job's aim in deadlines. By the decisions' settings a class that earns little for its work may wait
 # for a sixth of its aim: so only a wait past its deadline may be refused to it.
 PATIENT = 6.0
-ENDS = {Kind.SERVED: End.SERVED, Kind.REFUSED: End.REFUSED, Kind.FAILED: End.FAILED, Kind.LEFT: End.CANCELLED}
+ENDS = {
+    AnswerKind.SERVED: End.SERVED,
+    AnswerKind.REJECTED: End.REFUSED,
+    AnswerKind.FAILED: End.FAILED,
+    AnswerKind.CLIENT_DISCONNECTED: End.CANCELLED,
+}
 
 
 @dataclass(slots=True)
 class _Asked:
     """A job that is with the core."""
 
-    id: str  # of the req
+    id: str  # of the request
     task: asyncio.Task[Answer] | None = None  # none yet: its release waits for the ledger
     at: float = 0.0
-    cut: Ran | None = None  # called off, when so much was known of its run
+    cut: RunState | None = None  # called off, when so much was known of its run
     lapsed: bool = False  # because its worker was silent
 
 
@@ -54,7 +59,7 @@
     until: float
     workers: int
     slots: float
-    shares: tuple[str, ...]  # the classes whose reqs take the same slots
+    shares: tuple[str, ...]  # the classes whose requests take the same slots
 
 
 @dataclass(slots=True)
@@ -99,7 +104,7 @@
         self._said_by: dict[str, str] = {}  # who resolved a job that is about to end
         self._once = frozenset(c.name for c in classes if c.repeat is Repeat.SINGLE_SHOT or c.repeat is
                                Repeat.GUARDED and c.group != "all")  # fmt: skip
-        self.adopters: list[Callable[[Req], tuple[Req, Callable[[Final], None]] | None]] = []
+        self.adopters: list[Callable[[Request], tuple[Request, Callable[[Final], None]] | None]] = []
         self.recovering = False  # jobs of an earlier run are still read back
         self._on_end: dict[str, Callable[[Final], None]] = {}
         self._watchers: dict[str, list[asyncio.Future[Final | None]]] = {}
@@ -135,14 +140,14 @@
         return id_.startswith(tuple(self.reserved))
 
     def hand_in(
-        self, jobs: Sequence[tuple[Req, Wait]], on_end: Callable[[Final], None] | None = None
+        self, jobs: Sequence[tuple[Request, Wait]], on_end: Callable[[Final], None] | None = None
     ) -> list[Job]:
         """Take all or none; raises Rejected. `on_end` is called once for each, not for repeated hand-ins.
 
-        A req's id, class, target, payload, key and the like are its own; its patience is for running, its
+        A request's id, class, target, payload, key and the like are its own; its patience is for running, its
         class's deadline at most. Acknowledge after `safe`.
         """
-        orders = [self._order(req, wait) for req, wait in jobs]
+        orders = [self._order(request, wait) for request, wait in jobs]
         now, last = self._clock(), self._policy.last_number
         try:
             self._check_ledger(orders)
@@ -170,15 +175,17 @@
                 if parent not in own and self._policy.find(parent) is None:
                     raise Rejected(Code.RECOVERING, f"{parent} is not known, or not yet", wait)
 
-    async def look_up(self, jobs: Sequence[tuple[Req, Wait]]) -> list[Recalled] | None:
+    async def look_up(self, jobs: Sequence[tuple[Request, Wait]]) -> list[Recalled] | None:
         """What a store knows of a hand-in that memory does not: all, by its keys; None: it is new.
 
         Raises Rejected for an id that is there, or a key with another content. Call it before `hand_in`.
         """
         own = self._ids + "."
-        if not self._ledger.keeps or not any(wait.token or not req.id.startswith(own) for req, wait in jobs):
+        if not self._ledger.keeps or not any(
+            wait.token or not request.id.startswith(own) for request, wait in jobs
+        ):
             return None  # ids of this run are new
-        orders = [self._order(req, wait) for req, wait in jobs]
+        orders = [self._order(request, wait) for request, wait in jobs]
         found = await self._ledger.known(orders)
         recalled = []
         for order, known in zip(orders, found, strict=True):
@@ -222,20 +229,22 @@
             if not recorded.done():
                 recorded.set_exception(Rejected(Code.NOT_KEPT, fault, self.settings.full_retry_after_s))
 
-    async def serve(self, req: Req, wait: Wait) -> Answer:
+    async def serve(self, request: Request, wait: Wait) -> Answer:
         """Hand in one job and wait for its answer; cancelled, it ends the job. Raises Rejected.
 
-        A refusal tells that the job never ran, or may safely run again; see `Answer.ran`.
+        A refusal tells that the job never ran, or may safely run again; see `Answer.run_state`.
         """
-        (job,) = self.hand_in([(req, wait)])
+        (job,) = self.hand_in([(request, wait)])
         try:
             final = self._finals.get(job.id) or await self._watch(job.id)
         except asyncio.CancelledError:
-            if job.id == req.id:  # else it was handed in before, and is another's
+            if job.id == request.id:  # else it was handed in before, and is another's
                 self.cancel(job.id, "its client left")
             raise
         if final is None:
-            return Answer(Kind.REFUSED, retry_after=self.settings.full_retry_after_s, reason="kept for later")
+            return Answer(
+                AnswerKind.REJECTED, retry_after_s=self.settings.full_retry_after_s, reason="kept for later"
+            )
         return final.answer()
 
     def find(self, id_: str) -> Job | None:
@@ -298,7 +307,7 @@
             self._policy.cancel(now, id_, reason)
             self._drive(now)
         elif (asked := self._asked.setdefault(id_, _Asked(id_))).cut is None:
-            asked.cut = self._scheduler.ran(asked.id)
+            asked.cut = self._scheduler.run_state(asked.id)
             if asked.task is not None:
                 asked.task.cancel()
         return job
@@ -312,7 +321,9 @@
         """
         if not by or end not in (None, End.SERVED, End.FAILED):
             raise ValueError("a word on a job in doubt has a name, and is served, failed or never began")
-        return self._prove(id_, by, end, Ran.YES if end is End.SERVED else Ran.MAYBE, body, reason)
+        return self._prove(
+            id_, by, end, RunState.HAS_RUN if end is End.SERVED else RunState.MAY_HAVE_RUN, body, reason
+        )
 
     def deliver(self, id_: str, lease: str, end: End | None, body: bytes = b"", reason: str = "") -> bool:
         """A worker's late word, by the lease it had: how the job ended, or None if it never began it.
@@ -321,9 +332,11 @@
         """
         if not lease or not secrets.compare_digest(self._leases.get(id_, "").encode(), lease.encode()):
             return False
-        return self._prove(id_, "", end, Ran.YES if end is End.SERVED else Ran.MAYBE, body, reason)
+        return self._prove(
+            id_, "", end, RunState.HAS_RUN if end is End.SERVED else RunState.MAY_HAVE_RUN, body, reason
+        )
 
-    def _prove(self, id_: str, by: str, end: End | None, ran: Ran, body: bytes, reason: str) -> bool:
+    def _prove(self, id_: str, by: str, end: End | None, ran: RunState, body: bytes, reason: str) -> bool:
         job, now = self._policy.find(id_), self._clock()
         if job is None or job.state is not State.DOUBT:
             return False
@@ -364,10 +377,10 @@
     def _adopted(self, order: Order) -> Order:
         """The front that a job came by may want to know of it again."""
         for adopt in self.adopters:
-            assert isinstance(order.cargo, Req)
+            assert isinstance(order.cargo, Request)
             if (found := adopt(order.cargo)) is not None:
-                req, self._on_end[order.id] = found
-                return replace(order, cargo=req)
+                request, self._on_end[order.id] = found
+                return replace(order, cargo=request)
         return order
 
     # ---- Stopping ----
@@ -393,15 +406,16 @@
 
     # ---- What the policy wants ----
 
-    def _order(self, req: Req, wait: Wait) -> Order:
+    def _order(self, request: Request, wait: Wait) -> Order:
         patience = self.settings.default_patience_s if wait.patience is None else wait.patience
         delay = wait.delay
         if wait.not_before is not None:
             # By the system's clock as it is now; what that clock does later moves no job.
             delay = max(delay, wait.not_before - self._wall())
         return Order(
-            req.id, req.job_class, patience * 1000, len(req.payload), wait.after, delay * 1000, wait.quiet,
-            wait.lift, wait.tenant, wait.token, wait.print, wait.durable and self._ledger.keeps, req,
+            request.id, request.job_class, patience * 1000, len(request.payload), wait.after, delay * 1000,
+            wait.quiet, wait.lift, wait.tenant, wait.token, wait.print, wait.durable and self._ledger.keeps,
+            request,
         )  # fmt: skip
 
     def _drive(self, now: float) -> None:
@@ -467,7 +481,7 @@
         if now - self._weighed_at >= WEIGH_EVERY_MS:
             self._weighed_at = now
             for name in self._classes:
-                self._policy.lift.learn(name, self._scheduler.measure.mean_run(name))
+                self._policy.lift.learn(name, self._scheduler.measure.mean_run_s(name))
         self._policy.tick(now)
         self._drive(now)
 
@@ -476,8 +490,8 @@
         known = self._capacity.get(job_class)
         if known is None or now >= known.until:
             known = self._capacity[job_class] = self._look(job_class, now)
-        since = self._scheduler.since_refusal() * 1000
-        return Room(known.workers, known.slots, self._scheduler.open_of(known.shares), since)
+        since = self._scheduler.seconds_since_rejection() * 1000
+        return Room(known.workers, known.slots, self._scheduler.open_request_count_of(known.shares), since)
 
     def _look(self, job_class: str, now: float) -> _Known:
         capacity = self._scheduler.capacity(job_class)
@@ -492,8 +506,8 @@
     # ---- Asked ----
 
     def _ask(self, job: Job, job_class: str) -> None:
-        asked, req = self._asked[job.id], job.cargo
-        assert isinstance(req, Req)
+        asked, request = self._asked[job.id], job.cargo
+        assert isinstance(request, Request)
         if self._stopping and job.durable and asked.cut is None:  # the next run of the program asks it
             del self._asked[job.id]
             self._drive(self._clock())
@@ -502,23 +516,23 @@
         self.counts.released += 1
         self.counts.asked_again += job.asks > 1
         own = self._classes[job.job_class]
-        if job.asks > 1:  # a new req, as from a client that comes back: it surely never ran
+        if job.asks > 1:  # a new request, as from a client that comes back: it surely never ran
             asked.id = f"{job.id}~{self._ledger.run}{job.asks}"
         once = job.durable and job.job_class in self._once
         lease = secrets.token_hex(LEASE_BYTES) if once else ""
-        req = replace(
-            req,
+        request = replace(
+            request,
             id=asked.id,
             job_class=job_class,
             backend_class=job.job_class if job_class != job.job_class else "",
-            patience=min(req.patience, own.deadline / 1000),
+            timeout_s=min(request.timeout_s, own.deadline / 1000),
             is_retry=job.asks > 1,
             lease=lease,
-            grant=partial(self._grant, job, lease) if once else None,
-            on_running=partial(self._running, job, req.on_running),
-            on_note=partial(self._noted, job, req.on_note),
+            record_lease=partial(self._grant, job, lease) if once else None,
+            on_running=partial(self._running, job, request.on_running),
+            on_update=partial(self._noted, job, request.on_update),
         )
-        asked.task = self._loop.create_task(self._scheduler.serve(req))
+        asked.task = self._loop.create_task(self._scheduler.serve(request))
         asked.task.add_done_callback(partial(self._answered, job))
         if asked.cut is not None:  # called off while the ledger was written
             asked.task.cancel()
@@ -541,7 +555,7 @@
             self._policy.began(now, job, now - asked.at)
             self._drive(now)
 
-    def _noted(self, job: Job, tell: Callable[[Note], None] | None, note: Note) -> None:
+    def _noted(self, job: Job, tell: Callable[[AttemptUpdate], None] | None, note: AttemptUpdate) -> None:
         if (leases := self._ledger.leases) is not None:
             leases.heard(self._clock(), job.id)
         if tell is not None:
@@ -563,13 +577,13 @@
             asked = self._asked.get(id_)
             if asked is not None and asked.cut is None and asked.task is not None:
                 log.warning("job %s: nothing was heard of its worker, its lease is over", id_)
-                asked.cut, asked.lapsed = self._scheduler.ran(asked.id), True
+                asked.cut, asked.lapsed = self._scheduler.run_state(asked.id), True
                 asked.task.cancel()
         self._watch_leases(leases)
 
-    def _lapsed(self, job: Job, ran: Ran, now: float) -> None:
+    def _lapsed(self, job: Job, ran: RunState, now: float) -> None:
         """A silent worker was given up: what may not run twice is in doubt, all else is asked again."""
-        if ran is not Ran.NEVER and job.job_class in self._once:
+        if ran is not RunState.NEVER_RAN and job.job_class in self._once:
             self._doubt(job, "its worker was silent for longer than its lease", now)
         else:
             self._policy.refused(now, job, 0.0, may_again=True)
@@ -579,31 +593,31 @@
         if self._ledger.leases is not None:
             self._ledger.leases.end(job.id)
         if task.cancelled() and asked.lapsed:
-            self._lapsed(job, asked.cut or Ran.OPEN, now)
+            self._lapsed(job, asked.cut or RunState.MAY_BE_RUNNING, now)
         elif task.cancelled():
-            ran = asked.cut if asked.cut is not None else Ran.OPEN
+            ran = asked.cut if asked.cut is not None else RunState.MAY_BE_RUNNING
             self._policy.ended(now, job, End.CANCELLED, ran, "called off by its client")
         elif fault := task.exception():
             log.error("job %s failed in our own code: %r", job.id, fault, exc_info=fault)
-            self._policy.ended(now, job, End.FAILED, Ran.OPEN, "internal fault")
+            self._policy.ended(now, job, End.FAILED, RunState.MAY_BE_RUNNING, "internal fault")
         else:
             self._take(job, task.result(), now)
         self._drive(now)
 
     def _take(self, job: Job, answer: Answer, now: float) -> None:
-        if answer.kind is Kind.REFUSED and answer.ran is Ran.NEVER:
+        if answer.kind is AnswerKind.REJECTED and answer.run_state is RunState.NEVER_RAN:
             again = self.settings.of(job.job_class).queueing
-            self._results[job.id] = b"", answer.retry_after  # for the case that this was its end
-            self._policy.refused(now, job, answer.retry_after * 1000, again)
+            self._results[job.id] = b"", answer.retry_after_s  # for the case that this was its end
+            self._policy.refused(now, job, answer.retry_after_s * 1000, again)
             if job.end is None:
                 del self._results[job.id]
             return
         once = job.durable and job.job_class in self._once
-        if once and answer.ran is Ran.OPEN and answer.kind is Kind.FAILED:
+        if once and answer.run_state is RunState.MAY_BE_RUNNING and answer.kind is AnswerKind.FAILED:
             self._doubt(job, answer.reason, now)
             return
-        self._results[job.id] = answer.body, answer.retry_after
-        self._policy.ended(now, job, ENDS[answer.kind], answer.ran, answer.reason, len(answer.body))
+        self._results[job.id] = answer.body, answer.retry_after_s
+        self._policy.ended(now, job, ENDS[answer.kind], answer.run_state, answer.reason, len(answer.body))
 
     def _final(self, job: Job) -> Final:
         assert job.end is not None
@@ -664,7 +678,7 @@
     return named + tuple(replace(c, name=c.name + AGED, aim=max(c.aim, times * c.deadline)) for c in queueing)
 
 
-def bounded(settings: WaitingSettings, reqs: int) -> WaitingSettings:
-    """The settings with a window that leaves half of the reqs that may be open to clients who do not wait."""
-    most = max(min(settings.max_window, reqs // 2), 1)
+def bounded(settings: WaitingSettings, requests: int) -> WaitingSettings:
+    """The settings with a window that leaves half of the open requests to clients who do not wait."""
+    most = max(min(settings.max_window, requests // 2), 1)
     return structs.replace(settings, max_window=most, first_window=min(settings.first_window, most))
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -156,7 +156,7 @@
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
         rows = [{"uid": name, **row} for name in names]
         change = parse_list({"rev": 1, "all": True, "targets": rows})
-        self.scheduler.learn(*self.parts.registry.apply(change))
+        self.scheduler.update_endpoints(*self.parts.registry.apply(change))
 
     def client(self, front: str = "http") -> socket.socket:
         """A new connection; the system takes it, the loop has not seen it yet."""
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oxbowyard.backends.http import HttpBackends
-from oxbowyard.core.req import Ending, FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.decision.facade import Result
 from oxbowyard.discovery.registry import DRAIN_MARGIN_MS, Registry, parse_list
 
@@ -27,7 +27,7 @@
         got.append(await reader.read())
         writer.close()
 
-    async def play() -> Ending:
+    async def play() -> AttemptOutcome:
         server = await asyncio.start_server(taken, "127.0.0.1", 0)
         registry = Registry(lambda: clock[0], 1000.0)
         backends = HttpBackends(registry, {}, 250.0)
@@ -41,9 +41,9 @@
             return found
 
         registry.address = address  # type: ignore[method-assign]
-        notes = FetchNotes(1.0, lambda: None)
-        ending = await backends.fetch("w", Req("r", "preview", 1.0, "/preview", b"body"), notes)
-        assert not notes.written
+        context = AttemptContext(1.0, lambda: None)
+        ending = await backends.attempt("w", Request("r", "preview", 1.0, "/preview", b"body"), context)
+        assert not context.written
         await backends.close()
         server.close()
         await server.wait_closed()
@@ -79,13 +79,13 @@
         await reader.readexactly(5 if whole else 4)
         writer.transport.abort()
 
-    async def play() -> Ending:
+    async def play() -> AttemptOutcome:
         server = await asyncio.start_server(taken, "127.0.0.1", 0)
         registry = Registry(lambda: 0.0, 1000.0)
         listed(registry, server.sockets[0].getsockname()[1], "ready")
         backends = HttpBackends(registry, {}, 250.0, {"accession"})
-        req = Req("r", job_class, 1.0, "/x", b"sheet")
-        ending = await backends.fetch("w", req, FetchNotes(1.0, lambda: None))
+        request = Request("r", job_class, 1.0, "/x", b"sheet")
+        ending = await backends.attempt("w", request, AttemptContext(1.0, lambda: None))
         await backends.close()
         server.close()
         return ending
@@ -111,8 +111,10 @@
         listed(registry, server.sockets[0].getsockname()[1], "ready")
         backends = HttpBackends(registry, {}, 250.0)
         for _ in range(3):
-            notes = FetchNotes(1.0, lambda: None)
-            assert (await backends.fetch("w", Req("r", "preview", 1.0, "/x"), notes)).result is Result.OK
+            context = AttemptContext(1.0, lambda: None)
+            assert (
+                await backends.attempt("w", Request("r", "preview", 1.0, "/x"), context)
+            ).result is Result.OK
         await backends.close()
         server.close()
 
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -14,7 +14,7 @@
 import pytest
 from stage import SETTINGS, HeldLoop, Stage, ask, leave, turns
 
-from oxbowyard.core.req import FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, Request
 from oxbowyard.decision.facade import Result
 from oxbowyard.gearman.packet import REQ, Type, encode
 from oxbowyard.waiting.settings import WaitingSettings
@@ -66,7 +66,7 @@
     await turns()
     await asyncio.sleep(GONE_WITHIN_S - HELD_UP_S)
     await turns()
-    assert stage.scheduler.open_count == 0, "it is still held"
+    assert stage.scheduler.open_request_count == 0, "it is still held"
     sent = stage.worker.bytes_got
     await asyncio.sleep(3.0)
     await turns()
@@ -81,7 +81,7 @@
     async def scene(stage: Stage) -> None:
         await stage.begin(listed=False)
         _, left = await _asked(stage, job_class, ahead)
-        assert stage.scheduler.open_count == 1
+        assert stage.scheduler.open_request_count == 1
         left(manner)
         stage.list()
         await _nothing_runs(stage)
@@ -257,19 +257,19 @@
     async def scene(stage: Stage) -> None:
         await stage.begin()
         there, granted = [True], []
-        notes = FetchNotes(5.0, lambda: None)
-        req = Req(
+        context = AttemptContext(5.0, lambda: None)
+        request = Request(
             "a1", "accession", 5.0, "/accession", b"hello",
-            grant=lambda backend, then: granted.append(then), client_connected=lambda: there[0],
+            record_lease=lambda backend, then: granted.append(then), client_connected=lambda: there[0],
         )  # fmt: skip
-        fetch = asyncio.create_task(stage.parts.backends.fetch("w1", req, notes))
+        attempt = asyncio.create_task(stage.parts.backends.attempt("w1", request, context))
         while not granted:
             await asyncio.sleep(0.001)
         there[0] = stays
         granted[0]()
-        ending = await fetch
+        ending = await attempt
         assert ending.result is (Result.OK if stays else Result.NOT_SENT)
-        assert stage.worker.ran == stays and notes.written is stays
+        assert stage.worker.ran == stays and context.written is stays
 
     play(tmp_path, scene)
 
@@ -315,7 +315,7 @@
         leave(client, manner)
         assert await stage.read(worker) == encode(Type.NO_JOB)
         await asyncio.sleep(1.0)
-        assert stage.scheduler.open_count == 0
+        assert stage.scheduler.open_request_count == 0
 
     play(tmp_path, scene, room)
 
@@ -341,7 +341,7 @@
             worker.sendall(_packet(Type.GRAB_JOB))
             got += await stage.read(worker)
         assert got == encode(Type.NO_JOB) * 21
-        assert stage.scheduler.open_count == 0
+        assert stage.scheduler.open_request_count == 0
 
     play(tmp_path, scene, WaitingSettings())
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without any wire: every req gets its one answer, whatever fails around it."""
+"""The core without any wire: every request gets its one answer, whatever fails around it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import pytest
 
 from oxbowyard.core.clock import steady_unix_ms
-from oxbowyard.core.measure import ServiceMeasure
-from oxbowyard.core.req import Answer, Ending, FetchNotes, Kind, Req
+from oxbowyard.core.request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
+from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat, Settings
 
@@ -19,96 +19,96 @@
 ONCE = JobClass("once", aim=1000, deadline=5000, worth=8)
 SETTINGS = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, tells_start=True)
 
-Fetch = Callable[[str, Req, FetchNotes], Awaitable[Ending]]
+Attempt = Callable[[str, Request, AttemptContext], Awaitable[AttemptOutcome]]
 
 
 class Stage:
     """A scheduler over a transport that is one function."""
 
-    def __init__(self, fetch: Fetch, workers: int = 2, limits: Limits | None = None) -> None:
+    def __init__(self, attempt: Attempt, workers: int = 2, limits: Limits | None = None) -> None:
         clock = steady_unix_ms()
         self.facade = Facade(SETTINGS, 1, clock)
         self.measure = ServiceMeasure(SETTINGS.classes)
-        self.fetches: list[tuple[str, str]] = []
-        self._fetch = fetch
+        self.attempts: list[tuple[str, str]] = []
+        self._attempt = attempt
         self.scheduler = Scheduler(SETTINGS, self.facade, self, clock, self.measure, limits or Limits())
         if workers:
-            self.scheduler.learn(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers)))
+            self.scheduler.update_endpoints(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers)))
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
-        self.fetches.append((backend, req.id))
-        return await self._fetch(backend, req, notes)
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        self.attempts.append((backend, request.id))
+        return await self._attempt(backend, request, context)
 
     async def serve(self, job_class: str, patience: float = 1.0, id_: str = "r") -> Answer:
-        return await self.scheduler.serve(Req(id_, job_class, patience))
+        return await self.scheduler.serve(Request(id_, job_class, patience))
 
 
-async def served(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
-    notes.on_began()
-    return Ending(Result.OK, b"made")
+async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
+    context.on_started()
+    return AttemptOutcome(Result.OK, b"made")
 
 
-async def hangs(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
+async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
-async def deaf(backend: str, req: Req, notes: FetchNotes) -> Ending:
+async def deaf(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     """Does not end when it is called off."""
-    notes.written = True
+    context.written = True
     while True:
         try:
             await asyncio.sleep(0.9)
-            return Ending(Result.OK, b"late")
+            return AttemptOutcome(Result.OK, b"late")
         except asyncio.CancelledError:
             continue
 
 
-async def breaks(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
+async def breaks(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
     raise RuntimeError("our own code")
 
 
-async def breaks_before(backend: str, req: Req, notes: FetchNotes) -> Ending:
+async def breaks_before(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     raise RuntimeError("our own code")
 
 
-async def lost(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
-    return Ending(Result.RESET)
+async def lost(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
+    return AttemptOutcome(Result.RESET)
 
 
-async def full(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    return Ending(Result.FULL)
+async def full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    return AttemptOutcome(Result.FULL)
 
 
 @pytest.mark.parametrize(
-    ("fetch", "job_class", "kind", "most"),
+    ("attempt", "job_class", "kind", "most"),
     [
-        (served, "once", Kind.SERVED, 1),
-        (hangs, "once", Kind.FAILED, 1),
-        (hangs, "free", Kind.REFUSED, 3),
-        (deaf, "once", Kind.FAILED, 1),
-        (breaks, "once", Kind.FAILED, 1),
-        (breaks_before, "once", Kind.REFUSED, 3),
-        (lost, "once", Kind.FAILED, 1),
-        (lost, "free", Kind.REFUSED, 3),
-        (full, "once", Kind.REFUSED, 3),
+        (served, "once", AnswerKind.SERVED, 1),
+        (hangs, "once", AnswerKind.FAILED, 1),
+        (hangs, "free", AnswerKind.REJECTED, 3),
+        (deaf, "once", AnswerKind.FAILED, 1),
+        (breaks, "once", AnswerKind.FAILED, 1),
+        (breaks_before, "once", AnswerKind.REJECTED, 3),
+        (lost, "once", AnswerKind.FAILED, 1),
+        (lost, "free", AnswerKind.REJECTED, 3),
+        (full, "once", AnswerKind.REJECTED, 3),
     ],
 )
-def test_one_answer_in_time(fetch: Fetch, job_class: str, kind: Kind, most: int) -> None:
+def test_one_answer_in_time(attempt: Attempt, job_class: str, kind: AnswerKind, most: int) -> None:
     async def play() -> None:
-        stage = Stage(fetch)
+        stage = Stage(attempt)
         loop = asyncio.get_running_loop()
         start = loop.time()
         answer = await stage.serve(job_class, patience=0.5)
         assert answer.kind is kind
         assert loop.time() - start < 0.5 + 0.05
-        assert 1 <= len(stage.fetches) <= most
+        assert 1 <= len(stage.attempts) <= most
         async with asyncio.timeout(5):
-            await stage.scheduler.idle()
+            await stage.scheduler.wait_until_idle()
         assert stage.measure.answers == {kind: 1}
 
     asyncio.run(play())
@@ -117,8 +117,8 @@
 def test_a_req_that_the_module_holds_is_answered() -> None:
     async def play() -> None:
         stage = Stage(served, workers=0)
-        assert (await stage.serve("once", patience=0.3)).kind is Kind.REFUSED
-        assert stage.fetches == [] and stage.measure.answers == {Kind.REFUSED: 1}
+        assert (await stage.serve("once", patience=0.3)).kind is AnswerKind.REJECTED
+        assert stage.attempts == [] and stage.measure.answers == {AnswerKind.REJECTED: 1}
 
     asyncio.run(play())
 
@@ -131,9 +131,9 @@
         stage = Stage(served)
         dispatcher = stage.facade._dispatcher
         monkeypatch.setattr(dispatcher, "handlers", dict.fromkeys(dispatcher.handlers, fault))
-        assert (await stage.serve("once")).kind is Kind.REFUSED  # it surely never ran
+        assert (await stage.serve("once")).kind is AnswerKind.REJECTED  # it surely never ran
         monkeypatch.undo()
-        assert (await stage.serve("once", id_="r2")).kind is Kind.SERVED
+        assert (await stage.serve("once", id_="r2")).kind is AnswerKind.SERVED
 
     asyncio.run(play())
 
@@ -147,8 +147,8 @@
         handlers = stage.facade._dispatcher.handlers
         broken = {k: fault if k.__name__ == "Outcome" else v for k, v in handlers.items()}
         monkeypatch.setattr(stage.facade._dispatcher, "handlers", broken)
-        assert (await stage.serve("once")).kind is Kind.FAILED
-        assert len(stage.fetches) == 1
+        assert (await stage.serve("once")).kind is AnswerKind.FAILED
+        assert len(stage.attempts) == 1
 
     asyncio.run(play())
 
@@ -161,23 +161,26 @@
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        await stage.scheduler.idle()
-        assert stage.measure.answers == {Kind.LEFT: 1} and stage.scheduler.open_count == 0
+        await stage.scheduler.wait_until_idle()
+        assert (
+            stage.measure.answers == {AnswerKind.CLIENT_DISCONNECTED: 1}
+            and stage.scheduler.open_request_count == 0
+        )
 
     asyncio.run(play())
 
 
 def test_too_many_open_reqs_are_refused_and_an_open_id_is_not_taken_twice() -> None:
     async def play() -> None:
-        stage = Stage(hangs, limits=Limits(open_reqs=1))
+        stage = Stage(hangs, limits=Limits(max_open_requests=1))
         first = asyncio.create_task(stage.serve("once", id_="a"))
         await asyncio.sleep(0)
-        assert (await stage.serve("once", id_="b")).kind is Kind.REFUSED
-        assert (await stage.serve("once", id_="a")).kind is Kind.FAILED
+        assert (await stage.serve("once", id_="b")).kind is AnswerKind.REJECTED
+        assert (await stage.serve("once", id_="a")).kind is AnswerKind.FAILED
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        await stage.scheduler.idle()
-        assert stage.measure.answers == {Kind.LEFT: 1, Kind.REFUSED: 1}
+        await stage.scheduler.wait_until_idle()
+        assert stage.measure.answers == {AnswerKind.CLIENT_DISCONNECTED: 1, AnswerKind.REJECTED: 1}
 
     asyncio.run(play())
 
@@ -186,8 +189,8 @@
     measure = ServiceMeasure(SETTINGS.classes)
     assert measure.share == 1.0
     for name in ("free", "once"):
-        measure.asked(name, is_retry=False)
-    measure.asked("free", is_retry=True)  # belongs to its first try
-    measure.answered("free", Kind.SERVED, 0.5, 0.2)
-    measure.answered("once", Kind.SERVED, 1.5, 0.2)  # too late
+        measure.record_request(name, is_retry=False)
+    measure.record_request("free", is_retry=True)  # belongs to its first try
+    measure.record_answer("free", AnswerKind.SERVED, 0.5, 0.2)
+    measure.record_answer("once", AnswerKind.SERVED, 1.5, 0.2)  # too late
     assert measure.share == pytest.approx(1 / 9)
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -17,7 +17,7 @@
 from oxbowyard.clients.limits import MAX_BODY_BYTES
 from oxbowyard.clients.waiting import BatchForm, JobForm, JobView
 from oxbowyard.clients.wording import DEADLINE_FORM, ID_FORM, STATUS
-from oxbowyard.core.req import Ran
+from oxbowyard.core.request import RunState
 from oxbowyard.decision.facade import Result
 from oxbowyard.waiting.order import End, State
 
@@ -135,4 +135,4 @@
         assert set(schemas[name]["properties"]) == {f.encode_name for f in msgspec.structs.fields(form)}
     assert set(schemas["State"]["enum"]) | {"forgotten"} == {s.value for s in State}
     assert set(schemas["JobView"]["properties"]["end"]["enum"]) == {e.value for e in End}
-    assert set(schemas["JobView"]["properties"]["ran"]["enum"]) == {r.value for r in Ran}
+    assert set(schemas["JobView"]["properties"]["ran"]["enum"]) == {r.value for r in RunState}
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -9,9 +9,17 @@
 from typing import Any
 
 import pytest
-from test_waiting_room import Fetch, Stage, error, hangs, served
-
-from oxbowyard.core.req import Ending, FetchNotes, Note, NoteKind, Ran, Req, granted
+from test_waiting_room import Attempt, Stage, error, hangs, served
+
+from oxbowyard.core.request import (
+    AttemptContext,
+    AttemptOutcome,
+    AttemptUpdate,
+    Request,
+    RunState,
+    UpdateKind,
+    lease_recorded,
+)
 from oxbowyard.decision.facade import Result
 from oxbowyard.durable.keeping import Keeping, NotOpened
 from oxbowyard.durable.leases import Leases
@@ -27,12 +35,12 @@
 class Kept_:
     """A scheduler on a store; several after each other are runs of one."""
 
-    def __init__(self, path: Path, fetch: Fetch, lease_s: float | None = None, **more: Any) -> None:
+    def __init__(self, path: Path, attempt: Attempt, lease_s: float | None = None, **more: Any) -> None:
         self.stepped = 0.0  # by the system's clock
         self.keeping = Keeping(DurableSettings(str(path), lease_s=lease_s), True, self.wall)
         self.sent: list[str] = []  # jobs whose last byte was written
-        self._fetch = fetch
-        self.stage = Stage(self.fetch, ledger=self.keeping.ledger, **more)
+        self._attempt = attempt
+        self.stage = Stage(self.attempt, ledger=self.keeping.ledger, **more)
         self.room = self.stage.room
         self.room.number_from(self.keeping.last_number)
         self.recovery = self.keeping.recovery(self.room, DEADLINES)
@@ -40,10 +48,10 @@
     def wall(self) -> float:
         return time.time() + self.stepped
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
-        await granted(req, backend)
-        self.sent.append(req.id)
-        return await self._fetch(backend, req, notes)
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        await lease_recorded(request, backend)
+        self.sent.append(request.id)
+        return await self._attempt(backend, request, context)
 
     async def hand_in(self, id_: str, job_class: str = "once", **wait: Any) -> None:
         """As a front does: acknowledged once it is on disk."""
@@ -78,12 +86,12 @@
         old = Kept_(path, hangs)
         await old.hand_in("done", "once")
         await old.until(lambda: old.sent)
-        old._fetch = served
+        old._attempt = served
         await old.hand_in("ended", "once", token="k", print=b"p")
         await old.until(lambda: "ended" in old.stage.finals)
         await old.hand_in("timed", "once", delay=60.0)
         await old.hand_in("child", "once", after=(Parent("done", When.ENDED),))
-        old._fetch = hangs
+        old._attempt = hangs
         await old.hand_in("preview", "free")
         await old.until(lambda: "preview" in old.sent)
 
@@ -94,21 +102,23 @@
         await new.until(lambda: new.state("preview") is End.SERVED)
         assert "done" not in new.sent and new.sent[0].startswith("preview")
         # The old one goes on, and can tell nobody anything any more.
-        old._fetch = served
+        old._attempt = served
         with pytest.raises(Rejected) as caught:
             while True:
                 await asyncio.sleep(0.01)
-                old.stage.hand_in(f"late{len(old.stage.fetches)}", "once", durable=True)
+                old.stage.hand_in(f"late{len(old.stage.attempts)}", "once", durable=True)
         assert caught.value.code is Code.NOT_KEPT and "another scheduler" in caught.value.text
         assert not [id_ for id_ in old.sent if id_.startswith("late")]
         # Whoever asks again finds the one answer there is.
         assert await new.final("ended") is End.SERVED
-        again = await new.room.look_up([(Req("x", "once", 5.0), Wait(token="k", print=b"p", durable=True))])
+        again = await new.room.look_up(
+            [(Request("x", "once", 5.0), Wait(token="k", print=b"p", durable=True))]
+        )
         assert again is not None and again[0].job.id == "ended" and again[0].final is not None
         with pytest.raises(Rejected, match="there is a job ended"):
-            await new.room.look_up([(Req("ended", "once", 5.0), Wait(durable=True))])
+            await new.room.look_up([(Request("ended", "once", 5.0), Wait(durable=True))])
         with pytest.raises(Rejected, match="another job"):
-            await new.room.look_up([(Req("x", "once", 5.0), Wait(token="k", print=b"q", durable=True))])
+            await new.room.look_up([(Request("x", "once", 5.0), Wait(token="k", print=b"q", durable=True))])
         assert new.room.resolve("done", "Aiko", End.SERVED, b"filed by hand")
         await new.until(lambda: new.state("child") is End.SERVED)
         await new.keeping.close()
@@ -134,15 +144,15 @@
         old = Kept_(path, served)
         reached = asyncio.Event()
 
-        async def crash(backend: str, req: Req, notes: FetchNotes) -> Ending:
+        async def crash(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             if sent:
-                await granted(req, backend)  # and then no byte is written
+                await lease_recorded(request, backend)  # and then no byte is written
             reached.set()
             await asyncio.sleep(60)
             raise AssertionError
 
-        old.fetch = crash  # type: ignore[method-assign]
-        old.stage._fetch = crash
+        old.attempt = crash  # type: ignore[method-assign]
+        old.stage._attempt = crash
         await old.hand_in("a")
         await reached.wait()
         new = Kept_(path, served)
@@ -162,12 +172,12 @@
         kept = Kept_(tmp_path / "jobs.db", hangs)
         leases: dict[str, str] = {}
 
-        async def silent(backend: str, req: Req, notes: FetchNotes) -> Ending:
-            leases[req.id] = req.lease
-            notes.written = True
-            return Ending(Result.RESET)
+        async def silent(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+            leases[request.id] = request.lease
+            context.written = True
+            return AttemptOutcome(Result.RESET)
 
-        kept._fetch = silent
+        kept._attempt = silent
         ids = ("late", "returned", "wrong", "word")
         for id_ in ids:
             await kept.hand_in(id_, delay=0.05 if id_ == "word" else 0.0)
@@ -178,7 +188,7 @@
         room = kept.room
         assert not room.deliver("late", leases["wrong"], End.SERVED, b"x")  # another's lease
         assert not room.deliver("late", "", End.SERVED, b"x")
-        kept._fetch = served
+        kept._attempt = served
         assert room.deliver("late", leases["late"], End.SERVED, b"filed")
         assert not room.deliver("late", leases["late"], End.FAILED, b"")  # twice
         assert not room.resolve("late", "Aiko", End.FAILED)  # too late: it has its end
@@ -199,16 +209,16 @@
 
 def test_a_lease_that_lapses_frees_what_may_be_repeated_and_doubts_the_rest(tmp_path: Path) -> None:
     async def scene() -> None:
-        async def tells(backend: str, req: Req, notes: FetchNotes) -> Ending:
-            notes.written = True
-            notes.on_began()
-            if req.id == "talks":
+        async def tells(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+            context.written = True
+            context.on_started()
+            if request.id == "talks":
                 for _ in range(8):
                     await asyncio.sleep(0.1)
-                    notes.on_note(Note(NoteKind.STATUS, done=0.1))
-                return Ending(Result.OK)
-            if "~" in req.id:
-                return Ending(Result.OK)
+                    context.on_update(AttemptUpdate(UpdateKind.STATUS, done=0.1))
+                return AttemptOutcome(Result.OK)
+            if "~" in request.id:
+                return AttemptOutcome(Result.OK)
             await asyncio.sleep(60)
             raise AssertionError
 
@@ -402,4 +412,4 @@
     assert after(Parent("forgotten")) == ((), "forgotten")
     doubt = place(stored(Kept.GRANTED), [], lambda id_: False, 1001.0).doubt
     assert "w1" in doubt and "1970-01-01T00:16:45" in doubt
-    assert Ran("open") is Ran.OPEN
+    assert RunState("open") is RunState.MAY_BE_RUNNING
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from stage import SETTINGS, HeldLoop, Stage, ask, leave, turns
 
 from oxbowyard.clients.connection import Connection, Phase
-from oxbowyard.core.req import Ending, FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.daemon import assembly
 from oxbowyard.daemon.program import SETTLE, Program, Read
 from oxbowyard.decision.facade import Result
@@ -197,7 +197,7 @@
         await asyncio.sleep(1.0)
         assert sum(stage.parts.measure.answers.values()) == 1
         got = await stage.read(client)
-        assert got.count(b"HTTP/1.1 ") == 1 and stage.scheduler.open_count == 0
+        assert got.count(b"HTTP/1.1 ") == 1 and stage.scheduler.open_request_count == 0
         if job_class == "accession":  # it ran: nobody is told that it did not
             assert b" 200 OK" in got or b"HTTP/1.1 50" in got and b" 503 " not in got
 
@@ -376,7 +376,7 @@
         await turns()
         await asyncio.sleep(1.0)
         assert sum(stage.parts.measure.answers.values()) == 1
-        assert stage.scheduler.open_count == 0 and stage.worker.ran == 1
+        assert stage.scheduler.open_request_count == 0 and stage.worker.ran == 1
 
     play(tmp_path, scene)
 
@@ -394,7 +394,7 @@
         where = "{}:{}".format(*worker.sockets[0].getsockname()[:2])
         entry = {"uid": "w1", "endpoint": where, "state": "ready"}
         change = parse_list({"rev": 1, "all": True, "targets": [entry]})
-        program._parts.scheduler.learn(*program._parts.registry.apply(change))
+        program._parts.scheduler.update_endpoints(*program._parts.registry.apply(change))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
         leaving = asyncio.create_task(program._leave())
@@ -540,7 +540,7 @@
 
 
 ANSWERS = {
-    "lines of another req": (HEAD + chunk(b'{"id":"zz"}\n' * 200), None, Result.RESET),
+    "lines of another request": (HEAD + chunk(b'{"id":"zz"}\n' * 200), None, Result.RESET),
     "lines without an end": (HEAD + chunk(b"\n" * 20_000), None, Result.RESET),
     "a line without an end": (HEAD, chunk(b"x" * 60_000), Result.RESET),
     "a head without an end": (b"HTTP/1.1 200 OK\r\n", b"X-More: " + b"x" * 1000 + b"\r\n", Result.RESET),
@@ -556,7 +556,7 @@
 
 @pytest.mark.parametrize("name", ANSWERS)
 def test_an_answer_without_an_end_or_with_two(tmp_path: Path, name: str) -> None:
-    """Each has one ending, in time, and nothing of it reaches the next req."""
+    """Each has one ending, in time, and nothing of it reaches the next request."""
     first, rest, wanted = ANSWERS[name]
 
     async def scene(stage: Stage) -> None:
@@ -581,9 +581,9 @@
         server = await asyncio.start_server(spoil, "127.0.0.1", 0)
         where = "{}:{}".format(*server.sockets[0].getsockname()[:2])
         stage.parts.registry.backends["w1"].endpoint = where
-        notes = FetchNotes(30.0, lambda: None)
-        req = Req("a1", "preview", 30.0, "/preview", b"hello")
-        endings: list[Ending] = [await stage.parts.backends.fetch("w1", req, notes)]
+        context = AttemptContext(30.0, lambda: None)
+        request = Request("a1", "preview", 30.0, "/preview", b"hello")
+        endings: list[AttemptOutcome] = [await stage.parts.backends.attempt("w1", request, context)]
         assert [e.result for e in endings] == [wanted], endings
         await asyncio.sleep(2.0)
         assert sent < 12_000_000, "cut off, not read on"
@@ -598,12 +598,14 @@
     async def scene(stage: Stage) -> None:
         await stage.begin()
         stage.loop.way.clear()
-        req = Req("a1", "preview", 30.0, "/preview", b"hello")
-        fetch = asyncio.create_task(stage.parts.backends.fetch("w1", req, FetchNotes(30.0, lambda: None)))
+        request = Request("a1", "preview", 30.0, "/preview", b"hello")
+        attempt = asyncio.create_task(
+            stage.parts.backends.attempt("w1", request, AttemptContext(30.0, lambda: None))
+        )
         await turns()
         stage.parts.registry.backends["w1"].endpoint = "127.0.0.1:9"
         stage.loop.way.set()
-        assert (await fetch).result is Result.NOT_SENT and stage.worker.ran == 0
+        assert (await attempt).result is Result.NOT_SENT and stage.worker.ran == 0
 
     play(tmp_path, scene)
 
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -175,7 +175,7 @@
         now = program._parts.clock()
         learned = snapshot.take(dispatcher(1), now)
         program._learned.read = lambda: learned  # type: ignore[method-assign]
-        scheduler.adopt = broken  # type: ignore[method-assign,assignment]
+        scheduler.restore = broken  # type: ignore[method-assign,assignment]
         assert program._adopt(), "it is not tried again and again"
         scheduler.snapshot = broken  # type: ignore[method-assign]
         program._handover.files.other = lambda path: PID  # type: ignore[method-assign]
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -14,8 +14,8 @@
 from test_core import FREE, ONCE, SETTINGS, Stage, lost
 
 from oxbowyard.control.maintenance import Maintenance, MaintenanceFile
-from oxbowyard.core.req import Kind
-from oxbowyard.core.retune import live_part_only, retune
+from oxbowyard.core.request import AnswerKind
+from oxbowyard.core.settings_update import plan_settings_update, restart_only_changes
 from oxbowyard.decision.facade import Readiness, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat
 from oxbowyard.discovery.registry import Change, Registry
@@ -31,23 +31,25 @@
 
 def test_meanwhile_the_stricter_of_old_and_new_holds() -> None:
     loosened = replace(SETTINGS, classes=(replace(ONCE, repeat=Repeat.FREE), NEW), max_attempts=5)
-    step = retune(SETTINGS, loosened)
-    meanwhile = {c.name: c for c in step.meanwhile.classes}
+    step = plan_settings_update(SETTINGS, loosened)
+    meanwhile = {c.name: c for c in step.transition.classes}
     assert meanwhile["once"].repeat is Repeat.SINGLE_SHOT  # a client may still send it as it was
     assert "free" in meanwhile and "new" in meanwhile  # one that goes out is still taken meanwhile
-    assert step.meanwhile.max_attempts == 3
-    after = {c.name: c for c in step.after.classes}
-    assert after["once"].repeat is Repeat.FREE and "free" not in after and step.after.max_attempts == 5
+    assert step.transition.max_attempts == 3
+    after = {c.name: c for c in step.final.classes}
+    assert after["once"].repeat is Repeat.FREE and "free" not in after and step.final.max_attempts == 5
 
 
 def test_a_class_made_stricter_is_strict_at_once() -> None:
-    step = retune(SETTINGS, replace(SETTINGS, classes=(replace(FREE, repeat=Repeat.SINGLE_SHOT), ONCE)))
-    assert {c.name: c.repeat for c in step.meanwhile.classes}["free"] is Repeat.SINGLE_SHOT
+    step = plan_settings_update(
+        SETTINGS, replace(SETTINGS, classes=(replace(FREE, repeat=Repeat.SINGLE_SHOT), ONCE))
+    )
+    assert {c.name: c.repeat for c in step.transition.classes}["free"] is Repeat.SINGLE_SHOT
 
 
 def test_only_classes_and_fetches_change_live() -> None:
-    assert live_part_only(SETTINGS, replace(SETTINGS, classes=(NEW,), max_attempts=1)) == ()
-    assert live_part_only(SETTINGS, replace(SETTINGS, siblings=4)) == ("siblings",)
+    assert restart_only_changes(SETTINGS, replace(SETTINGS, classes=(NEW,), max_attempts=1)) == ()
+    assert restart_only_changes(SETTINGS, replace(SETTINGS, siblings=4)) == ("siblings",)
 
 
 def test_a_req_open_at_a_retune_keeps_its_class() -> None:
@@ -58,11 +60,11 @@
         loosened = replace(SETTINGS, classes=(FREE, replace(ONCE, repeat=Repeat.FREE)))
         waiting = asyncio.ensure_future(stage.serve("once", patience=0.5))
         await asyncio.sleep(0)
-        stage.scheduler.retune(loosened)
-        assert (await waiting).kind is Kind.FAILED
-        assert len(stage.fetches) == 1
+        stage.scheduler.apply_settings(loosened)
+        assert (await waiting).kind is AnswerKind.FAILED
+        assert len(stage.attempts) == 1
         fresh = await stage.serve("once", patience=0.5, id_="r2")  # taken after: harmless now
-        assert fresh.kind is Kind.REFUSED and len(stage.fetches) > 2
+        assert fresh.kind is AnswerKind.REJECTED and len(stage.attempts) > 2
 
     asyncio.run(play())
 
@@ -70,9 +72,9 @@
 def test_a_new_class_is_counted_from_nothing() -> None:
     async def play() -> None:
         stage = Stage(lost)
-        stage.scheduler.retune(replace(SETTINGS, classes=(*SETTINGS.classes, NEW)))
+        stage.scheduler.apply_settings(replace(SETTINGS, classes=(*SETTINGS.classes, NEW)))
         await stage.serve("new", patience=0.3)
-        assert stage.measure.answers_of()["new"] == {Kind.REFUSED: 1}
+        assert stage.measure.answers_by_class()["new"] == {AnswerKind.REJECTED: 1}
 
     asyncio.run(play())
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from benchmarks.faults.virtual_group import VirtualGroup
-from oxbowyard.core.measure import ServiceMeasure
-from oxbowyard.core.req import Ending, FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
+from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.parts import Parts
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision.choice import Dispatcher
@@ -99,7 +99,7 @@
 class Nowhere:
     """A transport that is not used."""
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         raise NotImplementedError
 
 
@@ -172,9 +172,11 @@
         classes, clock = settings.classes, lambda: 5000.0
         facade = Facade(settings, 1, clock)
         scheduler = Scheduler(settings, facade, Nowhere(), clock, ServiceMeasure(classes), Limits())
-        scheduler.learn(Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed")))
+        scheduler.update_endpoints(
+            Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed"))
+        )
         facade._dispatcher.workers["guessed"].since = 4500.0
-        return scheduler.troubles()
+        return scheduler.worker_faults()
 
     assert asyncio.run(play()) == [Trouble("guessed", 0.0, 4500.0)]
 
--- a/tests/test_waiting_policy.py
+++ b/tests/test_waiting_policy.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from oxbowyard.core.req import Ran
+from oxbowyard.core.request import RunState
 from oxbowyard.waiting.order import (
     AGED,
     Changed,
@@ -72,7 +72,7 @@
             self.drain()
         self.now = end
 
-    def end(self, id_: str, end: End = End.SERVED, ran: Ran = Ran.YES, size: int = 0) -> None:
+    def end(self, id_: str, end: End = End.SERVED, ran: RunState = RunState.HAS_RUN, size: int = 0) -> None:
         job = self.policy.find(id_)
         assert job is not None
         self.policy.ended(self.now, job, end, ran, size=size)
@@ -187,19 +187,19 @@
 @pytest.mark.parametrize(
     ("end", "ran", "when", "goes_on"),
     [
-        (End.SERVED, Ran.YES, SERVED, True),
-        (End.SERVED, Ran.YES, ENDED, True),
-        (End.FAILED, Ran.MAYBE, SERVED, False),
-        (End.FAILED, Ran.MAYBE, ENDED, True),
-        (End.REFUSED, Ran.NEVER, SERVED, False),
-        (End.REFUSED, Ran.NEVER, ENDED, True),
-        (End.CANCELLED, Ran.NEVER, SERVED, False),
-        (End.FAILED, Ran.OPEN, SERVED, False),
-        (End.FAILED, Ran.OPEN, ENDED, False),  # it may still run: it has not ended
-        (End.CANCELLED, Ran.OPEN, ENDED, False),
+        (End.SERVED, RunState.HAS_RUN, SERVED, True),
+        (End.SERVED, RunState.HAS_RUN, ENDED, True),
+        (End.FAILED, RunState.MAY_HAVE_RUN, SERVED, False),
+        (End.FAILED, RunState.MAY_HAVE_RUN, ENDED, True),
+        (End.REFUSED, RunState.NEVER_RAN, SERVED, False),
+        (End.REFUSED, RunState.NEVER_RAN, ENDED, True),
+        (End.CANCELLED, RunState.NEVER_RAN, SERVED, False),
+        (End.FAILED, RunState.MAY_BE_RUNNING, SERVED, False),
+        (End.FAILED, RunState.MAY_BE_RUNNING, ENDED, False),  # it may still run: it has not ended
+        (End.CANCELLED, RunState.MAY_BE_RUNNING, ENDED, False),
     ],
 )
-def test_what_a_parents_end_means(end: End, ran: Ran, when: When, goes_on: bool) -> None:
+def test_what_a_parents_end_means(end: End, ran: RunState, when: When, goes_on: bool) -> None:
     stage = Stage()
     stage.job("p")
     stage.job("c", after=(Parent("p", when),))
@@ -224,7 +224,7 @@
     stage.end("p1")
     stage.run(50)
     assert stage.state("c") is State.HELD
-    stage.end("p2", End.FAILED, Ran.MAYBE)
+    stage.end("p2", End.FAILED, RunState.MAY_HAVE_RUN)
     stage.run(50)
     assert stage.state("c") is State.ASKED
 
@@ -248,7 +248,7 @@
     for i in range(1, 10_001):
         stage.job(f"j{i}", after=(Parent(f"j{i - 1}" if shape == "chain" else "j0"),))
     stage.longest = 0
-    stage.end("j0", End.FAILED, Ran.MAYBE)
+    stage.end("j0", End.FAILED, RunState.MAY_HAVE_RUN)
     stage.run(0)  # no time passes
     assert len(stage.ends) == 10_001 and set(stage.ends.values()) == {1}
     assert stage.longest <= 2 * SLICE + 2  # what one call does is bounded, so is the time that it takes
@@ -507,7 +507,9 @@
             self.ready_since.pop(job.id, None)
             for parent in self.parents[job.id]:
                 known = self.known[parent.id]
-                assert known.end is not None and known.ran is not Ran.OPEN, "a child before its parent"
+                assert known.end is not None and known.ran is not RunState.MAY_BE_RUNNING, (
+                    "a child before its parent"
+                )
                 assert known.end is End.SERVED or parent.when is ENDED
         elif action.state in (State.READY, State.QUIET):
             self.ready_since.setdefault(job.id, self.stage.now)
@@ -549,7 +551,11 @@
         if how == "refused":
             self.stage.refuse(id_)
         else:
-            ran = {"served": Ran.YES, "failed": Ran.MAYBE, "open": Ran.OPEN}[how]
+            ran = {
+                "served": RunState.HAS_RUN,
+                "failed": RunState.MAY_HAVE_RUN,
+                "open": RunState.MAY_BE_RUNNING,
+            }[how]
             self.stage.end(id_, End.SERVED if how == "served" else End.FAILED, ran)
 
     @precondition(lambda self: self.seen)
--- a/tests/test_waiting_room.py
+++ b/tests/test_waiting_room.py
@@ -12,9 +12,9 @@
 import pytest
 from virtual import play
 
-from oxbowyard.core.measure import ServiceMeasure
-from oxbowyard.core.req import Answer, Ending, FetchNotes, Kind, Ran, Req
+from oxbowyard.core.request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request, RunState
 from oxbowyard.core.scheduler import Limits, Scheduler
+from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.collector import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat, Settings
@@ -26,14 +26,14 @@
 FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE)
 ONCE = JobClass("once", aim=1000, deadline=5000, worth=8)
 CLASSES = (FREE, ONCE)
-Fetch = Callable[[str, Req, FetchNotes], Awaitable[Ending]]
+Attempt = Callable[[str, Request, AttemptContext], Awaitable[AttemptOutcome]]
 
 
 class Stage:
     """A waiting room over a scheduler whose transport is one function."""
 
     def __init__(
-        self, fetch: Fetch, workers: int = 4, ledger: Any = None, wall: Any = time.time, **more: Any
+        self, attempt: Attempt, workers: int = 4, ledger: Any = None, wall: Any = time.time, **more: Any
     ) -> None:
         changes: dict[str, Any] = {"classes": {"free": ClassSettings(queueing=True)}, "retry_first_s": 0.01}
         waiting = WaitingSettings(**changes | more)
@@ -44,8 +44,8 @@
         )  # fmt: skip
         clock = self.clock
         self.facade = Facade(settings, 1, clock)
-        self.fetches: list[tuple[str, str, str, float]] = []
-        self._fetch = fetch
+        self.attempts: list[tuple[str, str, str, float]] = []
+        self._attempt = attempt
         measure = ServiceMeasure(settings.classes)
         self.scheduler = Scheduler(settings, self.facade, self, clock, measure, Limits())
         self.room = WaitingRoom(waiting, CLASSES, self.scheduler, clock, "t", wall, ledger)
@@ -59,20 +59,20 @@
         return asyncio.get_running_loop().time() * 1000
 
     def list_(self, *infos: WorkerInfo, scope: Scope = Scope.FULL) -> None:
-        self.scheduler.learn(scope, infos)
+        self.scheduler.update_endpoints(scope, infos)
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
-        self.fetches.append((backend, req.id, req.job_class, self.clock()))
-        return await self._fetch(backend, req, notes)
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        self.attempts.append((backend, request.id, request.job_class, self.clock()))
+        return await self._attempt(backend, request, context)
 
     def hand_in(self, id_: str, job_class: str = "free", **wait: Any) -> str:
-        req = Req(id_, job_class, 3600.0, target=f"/{job_class}", payload=b"x")
+        request = Request(id_, job_class, 3600.0, target=f"/{job_class}", payload=b"x")
 
         def ended(final: Final) -> None:
             self.finals[id_] = final
             self.ends[id_] += 1
 
-        return self.room.hand_in([(req, Wait(**wait))], ended)[0].id
+        return self.room.hand_in([(request, Wait(**wait))], ended)[0].id
 
     async def until(self, *ids: str) -> list[End]:
         async with asyncio.timeout(10):
@@ -81,27 +81,27 @@
         return [self.finals[id_].end for id_ in ids]
 
 
-async def served(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
-    notes.on_began()
+async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
+    context.on_started()
     await asyncio.sleep(0.001)
-    return Ending(Result.OK, b"made " + req.id.encode())
+    return AttemptOutcome(Result.OK, b"made " + request.id.encode())
 
 
-async def hangs(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
-    notes.on_began()
+async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
+    context.on_started()
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
-async def error(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    notes.written = True
-    return Ending(Result.ERROR)
+async def error(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    context.written = True
+    return AttemptOutcome(Result.ERROR)
 
 
-async def full(backend: str, req: Req, notes: FetchNotes) -> Ending:
-    return Ending(Result.FULL)
+async def full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    return AttemptOutcome(Result.FULL)
 
 
 def test_a_child_runs_after_its_parent_and_the_library_awaits_both() -> None:
@@ -109,16 +109,22 @@
         stage = Stage(served)
         room = stage.room
         child = asyncio.create_task(
-            room.serve(Req("c", "once", 60.0), Wait(after=(Parent("p"),)))
+            room.serve(Request("c", "once", 60.0), Wait(after=(Parent("p"),)))
             if stage.hand_in("p", delay=0.05)
-            else room.serve(Req("x", "once", 1.0), Wait())
+            else room.serve(Request("x", "once", 1.0), Wait())
         )
         answer = await child
-        assert (answer.kind, answer.body, answer.ran) == (Kind.SERVED, b"made c", Ran.YES)
-        assert [id_ for _, id_, _, _ in stage.fetches] == ["p", "c"]
-        again = await room.serve(Req("c2", "once", 60.0), Wait(token="k"))
+        assert (answer.kind, answer.body, answer.run_state) == (
+            AnswerKind.SERVED,
+            b"made c",
+            RunState.HAS_RUN,
+        )
+        assert [id_ for _, id_, _, _ in stage.attempts] == ["p", "c"]
+        again = await room.serve(Request("c2", "once", 60.0), Wait(token="k"))
         assert again.body == b"made c2"
-        assert (await room.serve(Req("c3", "once", 60.0), Wait(token="k"))).body == b"made c2"  # the same job
+        assert (
+            await room.serve(Request("c3", "once", 60.0), Wait(token="k"))
+        ).body == b"made c2"  # the same job
 
     play(scene)
 
@@ -127,13 +133,13 @@
     async def scene() -> None:
         stage = Stage(full)
         stage.hand_in("a", patience=30.0)
-        while len(stage.fetches) < 10:
+        while len(stage.attempts) < 10:
             await asyncio.sleep(0.005)
-        stage._fetch = served
+        stage._attempt = served
         assert await stage.until("a") == [End.SERVED]
-        asks = {id_ for _, id_, _, _ in stage.fetches}
-        assert len(asks) > 2  # each ask is a new req, as from a client that comes back
-        assert all(sum(x == id_ for _, x, _, _ in stage.fetches) <= 3 for id_ in asks)
+        asks = {id_ for _, id_, _, _ in stage.attempts}
+        assert len(asks) > 2  # each ask is a new request, as from a client that comes back
+        assert all(sum(x == id_ for _, x, _, _ in stage.attempts) <= 3 for id_ in asks)
 
     play(scene)
 
@@ -143,7 +149,10 @@
         stage = Stage(full)
         stage.hand_in("a", patience=0.4)
         assert (await stage.until("a"))[0] in (End.EXPIRED, End.REFUSED)
-        assert stage.finals["a"].ran is Ran.NEVER and stage.finals["a"].answer().kind is Kind.REFUSED
+        assert (
+            stage.finals["a"].ran is RunState.NEVER_RAN
+            and stage.finals["a"].answer().kind is AnswerKind.REJECTED
+        )
         stage.hand_in("b", "once", patience=30.0)  # its class does not queue
         assert await stage.until("b") == [End.REFUSED]
 
@@ -151,20 +160,25 @@
 
 
 @pytest.mark.parametrize(
-    ("fetch", "end", "ran", "either"),
-    [(error, End.FAILED, Ran.MAYBE, End.SERVED), (hangs, End.CANCELLED, Ran.OPEN, End.ORPHANED)],
+    ("attempt", "end", "ran", "either"),
+    [
+        (error, End.FAILED, RunState.MAY_HAVE_RUN, End.SERVED),
+        (hangs, End.CANCELLED, RunState.MAY_BE_RUNNING, End.ORPHANED),
+    ],
 )
-def test_a_parent_that_may_still_run_frees_nobody(fetch: Fetch, end: End, ran: Ran, either: End) -> None:
+def test_a_parent_that_may_still_run_frees_nobody(
+    attempt: Attempt, end: End, ran: RunState, either: End
+) -> None:
     async def scene() -> None:
-        stage = Stage(fetch)
+        stage = Stage(attempt)
         stage.hand_in("p", "once")
         stage.hand_in("strict", after=(Parent("p"),))
         stage.hand_in("either", after=(Parent("p", When.ENDED),))
-        while not stage.fetches:
+        while not stage.attempts:
             await asyncio.sleep(0)
-        stage._fetch = served
+        stage._attempt = served
         await asyncio.sleep(0.01)
-        if fetch is hangs:
+        if attempt is hangs:
             job = stage.room.cancel("p")
             assert job is not None and stage.room.cancel("p") is job  # twice does no harm
         assert await stage.until("p", "strict", "either") == [end, End.ORPHANED, either]
@@ -177,12 +191,12 @@
 def test_a_client_that_leaves_ends_its_job_and_the_family() -> None:
     async def scene() -> None:
         stage = Stage(served)
-        waits = asyncio.create_task(stage.room.serve(Req("p", "once", 60.0), Wait(delay=60.0)))
+        waits = asyncio.create_task(stage.room.serve(Request("p", "once", 60.0), Wait(delay=60.0)))
         await asyncio.sleep(0)
         stage.hand_in("c", after=(Parent("p"),))
         waits.cancel()
         assert await stage.until("c") == [End.ORPHANED]
-        assert stage.fetches == [] and stage.room.find("p").end is End.CANCELLED  # type: ignore[union-attr]
+        assert stage.attempts == [] and stage.room.find("p").end is End.CANCELLED  # type: ignore[union-attr]
 
     play(scene)
 
@@ -196,7 +210,7 @@
         stage.hand_in("b", delay=0.1)
         wall[0] += hours * 3600
         await asyncio.sleep(0.05)
-        assert stage.fetches == []
+        assert stage.attempts == []
         assert await stage.until("a", "b") == [End.SERVED, End.SERVED]
         stage.hand_in("past", not_before=1.0)
         assert await stage.until("past") == [End.SERVED]
@@ -210,13 +224,13 @@
         for i in range(1_000):
             stage.hand_in(f"j{i}", delay=60.0 if i % 2 else 0.0)
         await asyncio.sleep(0.02)
-        asked = {id_ for _, id_, _, _ in stage.fetches}
+        asked = {id_ for _, id_, _, _ in stage.attempts}
         poll = asyncio.create_task(stage.room.wait("j1", 60.0))
         await asyncio.sleep(0)
         stage.room.wind_down()
         final = await poll
         assert final is not None and final.end is End.STOPPED and final.retry_after > 0
-        assert final.ran is Ran.NEVER
+        assert final.ran is RunState.NEVER_RAN
         ids = [f"j{i}" for i in range(1_000) if f"j{i}" not in asked]
         assert set(await stage.until(*ids)) == {End.STOPPED} and set(stage.ends.values()) == {1}
         with pytest.raises(Rejected):
@@ -261,14 +275,14 @@
         stage.room.cancel("cut")
         assert await stage.until("plain") == [End.SERVED]
         assert "cut" not in stage.finals and ("a", State.ASKED) in ledger.changes
-        assert [id_ for _, id_, _, _ in stage.fetches] == ["plain"]
+        assert [id_ for _, id_, _, _ in stage.attempts] == ["plain"]
         while "a" not in stage.finals:  # its release, and its answer
             ledger.settle()
             await asyncio.sleep(0.01)
         assert await stage.until("a", "cut") == [End.SERVED, End.CANCELLED]
         states = [state for id_, state in ledger.changes if id_ == "a"]
         assert states == [State.HELD, State.READY, State.ASKED, State.STARTED, State.ENDED]
-        assert [id_ for _, id_, _, _ in stage.fetches] == ["plain", "a"]
+        assert [id_ for _, id_, _, _ in stage.attempts] == ["plain", "a"]
         poll = asyncio.create_task(stage.room.wait("b", 60.0))
         await asyncio.sleep(0)
         stage.room.wind_down()  # what waits is kept, so it has no end here
@@ -285,7 +299,7 @@
         def broken(final: Final) -> None:
             raise ZeroDivisionError
 
-        stage.room.hand_in([(Req("bad", "free", 5.0), Wait(delay=0.02))], broken)
+        stage.room.hand_in([(Request("bad", "free", 5.0), Wait(delay=0.02))], broken)
         stage.hand_in("good", delay=0.02)
         assert await stage.until("good") == [End.SERVED]
         assert "could not carry out" in caplog.text
@@ -301,32 +315,32 @@
         self._slots: dict[str, asyncio.Semaphore] = {}
         self.waits: list[tuple[str, float]] = []
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
-        notes.written = True
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        context.written = True
         loop = asyncio.get_running_loop()
         came = loop.time()
         async with self._slots.setdefault(backend, asyncio.Semaphore(4)):
             self.waits.append((backend, loop.time() - came))
-            notes.on_began()
+            context.on_started()
             await asyncio.sleep(self._seconds)
-            return Ending(Result.OK)
+            return AttemptOutcome(Result.OK)
 
 
 def test_no_new_work_after_a_drain_notice_and_little_to_a_cold_successor() -> None:
     async def scene() -> None:
         workers = Slots(0.03)
-        stage = Stage(workers.fetch, workers=2)
+        stage = Stage(workers.attempt, workers=2)
         ids = [stage.hand_in(f"j{i}") for i in range(300)]
-        while len(stage.fetches) < 60:
+        while len(stage.attempts) < 60:
             await asyncio.sleep(0.002)
         stage.list_(
             WorkerInfo("w0", Readiness.DRAINING),
             WorkerInfo("cold", online_since=stage.clock()),
             scope=Scope.CHANGES,
         )
-        told = len(stage.fetches)
+        told = len(stage.attempts)
         await stage.until(*ids)
-        after = Counter(backend for backend, _, _, _ in stage.fetches[told:])
+        after = Counter(backend for backend, _, _, _ in stage.attempts[told:])
         assert not after["w0"]
         # 2.5 times what it can do: under 0.3 of 4 slots with jobs of 30 ms, for the 3 s that all take.
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
@@ -338,9 +352,9 @@
 def test_a_shrinking_fleet_gets_no_more_than_it_takes() -> None:
     async def scene() -> None:
         workers = Slots()
-        stage = Stage(workers.fetch, workers=6)
+        stage = Stage(workers.attempt, workers=6)
         ids = [stage.hand_in(f"j{i}", delay=0.05) for i in range(400)]
-        while len(stage.fetches) < 100:
+        while len(stage.attempts) < 100:
             await asyncio.sleep(0.002)
         stage.list_(*(WorkerInfo(f"w{i}", Readiness.GONE) for i in range(1, 6)), scope=Scope.CHANGES)
         await asyncio.sleep(0.05)  # what was out has ended
@@ -359,7 +373,7 @@
         stage = Stage(hangs, workers=1, age_limit_s=0.1, quiet_limit_s=0.1, aged_per_s=100.0)
         for i in range(12):
             stage.hand_in(f"j{i}")
-        while not any(name.endswith(AGED) for _, _, name, _ in stage.fetches):
+        while not any(name.endswith(AGED) for _, _, name, _ in stage.attempts):
             await asyncio.sleep(0.005)
 
     play(scene)
@@ -376,7 +390,7 @@
         poll.cancel()
         await asyncio.gather(poll, return_exceptions=True)
         assert await stage.room.wait("a", 0.01) is None
-        assert bounded(stage.room.settings, reqs=5).max_window == 2
+        assert bounded(stage.room.settings, requests=5).max_window == 2
 
     play(scene)
 
@@ -384,14 +398,14 @@
 def test_answers_say_what_is_known_of_the_run() -> None:
     async def scene() -> None:
         stage = Stage(error)
-        answer: Answer = await stage.scheduler.serve(Req("r", "once", 1.0))
-        assert (answer.kind, answer.ran) == (Kind.FAILED, Ran.MAYBE)
-        stage._fetch = hangs
-        answer = await stage.scheduler.serve(Req("r", "once", 0.1))
-        assert (answer.kind, answer.ran) == (Kind.FAILED, Ran.OPEN)
-        stage._fetch = full
-        answer = await stage.scheduler.serve(Req("r", "once", 0.3))
-        assert (answer.kind, answer.ran) == (Kind.REFUSED, Ran.NEVER)
+        answer: Answer = await stage.scheduler.serve(Request("r", "once", 1.0))
+        assert (answer.kind, answer.run_state) == (AnswerKind.FAILED, RunState.MAY_HAVE_RUN)
+        stage._attempt = hangs
+        answer = await stage.scheduler.serve(Request("r", "once", 0.1))
+        assert (answer.kind, answer.run_state) == (AnswerKind.FAILED, RunState.MAY_BE_RUNNING)
+        stage._attempt = full
+        answer = await stage.scheduler.serve(Request("r", "once", 0.3))
+        assert (answer.kind, answer.run_state) == (AnswerKind.REJECTED, RunState.NEVER_RAN)
 
     play(scene)
 
@@ -403,7 +417,7 @@
         gc.collect()
         await stage.until(*(stage.hand_in(f"j{i}") for i in range(200)))
         await asyncio.sleep(10)
-        assert gc.collect() < 50  # not one a req
+        assert gc.collect() < 50  # not one a request
         many = [FEW_JOBS + 1]
         passes: list[float] = []
         gc.callbacks.append(lambda phase, info: passes.append(info["generation"] if phase == "start" else -1))
