--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -21,10 +21,22 @@
 from random import Random
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.decision import interface as api
-
-SHORT = api.JobClass("short", aim=1000.0, deadline=10_000.0, repeat=api.Repeat.FREE, stretch=2.5)
-ONCE = api.JobClass("once", aim=4000.0, deadline=25_000.0, repeat=api.Repeat.SINGLE_SHOT, stretch=2.0)
+from oxbowyard.decision.actions import Action, CancelAttempt, RejectRequest, SetTimer, StartAttempt
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointsChanged,
+    Event,
+    RequestReceived,
+    Scope,
+    TimerFired,
+    WorkerInfo,
+)
+from oxbowyard.decision.events import Result as AttemptResult
+from oxbowyard.decision.settings import JobClass, Repeat
+
+SHORT = JobClass("short", aim=1000.0, deadline=10_000.0, repeat=Repeat.FREE, stretch=2.5)
+ONCE = JobClass("once", aim=4000.0, deadline=25_000.0, repeat=Repeat.SINGLE_SHOT, stretch=2.0)
 RAMP_MS, TIP_MULTIPLE, TIP_AFTER_MS, COLD_FROM = 22_000.0, 2.5, 3000.0, 0.15
 WARM_UP_MS, COLD_MS = (
     12_000.0,
@@ -56,7 +68,7 @@
     scheduler: int
     request: str
     attempt: int
-    job_class: api.JobClass
+    job_class: JobClass
     work_ms: float
     sent: float
 
@@ -115,7 +127,7 @@
         self.result = Result()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
-        self._born: dict[str, tuple[float, float, api.JobClass]] = {}  # when, its work
+        self._born: dict[str, tuple[float, float, JobClass]] = {}  # when, its work
         self._open: dict[tuple[str, int], Work] = {}
         self._attempts: dict[str, int] = {}
         self._cancelled: set[tuple[str, int]] = set()
@@ -136,12 +148,12 @@
             self._tell(0.0, warm)
         self._at(WARM_UP_MS, lambda: self._tell(WARM_UP_MS, tuple(map(self._info, self.workers.values()))))
 
-    def _info(self, worker: Worker) -> api.WorkerInfo:
-        return api.WorkerInfo(worker.name, kind="std", online_since=max(worker.started_at, 0.0))
+    def _info(self, worker: Worker) -> WorkerInfo:
+        return WorkerInfo(worker.name, kind="std", online_since=max(worker.started_at, 0.0))
 
-    def _tell(self, at: float, infos: tuple[api.WorkerInfo, ...]) -> None:
+    def _tell(self, at: float, infos: tuple[WorkerInfo, ...]) -> None:
         for i, scheduler in enumerate(self.schedulers):
-            self._follow(i, scheduler.handle(at, api.WorkerList(api.Scope.FULL, infos)))
+            self._follow(i, scheduler.handle(at, EndpointsChanged(Scope.FULL, infos)))
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._order), call))
@@ -174,21 +186,21 @@
         self._born[name] = (self.now, work, job_class)
         self.result.asked += self.now >= WARM_UP_MS
         key = f"k{self.random.randrange(200)}" if self.random.random() < 0.5 else None
-        self._hand(scheduler, api.Request(name, job_class.name, job_class.deadline, key))
+        self._hand(scheduler, RequestReceived(name, job_class.name, job_class.deadline, key))
 
-    def _hand(self, scheduler: int, event: api.Event) -> None:
+    def _hand(self, scheduler: int, event: Event) -> None:
         self._follow(scheduler, self.schedulers[scheduler].handle(self.now, event))
 
-    def _follow(self, scheduler: int, actions: list[api.Action]) -> None:
+    def _follow(self, scheduler: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case api.Send(id=name, worker=worker):
+                case StartAttempt(request_id=name, worker=worker):
                     self._send(scheduler, name, self.workers[worker])
-                case api.Refuse(id=name):
+                case RejectRequest(request_id=name):
                     self.result.refused += self._born[name][0] >= WARM_UP_MS
-                case api.SetTimer(tag=tag, delay=delay):
-                    self._at(self.now + delay, partial(self._hand, scheduler, api.TimerDue(tag)))
-                case api.Cancel(id=name, attempt=attempt):
+                case SetTimer(tag=tag, delay_ms=delay):
+                    self._at(self.now + delay, partial(self._hand, scheduler, TimerFired(tag)))
+                case CancelAttempt(request_id=name, attempt=attempt):
                     self._at(self.now + 1.0, partial(self._cancel, name, attempt))
 
     def _send(self, scheduler: int, name: str, worker: Worker) -> None:
@@ -207,7 +219,7 @@
             if (work.request, work.attempt) not in self._open:
                 continue
             worker.running += 1
-            started = api.Started(work.request, work.attempt, worker.name)
+            started = AttemptStarted(work.request, work.attempt, worker.name)
             self._at(self.now + 1.0, partial(self._hand, work.scheduler, started))
             self._at(self.now + work.work_ms / worker.warmth(self.now), partial(self._end, worker, work))
 
@@ -218,21 +230,21 @@
             if born >= WARM_UP_MS and self.now - born <= job_class.aim + job_class.stretch * work_ms:
                 self.result.in_time += 1
             duration = self.now - work.sent
-            self._tell_end(worker.name, work, api.Result.OK, duration, final=True)
+            self._tell_end(worker.name, work, AttemptResult.OK, duration, final=True)
         self._start_next(worker)
 
     def _cancel(self, name: str, attempt: int) -> None:
         work = self._open.pop((name, attempt), None)
         if work is not None:
-            worker = self.schedulers[work.scheduler].jobs[name].attempts[attempt].worker.name
-            self._tell_end(worker, work, api.Result.CANCELLED, self.now - work.sent, final=False)
+            worker = self.schedulers[work.scheduler].state.jobs[name].attempts[attempt].worker.name
+            self._tell_end(worker, work, AttemptResult.CANCELLED, self.now - work.sent, final=False)
 
     def _tell_end(
-        self, worker: str, work: Work, result: api.Result, duration: float, final: bool
+        self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool
     ) -> None:  # fmt: skip
         at = self.workers[worker]
         report = {"free_slots": float(at.slots - at.running), "waiting": float(len(at.queue))}
-        outcome = api.Outcome(work.request, work.attempt, worker, result, duration, final, report)
+        outcome = AttemptEnded(work.request, work.attempt, worker, result, duration, final, report)
         self._hand(work.scheduler, outcome)
 
 
--- a/benchmarks/decision_replay.py
+++ b/benchmarks/decision_replay.py
@@ -25,8 +25,15 @@
 
 import orjson
 
-from oxbowyard.decision import interface as api
 from oxbowyard.decision import snapshot
+from oxbowyard.decision.events import (
+    EndpointsChanged,
+    Event,
+    PeerFaultsChanged,
+    Scope,
+    WorkerFault,
+    WorkerInfo,
+)
 from oxbowyard.handover import learned
 from oxbowyard.simhost import Link
 
@@ -34,18 +41,18 @@
 CONNECT_TIMEOUT_MS = 250.0
 
 
-def peer_faults(rows: list[tuple[str, float, float]]) -> api.Event:
+def peer_faults(rows: list[tuple[str, float, float]]) -> Event:
     """What peers tell of workers: name, how long it is to be spared yet, since when it is cold."""
-    return api.Troubles(tuple(api.Trouble(*row) for row in rows))
+    return PeerFaultsChanged(tuple(WorkerFault(*row) for row in rows))
 
 
-def private_workers(names: list[str], classes: list[str], slots: int) -> api.Event:
+def private_workers(names: list[str], classes: list[str], slots: int) -> Event:
     """Workers that connected to this scheduler alone and run some classes only."""
     workers = tuple(
-        api.WorkerInfo(name, classes=frozenset(classes), slots=slots, private=True, kind="private")
+        WorkerInfo(name, classes=frozenset(classes), slots=slots, private=True, kind="private")
         for name in names
     )
-    return api.WorkerList(api.Scope.CHANGES, workers)
+    return EndpointsChanged(Scope.CHANGES, workers)
 
 
 @dataclass(frozen=True)
@@ -323,7 +330,7 @@
         replies = self.link.message(self.now, message)
         self.carry_out(replies)
 
-    def give(self, who: int, event: api.Event) -> None:
+    def give(self, who: int, event: Event) -> None:
         """The same for an event that the wire has no line for."""
         from oxbowyard.simhost import encode
 
@@ -577,12 +584,12 @@
     def take_snapshots(self) -> None:
         """What is handed to a successor counts too."""
         for who in sorted(self.link.instances):
-            self.digest.update(learned.encode(snapshot.take(self.link.instances[who], self.now), 1))
+            self.digest.update(learned.encode(snapshot.take(self.link.instances[who].state, self.now), 1))
         self.at(SNAPSHOT_EVERY_MS, self.take_snapshots)
 
     def replace(self) -> None:
         """Scheduler 0 ends; its successor goes on from its estimates. Its requests end with it."""
-        text = learned.encode(snapshot.take(self.link.instances[0], self.now), 1)
+        text = learned.encode(snapshot.take(self.link.instances[0].state, self.now), 1)
         self.tell(["powerOff", 0])
         for request in self.requests.values():
             if request.who == 0:
@@ -593,7 +600,7 @@
             worker.running = [a for a in worker.running if not a.over]
             worker.queue = [a for a in worker.queue if not a.over]
         self.start(0)
-        snapshot.adopt(self.link.instances[0], learned.decode(text, 1, self.now), self.now)
+        snapshot.adopt(self.link.instances[0].state, learned.decode(text, 1, self.now), self.now)
 
 
 @dataclass(frozen=True)
--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -18,7 +18,7 @@
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.daemon.collector import spare_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
-from oxbowyard.decision.interface import JobClass, Settings
+from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.waiting.order import Final, Parent, State, Wait
 from oxbowyard.waiting.room import WaitingRoom
 from oxbowyard.waiting.settings import WaitingSettings
--- a/oxbowyard/core/measure.py
+++ b/oxbowyard/core/measure.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..decision.interface import JobClass
+from ..decision.settings import JobClass
 from .req import Kind
 
 RUN_SAMPLES = 200  # the mean running time of a class follows about so many reqs
--- a/oxbowyard/core/retune.py
+++ b/oxbowyard/core/retune.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, replace
 
-from ..decision.interface import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, Repeat, Settings
 
 STRICTNESS = (Repeat.FREE, Repeat.GUARDED, Repeat.SINGLE_SHOT)  # from the most lenient
 
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -11,27 +11,27 @@
 from itertools import chain
 
 from ..decision.facade import (
-    Ask,
-    Began,
-    Cancel,
+    AttemptEnded,
+    AttemptStarted,
+    CancelAttempt,
     Capacity,
-    Decision,
-    Ended,
+    ClientDisconnected,
+    Decisions,
     Facade,
-    Fail,
-    Fetch,
-    Hold,
-    Left,
+    FailRequest,
+    QueueRequest,
     Readiness,
-    Refuse,
+    RejectRequest,
+    RequestAction,
+    RequestReceived,
     Result,
     Scope,
     Snapshot,
-    Trouble,
-    Turn,
+    StartAttempt,
+    WorkerFault,
     WorkerInfo,
 )
-from ..decision.interface import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, Repeat, Settings
 from .measure import ServiceMeasure
 from .req import Answer, BackendTransport, Ending, FetchNotes, Kind, Note, Ran, Req
 
@@ -109,7 +109,7 @@
     # ---- For the fronts ----
 
     async def serve(self, req: Req) -> Answer:
-        """Take a req and wait for its final answer. Cancel this when its client has gone."""
+        """Take a req and wait for its final answer. CancelAttempt this when its client has gone."""
         if req.id in self._open:  # a second copy could run beside the first
             return Answer(Kind.FAILED, reason="a req with this id is open")
         self.measure.asked(req.job_class, req.is_retry)
@@ -127,7 +127,7 @@
         """Other classes and fetches for the reqs taken from now on; those open keep theirs."""
         self._max_fetches = min(settings.max_attempts, self._limits.fetches)
         self._windows = {c.name: _window(c) for c in settings.classes}
-        self._facade.retune(settings)
+        self._facade.replace_classes(settings)
         self.measure.retune(settings.classes)
 
     def learn(self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str = "discovery") -> None:
@@ -142,11 +142,11 @@
         if scope is not Scope.CHANGES:
             others = (rows.values() for name, rows in self._listed.items() if name != source)
             backends = (*backends, *chain.from_iterable(others))
-        self._follow(self._facade.learn(scope, backends))
+        self._follow(self._facade.update_endpoints(scope, backends))
 
     def reckon(self, siblings: int) -> None:
         """So many schedulers send to the same backends from now on."""
-        self._facade.reckon(siblings)
+        self._facade.set_scheduler_count(siblings)
 
     def snapshot(self) -> Snapshot:
         """What the decisions have learned, for a process that replaces this one."""
@@ -156,7 +156,7 @@
         """Go on from what the process that this one replaces has learned."""
         self._facade.adopt(learned)
 
-    def troubles(self) -> list[Trouble]:
+    def troubles(self) -> list[WorkerFault]:
         """Backends that own fetches show to be in trouble; it walks all of them. A cold start that the list
         tells is left out: all are told it."""
         told: dict[str, float] = {}
@@ -164,13 +164,13 @@
             told |= {name: info.online_since for name, info in rows.items() if info.online_since}
         found = (
             replace(t, since=0.0) if t.since <= told.get(t.worker, 0.0) else t
-            for t in self._facade.troubles()
+            for t in self._facade.worker_faults()
         )
         return [t for t in found if t.lasts or t.since]
 
-    def hear(self, troubles: tuple[Trouble, ...]) -> None:
+    def hear(self, troubles: tuple[WorkerFault, ...]) -> None:
         """Take what other schedulers tell of backends' troubles, all that holds now."""
-        self._follow(self._facade.hear(troubles))
+        self._follow(self._facade.apply_peer_faults(troubles))
 
     @property
     def open_count(self) -> int:
@@ -215,8 +215,10 @@
         self._open_by_class[req.job_class] += 1
         self._idle.clear()
         entry.alarm = self._loop.call_at(deadline - ANSWER_AHEAD, self._expire, entry)
-        ask = Ask(req.id, req.job_class, req.patience * 1000, req.key, req.tenant, req.slots, req.is_retry)
-        self._follow(self._facade.pick(ask), entry)
+        ask = RequestReceived(
+            req.id, req.job_class, req.patience * 1000, req.key, req.tenant, req.slots, req.is_retry
+        )
+        self._follow(self._facade.decide(ask), entry)
         return entry
 
     def _finish(self, entry: _Open, answer: Answer) -> None:
@@ -249,7 +251,7 @@
         if entry.alarm:
             entry.alarm.cancel()
         self.measure.answered(entry.req.job_class, Kind.LEFT, self._loop.time() - entry.taken_at, None)
-        self._follow(self._facade.report(Left(entry.req.id)))
+        self._follow(self._facade.report(ClientDisconnected(entry.req.id)))
         self._call_off(entry)
         self._let_go(entry)
 
@@ -272,7 +274,7 @@
         kind = Kind.REFUSED if self._harmless_to_retry(entry) else Kind.FAILED
         wait = self._busy_wait if kind is Kind.REFUSED else 0.0
         self._finish(entry, _answer(entry, kind, reason, wait))
-        self._follow(self._facade.report(Left(entry.req.id)))
+        self._follow(self._facade.report(ClientDisconnected(entry.req.id)))
 
     def _harmless_to_retry(self, entry: _Open) -> bool:
         out = entry.notes is not None and entry.notes.written
@@ -280,20 +282,20 @@
 
     # ---- Decisions ----
 
-    def _follow(self, turn: Turn, about: _Open | None = None) -> None:
+    def _follow(self, turn: Decisions, about: _Open | None = None) -> None:
         """Carry out every decision of a turn, whichever reqs they are for, and set the next tick."""
         if turn.fault is not None:
             log.error("decision fault: %r", turn.fault, exc_info=turn.fault)
-        for decision in turn.decisions:
+        for decision in turn.actions:
             try:
                 self._carry_out(decision)
             except Exception:
                 log.exception("could not carry out %s", decision)
-                if entry := self._open.get(decision.req):
+                if entry := self._open.get(decision.request_id):
                     self._answer_ourselves(entry, "internal fault")
         if turn.fault is not None and about is not None and about.task is None:
             self._answer_ourselves(about, "internal fault")
-        self._set_ticker(turn.next_tick)
+        self._set_ticker(turn.next_tick_ms)
 
     def _set_ticker(self, due: float | None) -> None:
         if self._ticker is not None:
@@ -306,23 +308,23 @@
         self._ticker = None
         self._follow(self._facade.tick(self._clock()))
 
-    def _carry_out(self, decision: Decision) -> None:
-        entry = self._open.get(decision.req)
+    def _carry_out(self, decision: RequestAction) -> None:
+        entry = self._open.get(decision.request_id)
         if entry is None:  # answered without the decisions; a fetch that never was must not count as out
-            if isinstance(decision, Fetch):
+            if isinstance(decision, StartAttempt):
                 self._loop.call_soon(self._report_unsent, decision, True)
             return
         match decision:
-            case Fetch():
+            case StartAttempt():
                 self._fetch(entry, decision)
-            case Refuse(retry_after=wait):
+            case RejectRequest(retry_after_ms=wait):
                 self._refuse(entry, wait / 1000)
-            case Fail():
+            case FailRequest():
                 self._finish(entry, _answer(entry, Kind.FAILED, "given up"))
-            case Cancel(number=number):
+            case CancelAttempt(attempt=number):
                 if number == entry.fetches - 1:
                     self._call_off(entry)
-            case Hold():
+            case QueueRequest():
                 pass
 
     def _refuse(self, entry: _Open, retry_after: float) -> None:
@@ -334,53 +336,55 @@
 
     # ---- Fetches ----
 
-    def _fetch(self, entry: _Open, decision: Fetch) -> None:
+    def _fetch(self, entry: _Open, decision: StartAttempt) -> None:
         left = entry.deadline - ANSWER_AHEAD - self._loop.time()
         barred = entry.may_have_run and entry.window is None
         if entry.answer.done() or entry.task or entry.fetches >= entry.most_fetches or left <= 0 or barred:
-            log.warning("req %s: fetch %d to %s not sent", entry.req.id, decision.number, decision.backend)
+            log.warning("req %s: fetch %d to %s not sent", entry.req.id, decision.attempt, decision.worker)
             entry.fetches += 1
             self._loop.call_soon(self._report_unsent, decision, entry.answer.done())
             return
         entry.fetches += 1
         entry.calling_off = False
         entry.began_at = None
-        wait = min(left, decision.timeout / 1000) if decision.timeout > 0 else left
+        wait = min(left, decision.timeout_ms / 1000) if decision.timeout_ms > 0 else left
         entry.notes = FetchNotes(
             wait, lambda: self._began(entry, decision), lambda note: self._note(entry, decision, note),
             entry.repeat_by,
         )  # fmt: skip
         entry.task = self._loop.create_task(self._run(entry.req, decision, entry.notes, wait))
         sent_at = self._loop.time()
-        log.debug("fetch %d of req %s (%s) to %s", decision.number, entry.req.id, entry.req.job_class,
-                  decision.backend)  # fmt: skip
+        log.debug("fetch %d of req %s (%s) to %s", decision.attempt, entry.req.id, entry.req.job_class,
+                  decision.worker)  # fmt: skip
         # A task cancelled before its first step never enters its body: only its end is sure to be told.
         entry.task.add_done_callback(lambda task: self._ended(entry, decision, task, sent_at))
 
-    def _report_unsent(self, decision: Fetch, final: bool) -> None:
-        outcome = Ended(decision.req, decision.number, decision.backend, Result.NOT_SENT, final=final)
-        self._follow(self._facade.report(outcome), self._open.get(decision.req))
+    def _report_unsent(self, decision: StartAttempt, final: bool) -> None:
+        outcome = AttemptEnded(
+            decision.request_id, decision.attempt, decision.worker, Result.NOT_SENT, final=final
+        )
+        self._follow(self._facade.report(outcome), self._open.get(decision.request_id))
 
-    def _began(self, entry: _Open, decision: Fetch) -> None:
+    def _began(self, entry: _Open, decision: StartAttempt) -> None:
         entry.began_at = self._loop.time()
-        log.debug("fetch %d of req %s began at %s", decision.number, entry.req.id, decision.backend)
+        log.debug("fetch %d of req %s began at %s", decision.attempt, entry.req.id, decision.worker)
         if entry.req.on_running:
             entry.req.on_running(True)
-        self._follow(self._facade.report(Began(entry.req.id, decision.number, decision.backend)))
+        self._follow(self._facade.report(AttemptStarted(entry.req.id, decision.attempt, decision.worker)))
 
-    def _note(self, entry: _Open, decision: Fetch, note: Note) -> None:
-        current = decision.number == entry.fetches - 1
+    def _note(self, entry: _Open, decision: StartAttempt, note: Note) -> None:
+        current = decision.attempt == entry.fetches - 1
         if current and entry.req.on_note and not entry.answer.done():
             entry.req.on_note(note)
 
-    async def _run(self, req: Req, decision: Fetch, notes: FetchNotes, wait: float) -> Ending:
+    async def _run(self, req: Req, decision: StartAttempt, notes: FetchNotes, wait: float) -> Ending:
         try:
             async with asyncio.timeout(wait):
-                return await self._transport.fetch(decision.backend, req, notes)
+                return await self._transport.fetch(decision.worker, req, notes)
         except TimeoutError:
             return Ending(Result.TIMEOUT if notes.written else Result.NOT_SENT, reason="timed out")
         except Exception as failure:
-            log.exception("fetch of req %s at %s failed in our own code", req.id, decision.backend)
+            log.exception("fetch of req %s at %s failed in our own code", req.id, decision.worker)
             return Ending(Result.ERROR if notes.written else Result.NOT_SENT, reason=repr(failure))
 
     def _cut(self, entry: _Open) -> Ending:
@@ -388,7 +392,9 @@
             return Ending(Result.NOT_SENT, reason="called off unsent")
         return Ending(Result.TIMEOUT if entry.expired else Result.CANCELLED, reason="called off")
 
-    def _ended(self, entry: _Open, decision: Fetch, task: asyncio.Task[Ending], sent_at: float) -> None:
+    def _ended(
+        self, entry: _Open, decision: StartAttempt, task: asyncio.Task[Ending], sent_at: float
+    ) -> None:
         ending = self._cut(entry) if task.cancelled() else task.result()
         duration = (self._loop.time() - sent_at) * 1000
         entry.task, entry.notes = None, None
@@ -400,19 +406,19 @@
         entry.may_run_on |= ending.result in NO_END_SEEN
         if ending.result is not Result.OK:
             log.info(
-                "fetch %d of req %s (%s) at %s: %s after %.0f ms, %s", decision.number, entry.req.id,
-                entry.req.job_class, decision.backend, ending.result.value, duration, ending.reason,
+                "fetch %d of req %s (%s) at %s: %s after %.0f ms, %s", decision.attempt, entry.req.id,
+                entry.req.job_class, decision.worker, ending.result.value, duration, ending.reason,
             )  # fmt: skip
         else:
-            log.debug("fetch %d of req %s served by %s after %.0f ms, %s", decision.number, entry.req.id,
-                      decision.backend, duration, ending.load)  # fmt: skip
+            log.debug("fetch %d of req %s served by %s after %.0f ms, %s", decision.attempt, entry.req.id,
+                      decision.worker, duration, ending.load)  # fmt: skip
             if entry.began_at is not None:
                 entry.ran = self._loop.time() - entry.began_at
         if ending.result is Result.OK:
             self._finish(entry, Answer(Kind.SERVED, ending.body, ran=Ran.YES))
         final = entry.answer.done()
-        outcome = Ended(
-            entry.req.id, decision.number, decision.backend, ending.result, duration, final, ending.load
+        outcome = AttemptEnded(
+            entry.req.id, decision.attempt, decision.worker, ending.result, duration, final, ending.load
         )
         self._let_go(entry)
         self._follow(self._facade.report(outcome), entry)
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -16,7 +16,7 @@
 from ..core.req import BackendTransport, RoutedTransport
 from ..core.scheduler import Limits, Scheduler
 from ..decision.facade import Facade
-from ..decision.interface import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, Repeat, Settings
 from ..discovery.call_schedule import CallSchedule
 from ..discovery.registry import Registry
 from ..discovery.watch import DiscoveryClient
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from ..decision.facts import load_names, settings_of
-from ..decision.interface import Settings
+from ..decision.platform_settings import load_names, settings_of
+from ..decision.settings import Settings
 
 
 class BadConfig(Exception):
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -20,7 +20,7 @@
 from ..control.handlers import AdminHandlers, Sources
 from ..control.maintenance import FOLLOW_EVERY, Maintenance, MaintenanceFile
 from ..core.retune import live_part_only, retune
-from ..decision.interface import Settings
+from ..decision.settings import Settings
 from ..gearman.config import GearmanConfig
 from ..handover.files import BEAT_EVERY, Marks
 from ..handover.learned import LearnedFile
--- a/oxbowyard/decision/facade.py
+++ b/oxbowyard/decision/facade.py
@@ -1,7 +1,7 @@
-"""The decisions in blocking style: `pick` for a new req, `report` for what became of it, `tick` for time.
+"""The decisions with a clock and timers, for callers that block: the daemon's core and embedding programs.
 
-Every call answers at once with a `Turn`: the decisions to carry out, in order, and when to tick next. A call
-about one req may yield decisions for others. The module's events and actions stay behind this page.
+Every call answers at once with `Decisions`: the actions to carry out, in order, and when to call `tick` next.
+A call about one request may decide about others. What the dispatcher raises is returned, not raised.
 """
 
 from __future__ import annotations
@@ -9,273 +9,209 @@
 import heapq
 import itertools
 import logging
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 
-from . import interface as api
 from . import snapshot
-from .choice import Dispatcher
-from .interface import Readiness, Result, Scope, Trouble, WorkerInfo
+from .actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    QueueRequest,
+    RejectRequest,
+    RequestAction,
+    SetTimer,
+    StartAttempt,
+)
+from .dispatcher import Dispatcher
+from .events import (
+    NEVER_RAN,
+    AttemptEnded,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointsChanged,
+    Event,
+    PeerFaultsChanged,
+    Readiness,
+    RequestReceived,
+    Result,
+    Scope,
+    TimerFired,
+    WorkerFault,
+    WorkerInfo,
+)
+from .outlier_detection import is_stalled
+from .settings import Settings
+from .slow_start import warmth
 from .snapshot import Snapshot
 
 __all__ = [
-    "Ask", "Began", "Cancel", "Capacity", "Decision", "Ended", "Facade", "Fail", "Fetch", "Hold", "Left",
-    "Outcome", "Readiness", "Refuse", "Result", "Scope", "Snapshot", "Trouble", "Turn", "WorkerInfo",
-]  # fmt: skip
+    "NEVER_RAN",
+    "AttemptEnded",
+    "AttemptStarted",
+    "CancelAttempt",
+    "Capacity",
+    "ClientDisconnected",
+    "Decisions",
+    "Facade",
+    "FailRequest",
+    "QueueRequest",
+    "Readiness",
+    "RejectRequest",
+    "RequestAction",
+    "RequestReceived",
+    "Result",
+    "Scope",
+    "Snapshot",
+    "StartAttempt",
+    "WorkerFault",
+    "WorkerInfo",
+]
 
 log = logging.getLogger("oxbowyard.decision")
 
-STANDS_FOR = 1000.0  # milliseconds for which a worker that stands still is told to do so
+STALL_REPORT_MS = 1000.0  # how long peers should avoid a worker that is stalled
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A req as the decisions see it; times in milliseconds."""
+class Decisions:
+    """What to do now, and the clock time in milliseconds of the next tick (None: none is needed)."""
 
-    id: str
-    job_class: str
-    time_left: float
-    key: str | None = None
-    tenant: str | None = None
-    slots: int = 1
-    is_retry: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class Began:
-    """A backend started to run a fetch."""
-
-    req: str
-    number: int
-    backend: str
-
-
-@dataclass(slots=True, frozen=True)
-class Ended:
-    """How a fetch ended; `final` if its req has its answer, by this or from before."""
-
-    req: str
-    number: int
-    backend: str
-    result: Result
-    duration: float = 0.0
-    final: bool = False
-    load: Mapping[str, float] = field(default_factory=dict)
-
-
-@dataclass(slots=True, frozen=True)
-class Left:
-    """The client left, or the req was answered without the decisions: nothing is owed any more."""
-
-    req: str
-
-
-Outcome = Began | Ended | Left
-
-
-@dataclass(slots=True, frozen=True)
-class Fetch:
-    """Send the req to a backend; number counts its fetches from 0. Timeout 0: until the deadline."""
-
-    req: str
-    number: int
-    backend: str
-    timeout: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: turned away, a new try does no harm."""
-
-    req: str
-    retry_after: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class Fail:
-    """Final answer: failed, with no promise about its effect."""
-
-    req: str
-
-
-@dataclass(slots=True, frozen=True)
-class Cancel:
-    """Stop a fetch; its `Ended` is still to be reported."""
-
-    req: str
-    number: int
-
-
-@dataclass(slots=True, frozen=True)
-class Hold:
-    """Nothing yet: a later call decides about the req."""
-
-    req: str
-
-
-Decision = Fetch | Refuse | Fail | Cancel | Hold
-
-
-@dataclass(slots=True, frozen=True)
-class Turn:
-    """What to do now, and the clock time of the next tick (None: no need)."""
-
-    decisions: tuple[Decision, ...]
-    next_tick: float | None
-    fault: Exception | None = None  # the module raised; what it had decided before that is kept
+    actions: tuple[RequestAction, ...]
+    next_tick_ms: float | None
+    fault: Exception | None = None  # raised by the dispatcher; `actions` holds what it had decided before
 
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """What the listed backends that may run a class are reckoned to do, all that this dispatcher may use."""
+    """What the listed workers that may run a class can do, as far as this dispatcher may use them."""
 
-    backends: int  # ready ones
-    slots: float  # jobs at once before others begin to wait; a cold backend counts by its warmth
+    workers: int  # ready ones
+    slots: float  # jobs at once before others wait; a cold worker counts by its warmth
     private: bool  # they take jobs from this dispatcher alone
 
 
 class Facade:
-    """One dispatcher, its clock and its timers."""
+    """One dispatcher with its clock and its timers. `clock` returns milliseconds and may step back."""
 
-    def __init__(self, settings: api.Settings, seed: int, clock: Callable[[], float]) -> None:
+    def __init__(self, settings: Settings, seed: int, clock: Callable[[], float]) -> None:
         self._dispatcher = Dispatcher(settings, seed)
-        self._siblings = settings.siblings
+        self._state = self._dispatcher.state
+        self._schedulers = settings.siblings
         self._clock = clock
-        self._last = clock()
-        self._timers: list[tuple[float, int, int]] = []
-        self._order = itertools.count()
-        self._sent: dict[str, int] = {}  # fetches so far of reqs that may still be fetched
-
-    def retune(self, settings: api.Settings) -> None:
-        """Other classes and fetches from now on; a req taken keeps the class it came with."""
-        dispatcher = self._dispatcher
-        dispatcher.settings = replace(
-            dispatcher.settings, classes=settings.classes, max_attempts=settings.max_attempts
-        )
-        dispatcher.classes = {c.name: c for c in settings.classes}
-
-    def learn(self, scope: Scope, backends: tuple[WorkerInfo, ...]) -> Turn:
-        """Take a list, or a change of it, from the discovery client."""
-        return self._call(api.WorkerList(scope, backends))
-
-    def reckon(self, siblings: int) -> None:
-        """So many dispatchers send to the same workers from now on, this one included. Quotas, and whether
-        own traffic shows enough to go by, stay as the settings say."""
-        self._siblings = max(siblings, 1)
-        dispatcher = self._dispatcher
-        dispatcher.settings = replace(dispatcher.settings, siblings=self._siblings)
+        self._now_ms = clock()
+        self._timers: list[tuple[float, int, int]] = []  # due time, order of setting, tag
+        self._timer_order = itertools.count()
+
+    def replace_classes(self, settings: Settings) -> None:
+        """Use the classes and the number of attempts of these settings for requests received from now on."""
+        self._state.replace_classes(settings.classes, settings.max_attempts)
+
+    def set_scheduler_count(self, count: int) -> None:
+        """Set how many dispatchers send to the same workers, this one included.
+
+        Quotas, and whether own traffic shows enough of a worker, stay as the settings say.
+        """
+        self._schedulers = max(count, 1)
+        self._state.settings = replace(self._state.settings, siblings=self._schedulers)
+
+    def update_endpoints(self, scope: Scope, workers: tuple[WorkerInfo, ...]) -> Decisions:
+        """Take an endpoint list, or changes of it, from service discovery."""
+        return self._handle(EndpointsChanged(scope, workers))
+
+    def apply_peer_faults(self, faults: tuple[WorkerFault, ...]) -> Decisions:
+        """Take all worker faults that peers report now; they may spare a worker, never expose it."""
+        return self._handle(PeerFaultsChanged(faults))
+
+    def decide(self, request: RequestReceived) -> Decisions:
+        """Decide about a new request; without a decision its action is QueueRequest."""
+        decisions = self._handle(request)
+        if decisions.fault or any(a.request_id == request.request_id for a in decisions.actions):
+            return decisions
+        actions = (*decisions.actions, QueueRequest(request.request_id))
+        return Decisions(actions, decisions.next_tick_ms)
+
+    def report(self, event: AttemptStarted | AttemptEnded | ClientDisconnected) -> Decisions:
+        """Report what became of an attempt or a client."""
+        return self._handle(event)
+
+    def tick(self, now: float) -> Decisions:
+        """Fire the timers that are due; call it at `Decisions.next_tick_ms`, or later."""
+        actions: list[RequestAction] = []
+        fault: Exception | None = None
+        while self._timers and self._timers[0][0] <= now:
+            _, _, tag = heapq.heappop(self._timers)
+            decisions = self._handle(TimerFired(tag), now)
+            actions += decisions.actions
+            fault = fault or decisions.fault
+        return Decisions(tuple(actions), self._next_tick_ms(), fault)
 
     def snapshot(self) -> Snapshot:
-        """What was learned, for a process that replaces this one."""
-        return snapshot.take(self._dispatcher, self._now())
-
-    def adopt(self, learned: Snapshot) -> None:
-        """Go on from what the process that this one replaces has learned."""
-        snapshot.adopt(self._dispatcher, learned, self._now())
-
-    def _now(self) -> float:
-        return max(self._last, self._clock())
-
-    def troubles(self) -> list[Trouble]:
-        """What this dispatcher's own traffic shows of workers in trouble. It walks the ready ones."""
-        dispatcher, now = self._dispatcher, self._now()
-        ramp, found = dispatcher.settings.ramp, []
-        for w in dispatcher.ready:
-            barred = w.barred_until - now if w.strikes >= 1 else 0.0
-            still = STANDS_FOR if w.waiting and dispatcher.stands(w, now) else 0.0
-            cold = w.since if 0 < w.since <= now < w.since + ramp else 0.0
-            if barred > 0 or still or cold:
-                found.append(Trouble(w.name, max(barred, still, 0.0), cold))
-        return found
-
-    def hear(self, troubles: tuple[Trouble, ...]) -> Turn:
-        """Take what peers tell of workers, all that holds now: it may spare a worker, and never the other
-        way round."""
-        return self._call(api.Troubles(troubles))
+        """The estimates, for a process that replaces this one."""
+        return snapshot.take(self._state, self._current_ms())
+
+    def adopt(self, estimates: Snapshot) -> None:
+        """Continue with the estimates of the process that this one replaces."""
+        snapshot.adopt(self._state, estimates, self._current_ms())
+
+    def worker_faults(self) -> list[WorkerFault]:
+        """Faults of workers that own traffic shows. It walks all ready workers."""
+        state, now = self._state, self._current_ms()
+        ramp = state.settings.ramp
+        faults = []
+        for worker in state.ready_workers:
+            ejected_ms = worker.ejected_until_ms - now if worker.failure_count >= 1 else 0.0
+            stalled_ms = STALL_REPORT_MS if is_stalled(worker, now) else 0.0
+            started = worker.started_at_ms
+            cold_since = started if 0 < started <= now < started + ramp else 0.0
+            if ejected_ms > 0 or stalled_ms or cold_since:
+                faults.append(WorkerFault(worker.name, max(ejected_ms, stalled_ms, 0.0), cold_since))
+        return faults
 
     def capacity(self, job_class: str) -> Capacity:
-        """What the ready backends for a class can do at once. It walks them: for callers that pace, not for
-        each req."""
-        dispatcher, now = self._dispatcher, self._now()
-        kind = dispatcher.classes.get(job_class, dispatcher.unknown).kind
-        fit = [w for w in dispatcher.ready if kind in (None, w.kind)]
-        fit = [w for w in fit if w.classes is None or job_class in w.classes]
-        slots = sum(w.pool.slots * dispatcher.warmth(w, now) for w in fit)
-        private = all(w.pool.private for w in fit)
-        return Capacity(len(fit), slots if private else slots / self._siblings, private)
-
-    def pick(self, req: Ask) -> Turn:
-        """Decide about a new req: fetch, refuse, fail or hold."""
-        event = api.Request(
-            req.id, req.job_class, req.time_left, req.key, req.tenant, req.slots, req.is_retry
-        )
-        self._sent[req.id] = 0
-        turn = self._call(event)
-        if turn.fault or any(d.req == req.id for d in turn.decisions):
-            return turn
-        return Turn((*turn.decisions, Hold(req.id)), turn.next_tick)
-
-    def report(self, outcome: Outcome) -> Turn:
-        """Tell what became of a fetch or a client."""
-        match outcome:
-            case Began():
-                return self._call(api.Started(outcome.req, outcome.number, outcome.backend))
-            case Left():
-                self._sent.pop(outcome.req, None)
-                return self._call(api.ClientGone(outcome.req))
-        if outcome.final:
-            self._sent.pop(outcome.req, None)
-        return self._call(
-            api.Outcome(
-                outcome.req, outcome.number, outcome.backend, outcome.result, outcome.duration,
-                outcome.final, outcome.load,
-            )
-        )  # fmt: skip
-
-    def tick(self, now: float) -> Turn:
-        """Let the timers that are due run; call it at the time that the last turn named, or later."""
-        decisions: list[Decision] = []
-        fault: Exception | None = None
-        while self._timers and self._timers[0][0] <= now:
-            turn = self._call(api.TimerDue(heapq.heappop(self._timers)[2]), now)
-            decisions += turn.decisions
-            fault = fault or turn.fault
-        return Turn(tuple(decisions), self._next_tick(), fault)
-
-    def _next_tick(self) -> float | None:
+        """What the ready workers for a class can do at once. It walks them: not for each request."""
+        state, now = self._state, self._current_ms()
+        kind = state.class_named(job_class).kind
+        workers = [
+            worker
+            for worker in state.ready_workers
+            if kind in (None, worker.kind) and (worker.classes is None or job_class in worker.classes)
+        ]
+        slots = sum(worker.pool.slots * warmth(state, worker, now) for worker in workers)
+        private = all(worker.pool.private for worker in workers)
+        return Capacity(len(workers), slots if private else slots / self._schedulers, private)
+
+    def _current_ms(self) -> float:
+        return max(self._now_ms, self._clock())
+
+    def _next_tick_ms(self) -> float | None:
         return self._timers[0][0] if self._timers else None
 
-    def _call(self, event: api.Event, now: float | None = None) -> Turn:
-        # The module's clock must never step back, whatever the system's does.
-        self._last = max(self._last, self._clock() if now is None else now)
+    def _handle(self, event: Event, now: float | None = None) -> Decisions:
+        # The dispatcher's time must never go back, whatever the system's clock does.
+        self._now_ms = max(self._now_ms, self._clock() if now is None else now)
         fault: Exception | None = None
         try:
-            actions = self._dispatcher.handle(self._last, event)
-        except Exception as failure:  # what it had decided by then stands, and must reach its reqs
-            actions, fault = self._dispatcher.out, failure
-        decisions = [d for action in actions if (d := self._translate(action))]
-        return Turn(tuple(decisions), self._next_tick(), fault)
-
-    def _translate(self, action: api.Action) -> Decision | None:
+            actions = self._dispatcher.handle(self._now_ms, event)
+        except Exception as failure:  # what it had decided by then stands, and must reach its requests
+            actions = self._state.actions
+            fault = failure
+        request_actions = tuple(a for action in actions if (a := self._carry_out(action)) is not None)
+        return Decisions(request_actions, self._next_tick_ms(), fault)
+
+    def _carry_out(self, action: Action) -> RequestAction | None:
+        """Carry out an action that concerns no request; return one that does."""
         match action:
-            case api.Send(id=id_, worker=worker, timeout=timeout):
-                number = self._sent.get(id_, 0)
-                self._sent[id_] = number + 1
-                return Fetch(id_, number, worker, timeout)
-            case api.Refuse(id=id_, backoff=backoff):
-                self._sent.pop(id_, None)
-                return Refuse(id_, backoff)
-            case api.Fail(id=id_):
-                self._sent.pop(id_, None)
-                return Fail(id_)
-            case api.Cancel(id=id_, attempt=attempt):
-                return Cancel(id_, attempt)
-            case api.SetTimer(tag=tag, delay=delay):
-                heapq.heappush(self._timers, (self._last + delay, next(self._order), tag))
-            case api.Close():  # every fetch opens a connection of its own: none is kept idle
+            case StartAttempt() | RejectRequest() | FailRequest() | CancelAttempt() | QueueRequest():
+                return action
+            case SetTimer(tag=tag, delay_ms=delay_ms):
+                heapq.heappush(self._timers, (self._now_ms + delay_ms, next(self._timer_order), tag))
+            case CloseIdleConnections():  # every attempt opens its own connection: none is idle
                 pass
-            case api.Record(text=text):
-                log.info("module: %s", text)
-            case _:  # the platform pushes its list and this design does not probe
-                log.warning("module asked for %s, which is not offered", type(action).__name__)
+            case LogMessage(text=text):
+                log.info("dispatcher message=%r", text)
+            case _:  # endpoint lists are pushed to it, and it does not probe
+                log.warning("dispatcher action not supported action=%s", type(action).__name__)
         return None
--- /dev/null
+++ b/oxbowyard/decision/observation.py
@@ -0,0 +1,148 @@
+"""What the starts and ends of attempts tell: queues, slots, service times, speeds and failures of workers."""
+
+from __future__ import annotations
+
+import math
+
+from . import outlier_detection
+from .affinity import reset_orders
+from .events import AttemptEnded, Result
+from .load_estimate import record_reported_jobs
+from .ranking import FAILURE_SPAN_MS, QUEUED_SHARE, record_speed
+from .state import MAX_SERVICE_TIME_RATIO, SERVICE_TIME_SAMPLES, Attempt, DispatcherState, Worker
+
+SLOTS_STEP = 0.1  # how far one start moves the estimated slots
+QUEUE_WAIT_SAMPLES = 6  # starts over which a pool's mean wait is taken
+CONNECTION_COST_SAMPLES = 8
+SERVICE_TIME_RATIO_SAMPLES = 50
+REHASH_TOLERANCE = 0.15  # a service time ratio that has moved this far changes the keys' orders
+
+UNSTARTED_FAILURE_SCORE = 0.25  # a job that never started tells less than one that failed
+MAX_UNSTARTED_FAILURES = 0.5  # it may have waited in a queue that own traffic does not show
+SUCCESS_FAILURE_FACTOR = 0.7  # of the failure score, what a success leaves
+ANSWERS = (Result.OK, Result.ERROR, Result.FULL)
+
+
+def observe_start(state: DispatcherState, attempt: Attempt, now: float) -> None:
+    """A worker began to run an attempt."""
+    worker, pool = attempt.worker, attempt.worker.pool
+    worker.last_progress_at_ms = now
+    if state.settings.in_turn:
+        outlier_detection.record_lost_jobs(state, attempt, now)
+    # A worker is taken to cache the data of as many keys as it runs jobs.
+    attempt.key_was_cached = worker.cached_keys.touch(attempt.job.key.key_hash, pool.max_concurrency)
+    pool.max_concurrency = max(pool.max_concurrency, len(worker.running))
+    pool.first_start_at_ms = min(pool.first_start_at_ms, now)
+    start_delay_ms = now - attempt.sent_at_ms
+    worker.min_start_delay_ms = min(worker.min_start_delay_ms, start_delay_ms)
+    worker.queue_wait_ms = start_delay_ms - worker.min_start_delay_ms
+    worker.queue_wait_at_ms = now
+    if attempt.opens_connection:
+        worker.open_connections += 1
+        price_ms = max(worker.queue_wait_ms - pool.mean_queue_wait_ms, 0.0)
+        _record_connection_cost(state, price_ms)
+    pool.mean_queue_wait_ms += (worker.queue_wait_ms - pool.mean_queue_wait_ms) / QUEUE_WAIT_SAMPLES
+    was_queued = worker.queue_wait_ms > QUEUED_SHARE * pool.mean_service_time_ms
+    if not was_queued and worker not in state.recent_idle_workers:
+        state.recent_idle_workers.append(worker)
+    _adjust_slots(state, attempt, was_queued)
+
+
+def _adjust_slots(state: DispatcherState, attempt: Attempt, was_queued: bool) -> None:
+    """Move the pool's slots towards the load at which this job was queued, or was not."""
+    pool = attempt.worker.pool
+    # Where the load is a mean the true one may be larger by its deviation.
+    load = attempt.load_before + math.sqrt(attempt.load_before * state.unobserved_share)
+    if pool.mean_service_time_ms and was_queued == (load < pool.slots):
+        pool.slots = max(pool.slots + SLOTS_STEP * (load - pool.slots), pool.min_slots)
+
+
+def observe_end(state: DispatcherState, attempt: Attempt, event: AttemptEnded, now: float) -> None:
+    """An attempt ended."""
+    worker, result = attempt.worker, event.result
+    has_started = attempt.started_at_ms >= 0
+    if not has_started and result in (Result.TIMEOUT, Result.CANCELLED):
+        failures = min(2 * state.unobserved_share**2, MAX_UNSTARTED_FAILURES)
+        outlier_detection.record_class_failure(state, worker, attempt.job.job_class, failures, now)
+        worker.failure_score.add(UNSTARTED_FAILURE_SCORE, now, FAILURE_SPAN_MS)
+    if result in ANSWERS:
+        worker.last_progress_at_ms = now
+    if has_started:
+        record_speed(state, attempt, result is Result.OK, now)
+    _observe_result(state, attempt, event, now)
+    if "free_slots" in event.load:
+        _observe_load_report(worker, event, now)
+
+
+def _observe_result(state: DispatcherState, attempt: Attempt, event: AttemptEnded, now: float) -> None:
+    worker, job_class = attempt.worker, attempt.job.job_class
+    match event.result:
+        case Result.OK:
+            _observe_success(state, attempt, now)
+        case Result.UNREACHABLE | Result.RESET:
+            _observe_connection_failure(state, worker, event, now)
+        case Result.ERROR:
+            outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
+            worker.failure_score.add(1.0, now, FAILURE_SPAN_MS)
+        case Result.FULL if attempt.load_before < worker.pool.slots and not worker.pool.private:
+            # It has free slots: it rejects the class.
+            outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
+        case Result.FULL:
+            worker.queue_wait_ms = worker.pool.mean_service_time_ms
+            worker.queue_wait_at_ms = now
+
+
+def _observe_success(state: DispatcherState, attempt: Attempt, now: float) -> None:
+    worker, pool = attempt.worker, attempt.worker.pool
+    worker.class_ejections.pop(attempt.job.job_class, None)
+    worker.failure_score.value *= SUCCESS_FAILURE_FACTOR
+    outlier_detection.record_success(worker, now)
+    if attempt.started_at_ms < 0:
+        return
+    service_time = now - attempt.started_at_ms
+    pool.completed_jobs += 1
+    samples = min(pool.completed_jobs, SERVICE_TIME_SAMPLES)
+    pool.mean_service_time_ms += (service_time - pool.mean_service_time_ms) / samples
+    _record_service_time(state, attempt, service_time)
+
+
+def _record_service_time(state: DispatcherState, attempt: Attempt, service_time: float) -> None:
+    """The class's mean, what a fetch of a key's data adds to it, and the pool's ratio to it."""
+    name, worker, pool = attempt.job.job_class.name, attempt.worker, attempt.worker.pool
+    state.key_fetch_cost_ms.add(name, not attempt.key_was_cached, service_time)
+    class_mean = state.service_times_ms.add(name, service_time)
+    ratio = min(service_time / max(class_mean, 1.0), MAX_SERVICE_TIME_RATIO)
+    pool.service_time_ratio += (ratio - pool.service_time_ratio) / SERVICE_TIME_RATIO_SAMPLES
+    change = abs(pool.service_time_ratio / pool.hashed_service_time_ratio - 1)
+    if worker.weight != 1 and change > REHASH_TOLERANCE:
+        pool.hashed_service_time_ratio = pool.service_time_ratio
+        reset_orders(state)
+
+
+def _observe_connection_failure(
+    state: DispatcherState, worker: Worker, event: AttemptEnded, now: float
+) -> None:
+    worker.open_connections = 0
+    if event.result is Result.UNREACHABLE:
+        # The process of a dead worker refuses connections at once; a slow one lets them time out.
+        refused = event.duration_ms < state.settings.connect_timeout / 2
+        if refused and not worker.unreachable:
+            worker.unreachable = True
+            worker.unreachable_since_ms = now
+        _record_connection_cost(state, 2 * event.duration_ms)  # it takes another attempt
+    # A dead worker resets all its connections: if others hold, the fault may be the connection's.
+    is_lone_reset = event.result is Result.RESET and worker.in_flight
+    failures = outlier_detection.LONE_RESET_FAILURE if is_lone_reset else outlier_detection.FAILURE
+    outlier_detection.record_connection_failure(state, worker, failures, now)
+
+
+def _record_connection_cost(state: DispatcherState, cost_ms: float) -> None:
+    state.connection_cost_ms += (cost_ms - state.connection_cost_ms) / CONNECTION_COST_SAMPLES
+
+
+def _observe_load_report(worker: Worker, event: AttemptEnded, now: float) -> None:
+    pool, free_slots = worker.pool, event.load["free_slots"]
+    pool.max_concurrency = max(pool.max_concurrency, int(free_slots))
+    pool.slots = max(pool.slots, pool.max_concurrency)
+    jobs = pool.max_concurrency - free_slots + event.load.get("waiting", 0.0)
+    record_reported_jobs(worker, jobs, now)
--- /dev/null
+++ b/oxbowyard/decision/retry.py
@@ -0,0 +1,42 @@
+"""What may be attempted again, and where: no job that must not run twice is sent while it may have run."""
+
+from __future__ import annotations
+
+from .settings import JobClass, Repeat
+from .state import DispatcherState, Job, Worker
+
+
+def may_attempt(state: DispatcherState, job: Job, now: float) -> bool:
+    """Whether the job may have an attempt, or one more, at some worker."""
+    if len(job.attempts) >= state.settings.max_attempts:
+        return False
+    if job.deadline_ms - now <= state.tick_interval_ms:
+        return False
+    repeat = job.job_class.repeat
+    if job.first_run_worker is None or repeat is Repeat.FREE:
+        return True
+    return repeat is Repeat.GUARDED and now - job.first_run_at_ms < job.job_class.memory
+
+
+def may_attempt_at(job: Job, worker: Worker, now: float) -> bool:
+    """Whether this worker may run the job, given where an attempt may have run.
+
+    A keyed job is repeated only at workers that remember its first run, and while they do.
+    """
+    first_worker, job_class = job.first_run_worker, job.job_class
+    if first_worker is None or job_class.repeat is Repeat.FREE:
+        return True
+    if job_class.repeat is Repeat.SINGLE_SHOT or now - job.first_run_at_ms >= job_class.memory:
+        return False
+    if job_class.group == "all":
+        return True
+    if job_class.group == "zone":
+        return worker.zone == first_worker.zone
+    return worker.cell == first_worker.cell
+
+
+def is_harmless_anywhere(job_class: JobClass) -> bool:
+    """Whether a client's retry of a job that may have run does no harm, whichever worker gets it."""
+    if job_class.repeat is Repeat.FREE:
+        return True
+    return job_class.repeat is Repeat.GUARDED and job_class.group == "all"
--- a/oxbowyard/decision/snapshot.py
+++ b/oxbowyard/decision/snapshot.py
@@ -1,59 +1,62 @@
-"""What a dispatcher has learned, as plain data: a process that replaces another one goes on from it.
+"""A dispatcher's estimates as plain data, for the process that replaces it.
 
-Estimates alone, nothing that is owed: requests and attempts stay with the process that took them. Times are
-milliseconds of the dispatchers' common clock.
+Estimates alone: requests and attempts stay with the process that took them. Times are milliseconds of a clock
+that both processes share. `STORED_KEYS` names the fields as they are written to disk (`handover.learned`);
+they stay as they are while the names here may change.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .books import Fading, digest
-from .choice import Dispatcher, _Key, _Pool, _Worker
+from .estimators import DecayingScore
+from .outlier_detection import set_failure_count
+from .state import AffinityKey, ClassEjection, DispatcherState, Worker, WorkerPool
 
 VERSION = 1
-MAX_KEYS = 500  # sets of keys taken along, the hottest first
+MAX_KEYS = 500  # affinity sets that are handed over, those of the busiest keys
 
 
 @dataclass(slots=True)
 class PoolEstimates:
-    """The workers of one kind; the fields are those of `choice._Pool`."""
+    """The workers of one kind; the fields are those of `state.WorkerPool`."""
 
-    most: int
+    max_concurrency: int
     slots: float
-    pace: float
-    weighed: float
-    hold: float
-    wait: float
-    jobs: float
-    size: float
-    seen: int
-    began: float
+    service_time_ratio: float
+    hashed_service_time_ratio: float
+    mean_service_time_ms: float
+    mean_queue_wait_ms: float
+    mean_reported_jobs: float
+    largest_weight: float
+    completed_jobs: int
+    first_start_at_ms: float
 
 
 @dataclass(slots=True)
 class WorkerEstimates:
-    """One worker's load and health; the fields are those of `choice._Worker`."""
-
-    since: float
-    jobs: float
-    jobs_at: float
-    delay: float
-    delay_at: float
-    base: float
-    due: float
-    done: float
-    paced_at: float
-    doubt: float
-    doubt_at: float
-    strikes: float
-    barred_until: float
+    """The load and health of one worker; the fields are those of `state.Worker`."""
+
+    started_at_ms: float
+    reported_jobs: float
+    reported_at_ms: float
+    queue_wait_ms: float
+    queue_wait_at_ms: float
+    min_start_delay_ms: float
+    expected_completions: float
+    completions: float
+    completions_at_ms: float
+    failure_score: float
+    failure_score_at_ms: float
+    failure_count: float
+    ejected_until_ms: float
     unreachable: bool
-    down_at: float
-    faults: dict[str, tuple[float, float]] = field(default_factory=dict)  # by class: strikes, barred until
-    sends: list[float] = field(default_factory=list)  # while cold
-    kept: list[int] = field(default_factory=list)  # keys
+    unreachable_since_ms: float
+    class_ejections: dict[str, tuple[float, float]] = field(default_factory=dict)  # failures, until when
+    cold_sends_at_ms: list[float] = field(default_factory=list)
+    cached_keys: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -62,118 +65,207 @@
 
     name: str
     kind: str | None
-    size: int
-    heat: float
-    heat_at: float
-    changed: float
+    set_size: int
+    recent_requests: float
+    last_request_at_ms: float
+    resized_at_ms: float
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """All of it, as it was at `at`."""
+    """All estimates of a dispatcher at `taken_at_ms`."""
 
     version: int
-    at: float
-    holds: dict[str, tuple[int, float]]
-    price_with: dict[str, tuple[int, float]]
-    price_without: dict[str, tuple[int, float]]
-    price: float
-    connect: float
-    fleet: float
-    heat: float
-    part: float
+    taken_at_ms: float
+    service_times_ms: dict[str, tuple[int, float]]
+    service_times_with_fetch_ms: dict[str, tuple[int, float]]
+    service_times_without_fetch_ms: dict[str, tuple[int, float]]
+    key_fetch_cost_ms: float
+    connection_cost_ms: float
+    mean_worker_in_flight: float
+    recent_requests: float
+    traffic_share: float
     pools: dict[str, PoolEstimates]
     workers: dict[str, WorkerEstimates]
     keys: list[KeyEstimates]
 
 
-def take(dispatcher: Dispatcher, now: float) -> Snapshot:
-    """What it has learned by now."""
-    hottest = sorted(dispatcher.keys.items(), key=lambda item: item[1].heat, reverse=True)
+STORED_KEYS: Mapping[type, Mapping[str, str]] = {
+    PoolEstimates: {
+        "max_concurrency": "most",
+        "slots": "slots",
+        "service_time_ratio": "pace",
+        "hashed_service_time_ratio": "weighed",
+        "mean_service_time_ms": "hold",
+        "mean_queue_wait_ms": "wait",
+        "mean_reported_jobs": "jobs",
+        "largest_weight": "size",
+        "completed_jobs": "seen",
+        "first_start_at_ms": "began",
+    },
+    WorkerEstimates: {
+        "started_at_ms": "since",
+        "reported_jobs": "jobs",
+        "reported_at_ms": "jobs_at",
+        "queue_wait_ms": "delay",
+        "queue_wait_at_ms": "delay_at",
+        "min_start_delay_ms": "base",
+        "expected_completions": "due",
+        "completions": "done",
+        "completions_at_ms": "paced_at",
+        "failure_score": "doubt",
+        "failure_score_at_ms": "doubt_at",
+        "failure_count": "strikes",
+        "ejected_until_ms": "barred_until",
+        "unreachable": "unreachable",
+        "unreachable_since_ms": "down_at",
+        "class_ejections": "faults",
+        "cold_sends_at_ms": "sends",
+        "cached_keys": "kept",
+    },
+    KeyEstimates: {
+        "name": "name",
+        "kind": "kind",
+        "set_size": "size",
+        "recent_requests": "heat",
+        "last_request_at_ms": "heat_at",
+        "resized_at_ms": "changed",
+    },
+    Snapshot: {
+        "version": "version",
+        "taken_at_ms": "at",
+        "service_times_ms": "holds",
+        "service_times_with_fetch_ms": "price_with",
+        "service_times_without_fetch_ms": "price_without",
+        "key_fetch_cost_ms": "price",
+        "connection_cost_ms": "connect",
+        "mean_worker_in_flight": "fleet",
+        "recent_requests": "heat",
+        "traffic_share": "part",
+        "pools": "pools",
+        "workers": "workers",
+        "keys": "keys",
+    },
+}
+
+SAME_IN_WORKER = (
+    "started_at_ms",
+    "reported_jobs",
+    "queue_wait_ms",
+    "queue_wait_at_ms",
+    "min_start_delay_ms",
+    "expected_completions",
+    "completions",
+    "completions_at_ms",
+    "ejected_until_ms",
+    "unreachable",
+    "unreachable_since_ms",
+)
+
+
+def take(state: DispatcherState, now: float) -> Snapshot:
+    """The estimates as they are now."""
+    busiest = sorted(state.keys.items(), key=lambda item: item[1].recent_requests, reverse=True)
+    with_fetch, without_fetch = state.key_fetch_cost_ms.state()
     return Snapshot(
         version=VERSION,
-        at=now,
-        holds=dispatcher.holds.state(),
-        price_with=dispatcher.fetching.state()[0],
-        price_without=dispatcher.fetching.state()[1],
-        price=dispatcher.fetching.more,
-        connect=dispatcher.connect,
-        fleet=dispatcher.fleet,
-        heat=dispatcher.heat,
-        part=dispatcher.part,
-        pools={kind: _of_pool(pool) for kind, pool in dispatcher.pools.items()},
-        workers={w.name: _of_worker(w) for w in dispatcher.workers.values()},
-        keys=[_of_key(place, key) for place, key in hottest[:MAX_KEYS] if place[0]],
+        taken_at_ms=now,
+        service_times_ms=state.service_times_ms.state(),
+        service_times_with_fetch_ms=with_fetch,
+        service_times_without_fetch_ms=without_fetch,
+        key_fetch_cost_ms=state.key_fetch_cost_ms.difference,
+        connection_cost_ms=state.connection_cost_ms,
+        mean_worker_in_flight=state.mean_worker_in_flight,
+        recent_requests=state.recent_requests,
+        traffic_share=state.traffic_share,
+        pools={kind: _pool_estimates(pool) for kind, pool in state.pools.items()},
+        workers={worker.name: _worker_estimates(worker) for worker in state.workers.values()},
+        keys=[_key_estimates(place, key) for place, key in busiest[:MAX_KEYS] if place[0]],
     )
 
 
-def adopt(dispatcher: Dispatcher, snapshot: Snapshot, now: float) -> None:
-    """Go on from it. Of a worker that has started since nothing is believed but what its kind has shown."""
+def adopt(state: DispatcherState, snapshot: Snapshot, now: float) -> None:
+    """Continue with the estimates of a snapshot.
+
+    Of a worker that has restarted since, only what its kind has shown is used; workers that are not listed
+    here are left out.
+    """
     for kind, estimates in snapshot.pools.items():
-        if (pool := dispatcher.pools.get(kind)) is not None and pool.seen < estimates.seen:
-            _to_pool(pool, estimates)
+        pool = state.pools.get(kind)
+        if pool is not None and pool.completed_jobs < estimates.completed_jobs:
+            _apply_pool(pool, estimates)
     for name, known in snapshot.workers.items():
-        worker = dispatcher.workers.get(name)
-        if worker is not None and worker.since <= known.since:
-            _to_worker(dispatcher, worker, known)
+        worker = state.workers.get(name)
+        if worker is not None and worker.started_at_ms <= known.started_at_ms:
+            _apply_worker(state, worker, known)
     for key in snapshot.keys:
-        _to_key(dispatcher, key)
-    dispatcher.holds.restore(snapshot.holds)
-    dispatcher.fetching.restore(snapshot.price_with, snapshot.price_without, snapshot.price)
-    dispatcher.connect, dispatcher.part = snapshot.connect, snapshot.part
-    dispatcher.fleet = max(dispatcher.fleet, snapshot.fleet)
-    dispatcher.heat, dispatcher.stock_at = max(dispatcher.heat, snapshot.heat), now
+        _apply_key(state, key)
+    state.service_times_ms.restore(snapshot.service_times_ms)
+    state.key_fetch_cost_ms.restore(
+        snapshot.service_times_with_fetch_ms,
+        snapshot.service_times_without_fetch_ms,
+        snapshot.key_fetch_cost_ms,
+    )
+    state.connection_cost_ms = snapshot.connection_cost_ms
+    state.traffic_share = snapshot.traffic_share
+    state.mean_worker_in_flight = max(state.mean_worker_in_flight, snapshot.mean_worker_in_flight)
+    state.recent_requests = max(state.recent_requests, snapshot.recent_requests)
+    state.load_updated_at_ms = now
 
 
-def _of_pool(pool: _Pool) -> PoolEstimates:
+def _pool_estimates(pool: WorkerPool) -> PoolEstimates:
     return PoolEstimates(**{name: getattr(pool, name) for name in PoolEstimates.__slots__})
 
 
-def _to_pool(pool: _Pool, known: PoolEstimates) -> None:
+def _apply_pool(pool: WorkerPool, known: PoolEstimates) -> None:
     for name in PoolEstimates.__slots__:
         setattr(pool, name, getattr(known, name))
 
 
-SAME_IN_WORKER = (
-    "since", "jobs", "delay", "delay_at", "base", "due", "done", "paced_at", "barred_until",
-    "unreachable", "down_at",
-)  # fmt: skip
-
-
-def _of_worker(worker: _Worker) -> WorkerEstimates:
+def _worker_estimates(worker: Worker) -> WorkerEstimates:
+    ejections = worker.class_ejections.items()
     return WorkerEstimates(
         **{name: getattr(worker, name) for name in SAME_IN_WORKER},
-        jobs_at=max(worker.jobs_at, 0.0),  # never: long ago
-        doubt=worker.doubt.value,
-        doubt_at=worker.doubt.at,
-        strikes=worker.strikes,
-        faults={cls.name: fault for cls, fault in worker.faults.items()},
-        sends=list(worker.sends),
-        kept=list(worker.kept.items),
+        reported_at_ms=max(worker.reported_at_ms, 0.0),  # 0: long ago
+        failure_score=worker.failure_score.value,
+        failure_score_at_ms=worker.failure_score.updated_at_ms,
+        failure_count=worker.failure_count,
+        class_ejections={
+            cls.name: (ejection.failure_count, ejection.until_ms) for cls, ejection in ejections
+        },
+        cold_sends_at_ms=list(worker.cold_sends_at_ms),
+        cached_keys=list(worker.cached_keys.items),
     )
 
 
-def _to_worker(dispatcher: Dispatcher, worker: _Worker, known: WorkerEstimates) -> None:
+def _apply_worker(state: DispatcherState, worker: Worker, known: WorkerEstimates) -> None:
     for name in SAME_IN_WORKER:
         setattr(worker, name, getattr(known, name))
-    worker.jobs_at = known.jobs_at
-    worker.jobs_own = 0  # the jobs that were the old process's own are another's now
-    worker.doubt = Fading(known.doubt, known.doubt_at)
-    worker.pool.sick += (known.strikes >= 1) - (worker.strikes >= 1)
-    worker.strikes = known.strikes
-    classes = dispatcher.classes
-    worker.faults = {classes[name]: fault for name, fault in known.faults.items() if name in classes}
-    worker.sends = deque(sorted([*known.sends, *worker.sends]))
-    for salt in known.kept:
-        worker.kept.meet(salt, len(known.kept))
-
-
-def _of_key(place: tuple[str, str | None], key: _Key) -> KeyEstimates:
-    return KeyEstimates(place[0], place[1], key.size, key.heat, key.heat_at, key.changed)
-
-
-def _to_key(dispatcher: Dispatcher, known: KeyEstimates) -> None:
-    key = dispatcher.keys.setdefault((known.name, known.kind), _Key(digest(known.name)))
-    key.size = max(key.size, known.size)
-    if known.heat_at > key.heat_at:
-        key.heat, key.heat_at, key.changed = known.heat, known.heat_at, known.changed
+    worker.reported_at_ms = known.reported_at_ms
+    worker.own_jobs_at_report = 0  # the jobs of the replaced process are another's now
+    worker.failure_score = DecayingScore(known.failure_score, known.failure_score_at_ms)
+    set_failure_count(worker, known.failure_count)
+    worker.class_ejections = {
+        state.classes[name]: ClassEjection(failures, until_ms)
+        for name, (failures, until_ms) in known.class_ejections.items()
+        if name in state.classes
+    }
+    worker.cold_sends_at_ms = deque(sorted([*known.cold_sends_at_ms, *worker.cold_sends_at_ms]))
+    for key_hash in known.cached_keys:
+        worker.cached_keys.touch(key_hash, len(known.cached_keys))
+
+
+def _key_estimates(place: tuple[str, str | None], key: AffinityKey) -> KeyEstimates:
+    name, kind = place
+    return KeyEstimates(
+        name, kind, key.set_size, key.recent_requests, key.last_request_at_ms, key.resized_at_ms
+    )
+
+
+def _apply_key(state: DispatcherState, known: KeyEstimates) -> None:
+    key = state.keys.setdefault((known.name, known.kind), AffinityKey(state.key_hash(known.name)))
+    key.set_size = max(key.set_size, known.set_size)
+    if known.last_request_at_ms > key.last_request_at_ms:
+        key.recent_requests = known.recent_requests
+        key.last_request_at_ms = known.last_request_at_ms
+        key.resized_at_ms = known.resized_at_ms
--- a/oxbowyard/gearman/config.py
+++ b/oxbowyard/gearman/config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..decision.interface import JobClass
+from ..decision.settings import JobClass
 
 KIND = "gearman"  # the kind of all Gearman workers, and the prefix of their names
 
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -13,7 +13,7 @@
 
 from ..core.req import Answer, Kind, Note, NoteKind, Ran, Req
 from ..core.scheduler import Scheduler
-from ..decision.interface import Repeat
+from ..decision.settings import Repeat
 from ..waiting.order import HIGH as LIFT_HIGH
 from ..waiting.order import LOW as LIFT_LOW
 from ..waiting.order import Code, End, Final, Wait
--- a/oxbowyard/handover/learned.py
+++ b/oxbowyard/handover/learned.py
@@ -12,13 +12,12 @@
 import math
 import os
 from collections.abc import Callable
-from dataclasses import fields
 from pathlib import Path
 from typing import Any, get_args, get_origin, get_type_hints
 
 import orjson
 
-from ..decision.snapshot import VERSION, Snapshot
+from ..decision.snapshot import STORED_KEYS, VERSION, Snapshot
 
 log = logging.getLogger("oxbowyard.succession")  # as operators know it
 
@@ -33,7 +32,7 @@
 
 def encode(snapshot: Snapshot, successor: int) -> bytes:
     """The file's text."""
-    body = orjson.dumps(snapshot, option=orjson.OPT_SERIALIZE_DATACLASS)
+    body = orjson.dumps(_stored_form(snapshot))
     header = {"version": VERSION, "successor": successor, "checksum": _checksum(body)}
     return orjson.dumps(header) + b"\n" + body
 
@@ -52,8 +51,9 @@
     if header.get("checksum") != _checksum(body):
         raise Unusable("damaged")
     snapshot: Snapshot = _read(Snapshot, orjson.loads(body))
-    if not -CLOCK_TOLERANCE_MS <= now - snapshot.at <= MAX_AGE_MS:
-        raise Unusable(f"{now - snapshot.at:.0f} ms old")
+    age_ms = now - snapshot.taken_at_ms
+    if not -CLOCK_TOLERANCE_MS <= age_ms <= MAX_AGE_MS:
+        raise Unusable(f"{age_ms:.0f} ms old")
     return snapshot
 
 
@@ -61,14 +61,26 @@
     return hashlib.blake2b(body, digest_size=16).hexdigest()
 
 
+def _stored_form(value: Any) -> Any:
+    """What JSON holds of a value: its dataclasses as objects with the keys that are stored."""
+    if (keys := STORED_KEYS.get(type(value))) is not None:
+        return {key: _stored_form(getattr(value, name)) for name, key in keys.items()}
+    if isinstance(value, dict):
+        return {name: _stored_form(part) for name, part in value.items()}
+    if isinstance(value, list):
+        return [_stored_form(part) for part in value]
+    return value
+
+
 def _read(form: Any, value: Any) -> Any:
     """A value of this type, out of what JSON holds; raises Unusable."""
     origin, inside = get_origin(form), get_args(form)
     if hasattr(form, "__dataclass_fields__"):
         hints = get_type_hints(form)
-        if not isinstance(value, dict) or value.keys() != {f.name for f in fields(form)}:
+        keys = STORED_KEYS[form]
+        if not isinstance(value, dict) or value.keys() != set(keys.values()):
             raise Unusable(f"no {form.__name__}")
-        return form(**{name: _read(hints[name], part) for name, part in value.items()})
+        return form(**{name: _read(hints[name], value[key]) for name, key in keys.items()})
     if origin is dict and isinstance(value, dict):
         return {str(name): _read(inside[1], part) for name, part in value.items()}
     if origin is list and isinstance(value, list):
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..decision.interface import JobClass
+from ..decision.settings import JobClass
 from ..durable.settings import DurableSettings
 from ..gearman.config import Function, GearmanConfig
 from ..gearman.config import parse as parse_gearman
--- a/oxbowyard/peers/part.py
+++ b/oxbowyard/peers/part.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from ..decision.facade import Trouble
+from ..decision.facade import WorkerFault
 from ..membership.messages import Note, State
 from ..membership.node import Node
 from ..membership.protocol import Happened, Notice
@@ -45,8 +45,8 @@
     held: Callable[[], int]  # reqs that are open
     slots: Callable[[], float]  # jobs that the listed backends can run at once
     workers: Callable[[], int]
-    troubles: Callable[[], list[Trouble]]
-    hear: Callable[[tuple[Trouble, ...]], None]
+    troubles: Callable[[], list[WorkerFault]]
+    hear: Callable[[tuple[WorkerFault, ...]], None]
     reckon: Callable[[int], None]  # with so many schedulers
     drained: Callable[[], frozenset[str]]
     drain: Callable[[str, bool], None]
@@ -64,7 +64,7 @@
         self.count = LiveCount(offers.configured, settings.doubt_s, settings.split_s)
         self._sharing = Sharing(offers.ramp)
         self._drains = Drains(self._say_common, offers.drain, settings.forget_s)
-        self._told: tuple[Trouble, ...] = ()
+        self._told: tuple[WorkerFault, ...] = ()
         self._news = False  # heard of, and not told to the decisions yet
         self._facts: dict[str, float] = {}
         self._published_at = -PUBLISH_EVERY
@@ -218,7 +218,7 @@
         o = self._offers
         self._use(o.troubles(), self._loop.time(), o.clock())
 
-    def _use(self, own: list[Trouble], now: float, clock_now: float) -> None:
+    def _use(self, own: list[WorkerFault], now: float, clock_now: float) -> None:
         self._news = False
         heard = self._sharing.heard(now, clock_now, own)
         if heard or self._told:
--- a/oxbowyard/peers/troubles.py
+++ b/oxbowyard/peers/troubles.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..decision.facade import Trouble
+from ..decision.facade import WorkerFault
 from ..membership.messages import Note
 
 BAR, COLD = "bar:", "cold:"
@@ -39,7 +39,7 @@
         self._said: dict[str, float] = {}  # about, and when that is over
         self._heard: dict[tuple[str, str], tuple[Note, float]] = {}  # by whom and about, with its beginning
 
-    def to_say(self, now: float, own: list[Trouble], workers: int, clock_now: float) -> list[Say]:
+    def to_say(self, now: float, own: list[WorkerFault], workers: int, clock_now: float) -> list[Say]:
         """What is new among own troubles; `clock_now` is the decisions' time, in milliseconds."""
         self._said = {about: until for about, until in self._said.items() if until > now}
         if len(own) > max(min(MOST_SAID, workers / 4), 1):
@@ -68,7 +68,7 @@
         self._heard[note.by, note.about] = note, now - note.age
         return True
 
-    def heard(self, now: float, clock_now: float, own: Iterable[Trouble] = ()) -> tuple[Trouble, ...]:
+    def heard(self, now: float, clock_now: float, own: Iterable[WorkerFault] = ()) -> tuple[WorkerFault, ...]:
         """All that holds now of what peers told, one for each worker. A start that hardly differs from one's
         own knowledge is left out: told to and fro, it would come later each time."""
         known = {t.worker: t.since for t in own if t.since}
@@ -86,6 +86,6 @@
                 if at - known.get(worker, -1e18) > APART * 1000:
                     since[worker] = max(since.get(worker, 0.0), at)
         return tuple(
-            Trouble(worker, lasts.get(worker, 0.0), since.get(worker, 0.0))
+            WorkerFault(worker, lasts.get(worker, 0.0), since.get(worker, 0.0))
             for worker in sorted(lasts.keys() | since.keys())
         )
--- a/oxbowyard/simhost.py
+++ b/oxbowyard/simhost.py
@@ -1,4 +1,7 @@
-"""Adapter between the simulator's wire and the interface: it translates and decides nothing."""
+"""The adapter between the simulator's wire and a dispatcher's events and actions. It decides nothing.
+
+The wire's names end here: this module maps them to those of `decision.events` and `decision.actions`.
+"""
 
 from __future__ import annotations
 
@@ -8,27 +11,31 @@
 
 import orjson
 
-from .decision import interface as api
-from .decision.choice import Dispatcher
-from .decision.facts import load_names, settings_of
+from .decision import actions, events
+from .decision.dispatcher import Dispatcher
+from .decision.platform_settings import load_names, settings_of
 
 RESULTS = {
-    "GOOD": api.Result.OK,
-    "BAD": api.Result.ERROR,
-    "FULL": api.Result.FULL,
-    "LATE": api.Result.TIMEOUT,
-    "NOCONN": api.Result.UNREACHABLE,
-    "RST": api.Result.RESET,
-    "CXL": api.Result.CANCELLED,
-    "NOP": api.Result.NOT_SENT,
+    "GOOD": events.Result.OK,
+    "BAD": events.Result.ERROR,
+    "FULL": events.Result.FULL,
+    "LATE": events.Result.TIMEOUT,
+    "NOCONN": events.Result.UNREACHABLE,
+    "RST": events.Result.RESET,
+    "CXL": events.Result.CANCELLED,
+    "NOP": events.Result.NOT_SENT,
 }
 SCOPES = {
-    "update": api.Scope.CHANGES,
-    "replace": api.Scope.FULL,
-    "restored": api.Scope.RESTORED,
-    "unavailable": api.Scope.FAILED,
+    "update": events.Scope.CHANGES,
+    "replace": events.Scope.FULL,
+    "restored": events.Scope.RESTORED,
+    "unavailable": events.Scope.FAILED,
+}
+READINESS = {
+    "Ready": events.Readiness.READY,
+    "Terminating": events.Readiness.DRAINING,
+    "Gone": events.Readiness.GONE,
 }
-READINESS = {"Ready": api.Readiness.READY, "Terminating": api.Readiness.DRAINING, "Gone": api.Readiness.GONE}
 NO_LOAD: dict[str, float] = {}
 
 
@@ -36,34 +43,36 @@
     """The other side broke the wire's format."""
 
 
-def _worker(row: list[Any]) -> api.WorkerInfo:
+def _worker(row: list[Any]) -> events.WorkerInfo:
     name, zone, kind, cell, readiness, heft, since = (*row, None, None)[:7]
     state = READINESS[readiness]
-    return api.WorkerInfo(name, state, zone or "", kind or "", cell or 0, heft or 1.0, since or 0.0)
+    return events.WorkerInfo(name, state, zone or "", kind or "", cell or 0, heft or 1.0, since or 0.0)
 
 
-def encode(who: int, action: api.Action) -> bytes:
+def encode(who: int, action: actions.Action) -> bytes:
     """One action as a line of the wire."""
     line: list[Any]
     match action:
-        case api.Send(id=id_, worker=worker, timeout=timeout):
-            line = ["passOn", who, id_, worker, timeout]
-        case api.SetTimer(tag=tag, delay=delay):
+        case actions.StartAttempt(request_id=request_id, worker=worker, timeout_ms=timeout):
+            line = ["passOn", who, request_id, worker, timeout]
+        case actions.SetTimer(tag=tag, delay_ms=delay):
             line = ["defer", who, tag, delay]
-        case api.Refuse(id=id_, backoff=backoff):
-            line = ["decline", who, id_, backoff]
-        case api.Fail(id=id_):
-            line = ["giveUp", who, id_]
-        case api.Cancel(id=id_, attempt=attempt):
-            line = ["abandon", who, id_, attempt]
-        case api.Probe(worker=worker):
+        case actions.RejectRequest(request_id=request_id, retry_after_ms=retry_after):
+            line = ["decline", who, request_id, retry_after]
+        case actions.FailRequest(request_id=request_id):
+            line = ["giveUp", who, request_id]
+        case actions.CancelAttempt(request_id=request_id, attempt=attempt):
+            line = ["abandon", who, request_id, attempt]
+        case actions.ProbeWorker(worker=worker):
             line = ["soundOut", who, worker]
-        case api.Close(worker=worker):
+        case actions.CloseIdleConnections(worker=worker):
             line = ["close", who, worker]
-        case api.Subscribe():
+        case actions.SubscribeEndpoints():
             line = ["follow", who, True]
-        case api.Record(text=text):
+        case actions.LogMessage(text=text):
             line = ["record", who, text]
+        case actions.QueueRequest():
+            raise TypeError("the wire has no line for QueueRequest: a request without an action is queued")
     return orjson.dumps(line)
 
 
@@ -72,29 +81,31 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Dispatcher] = {}
-        self.lists: dict[int, tuple[api.WorkerInfo, ...]] = {}
+        self.lists: dict[int, tuple[events.WorkerInfo, ...]] = {}
         self.loads: dict[int, dict[str, str]] = {}
-        self.translate: dict[str, Callable[[int, list[Any]], api.Event | None]] = {
+        self.translate: dict[str, Callable[[int, list[Any]], events.Event | None]] = {
             "membership": self._membership,
-            "submit": lambda who, m: api.Request(
+            "submit": lambda who, m: events.RequestReceived(
                 m[2], m[4], m[8], m[12] if len(m) > 12 else None, m[3] or None, m[9] or 1, bool(m[10])
             ),
-            "statusBack": lambda who, m: api.ProbeResult(m[2], RESULTS[m[4]], m[3], self._load(who, m, 5)),
-            "ackFirst": lambda who, m: api.AnswerBegan(m[2], m[3], m[4]),
-            "aborted": lambda who, m: api.ClientGone(m[2]),
+            "statusBack": lambda who, m: events.ProbeEnded(m[2], RESULTS[m[4]], m[3], self._load(who, m, 5)),
+            "ackFirst": lambda who, m: events.StreamStarted(m[2], m[3], m[4]),
+            "aborted": lambda who, m: events.ClientDisconnected(m[2]),
             "notice": lambda who, m: (
-                api.Started(m[2], m[6], m[4]) if m[3] == 1 else api.Progress(m[2], m[6], m[4], m[5] or 0.0)
+                events.AttemptStarted(m[2], m[6], m[4])
+                if m[3] == 1
+                else events.AttemptProgressed(m[2], m[6], m[4], m[5] or 0.0)
             ),
-            "outcome": lambda who, m: api.Outcome(
+            "outcome": lambda who, m: events.AttemptEnded(
                 m[2], m[3], m[4], RESULTS[m[5]], m[6], bool(m[7]), self._load(who, m, 9)
             ),
-            "reminder": lambda who, m: api.TimerDue(m[2]),
+            "reminder": lambda who, m: events.TimerFired(m[2]),
             "memo": lambda who, m: None,
         }
 
-    def _membership(self, who: int, m: list[Any]) -> api.Event:
+    def _membership(self, who: int, m: list[Any]) -> events.Event:
         scope = SCOPES[m[2]]
-        return api.WorkerList(scope, () if scope is api.Scope.FAILED else self.lists[m[4]])
+        return events.EndpointsChanged(scope, () if scope is events.Scope.FAILED else self.lists[m[4]])
 
     def _load(self, who: int, m: list[Any], place: int) -> dict[str, float]:
         gauge = m[place] if len(m) > place else None
--- a/oxbowyard/waiting/room.py
+++ b/oxbowyard/waiting/room.py
@@ -18,7 +18,7 @@
 
 from ..core.req import Answer, Kind, Note, Ran, Req
 from ..core.scheduler import Scheduler
-from ..decision.interface import JobClass, Repeat
+from ..decision.settings import JobClass, Repeat
 from .ledger import Leases, Ledger, Memory, Recalled
 from .order import AGED, WAITS, Changed, Code, End, Final, Job, Order, Rejected, Release, State, Wait
 from .pace import Room
@@ -487,7 +487,7 @@
             kind = self._classes[job_class].kind
             names = (n for n, c in self._classes.items() if c.kind == kind)
         shares = tuple(n for name in names for n in (name, name + AGED))
-        return _Known(now + LOOK_AGAIN_MS, capacity.backends, capacity.slots, shares)
+        return _Known(now + LOOK_AGAIN_MS, capacity.workers, capacity.slots, shares)
 
     # ---- Asked ----
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.cold_fleet import SCENES, play
-from oxbowyard.decision import books
+from oxbowyard.decision import estimators
 
 SEEDS = range(6)
 
@@ -29,13 +29,13 @@
     def of_the_ended(mean: float, ended: int, running: Collection[float], prior: float) -> float:
         return mean or prior
 
-    monkeypatch.setattr(books, "censored_mean", of_the_ended)
+    monkeypatch.setattr(estimators, "censored_mean", of_the_ended)
     scene = SCENES["30 schedulers, 12 cold, fresh"]
     assert any(play(scene, seed).fallen for seed in range(20))
 
 
 def test_what_still_runs_counts_in_a_mean() -> None:
-    assert books.censored_mean(0.0, 0, [], 3000.0) == 3000.0, "nothing is known: the prior"
-    assert books.censored_mean(100.0, 2, [], 3000.0) == pytest.approx(3200.0 / 3)
-    assert books.censored_mean(100.0, 2, [400.0] * 6, 3000.0) == pytest.approx(5600.0 / 3)
-    assert books.censored_mean(1000.0, 199, [500.0], 3000.0) == pytest.approx(1000.0, rel=0.02)
+    assert estimators.censored_mean(0.0, 0, [], 3000.0) == 3000.0, "nothing is known: the prior"
+    assert estimators.censored_mean(100.0, 2, [], 3000.0) == pytest.approx(3200.0 / 3)
+    assert estimators.censored_mean(100.0, 2, [400.0] * 6, 3000.0) == pytest.approx(5600.0 / 3)
+    assert estimators.censored_mean(1000.0, 199, [500.0], 3000.0) == pytest.approx(1000.0, rel=0.02)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from oxbowyard.core.req import Answer, Ending, FetchNotes, Kind, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
-from oxbowyard.decision.interface import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, Repeat, Settings
 
 FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE, worth=1)
 ONCE = JobClass("once", aim=1000, deadline=5000, worth=8)
@@ -130,7 +130,7 @@
     async def play() -> None:
         stage = Stage(served)
         dispatcher = stage.facade._dispatcher
-        monkeypatch.setattr(dispatcher, "handlers", dict.fromkeys(dispatcher.handlers, fault))
+        monkeypatch.setattr(dispatcher, "_handlers", dict.fromkeys(dispatcher._handlers, fault))
         assert (await stage.serve("once")).kind is Kind.REFUSED  # it surely never ran
         monkeypatch.undo()
         assert (await stage.serve("once", id_="r2")).kind is Kind.SERVED
@@ -144,9 +144,9 @@
 
     async def play() -> None:
         stage = Stage(lost)
-        handlers = stage.facade._dispatcher.handlers
-        broken = {k: fault if k.__name__ == "Outcome" else v for k, v in handlers.items()}
-        monkeypatch.setattr(stage.facade._dispatcher, "handlers", broken)
+        handlers = stage.facade._dispatcher._handlers
+        broken = {k: fault if k.__name__ == "AttemptEnded" else v for k, v in handlers.items()}
+        monkeypatch.setattr(stage.facade._dispatcher, "_handlers", broken)
         assert (await stage.serve("once")).kind is Kind.FAILED
         assert len(stage.fetches) == 1
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,7 +21,7 @@
 from oxbowyard.daemon import assembly
 from oxbowyard.daemon.program import SETTLE, Program, Read
 from oxbowyard.decision.facade import Result
-from oxbowyard.decision.interface import Repeat
+from oxbowyard.decision.settings import Repeat
 from oxbowyard.discovery.registry import parse_list
 from oxbowyard.gearman.packet import REQ, Type, encode
 from oxbowyard.listeners.acceptor import Acceptor
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from oxbowyard.decision.facade import (
-    Ask,
-    Began,
-    Cancel,
-    Ended,
+    AttemptEnded,
+    AttemptStarted,
+    CancelAttempt,
+    ClientDisconnected,
     Facade,
-    Fail,
-    Fetch,
-    Hold,
-    Left,
-    Refuse,
+    FailRequest,
+    QueueRequest,
+    RejectRequest,
+    RequestReceived,
     Result,
     Scope,
+    StartAttempt,
     WorkerInfo,
 )
-from oxbowyard.decision.interface import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, Repeat, Settings
 
 FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE)
 ONCE = JobClass("once", aim=1000, deadline=5000)
@@ -35,50 +35,50 @@
     settings = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, tells_start=True)
     facade = Facade(settings, 1, clock)
     if workers:
-        facade.learn(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers)))
+        facade.update_endpoints(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers)))
     return facade, clock
 
 
 def test_a_held_req_is_decided_about_by_a_later_tick() -> None:
     facade, clock = make(0)
-    turns = [facade.pick(Ask(name, "once", 5000)) for name in ("a", "b")]
-    assert [t.decisions for t in turns] == [(Hold("a"),), (Hold("b"),)]
-    due = turns[1].next_tick
+    turns = [facade.decide(RequestReceived(name, "once", 5000)) for name in ("a", "b")]
+    assert [t.actions for t in turns] == [(QueueRequest("a"),), (QueueRequest("b"),)]
+    due = turns[1].next_tick_ms
     assert due is not None and due > clock.now
-    facade.learn(Scope.FULL, (WorkerInfo("w0"),))
-    assert facade.tick(clock.now).decisions == ()  # not due yet
+    facade.update_endpoints(Scope.FULL, (WorkerInfo("w0"),))
+    assert facade.tick(clock.now).actions == ()  # not due yet
     clock.now = due
-    assert set(facade.tick(due).decisions) == {Fetch("a", 0, "w0"), Fetch("b", 0, "w0")}
+    assert set(facade.tick(due).actions) == {StartAttempt("a", 0, "w0"), StartAttempt("b", 0, "w0")}
 
 
 def test_fetches_are_numbered_and_the_last_word_is_final() -> None:
     facade, _ = make(2)
-    (first,) = facade.pick(Ask("r", "free", 5000)).decisions
-    assert isinstance(first, Fetch) and first.number == 0
-    facade.report(Began("r", 0, first.backend))
-    (second,) = facade.report(Ended("r", 0, first.backend, Result.RESET)).decisions
-    assert isinstance(second, Fetch) and second.number == 1 and second.backend != first.backend
-    assert facade.report(Ended("r", 1, second.backend, Result.OK, final=True)).decisions == ()
+    (first,) = facade.decide(RequestReceived("r", "free", 5000)).actions
+    assert isinstance(first, StartAttempt) and first.attempt == 0
+    facade.report(AttemptStarted("r", 0, first.worker))
+    (second,) = facade.report(AttemptEnded("r", 0, first.worker, Result.RESET)).actions
+    assert isinstance(second, StartAttempt) and second.attempt == 1 and second.worker != first.worker
+    assert facade.report(AttemptEnded("r", 1, second.worker, Result.OK, final=True)).actions == ()
 
 
 def test_what_may_have_run_is_failed_and_what_did_not_is_refused() -> None:
     facade, _ = make(1)
-    for name, result, wanted in (("x", Result.RESET, Fail), ("y", Result.TIMEOUT, Fail)):
-        facade.pick(Ask(name, "once", 5000))
-        (answer,) = facade.report(Ended(name, 0, "w0", result)).decisions
+    for name, result, wanted in (("x", Result.RESET, FailRequest), ("y", Result.TIMEOUT, FailRequest)):
+        facade.decide(RequestReceived(name, "once", 5000))
+        (answer,) = facade.report(AttemptEnded(name, 0, "w0", result)).actions
         assert isinstance(answer, wanted)
-    (answer,) = facade.pick(Ask("late", "once", 0.0)).decisions
-    assert isinstance(answer, Refuse)
+    (answer,) = facade.decide(RequestReceived("late", "once", 0.0)).actions
+    assert isinstance(answer, RejectRequest)
 
 
 def test_a_client_that_leaves_has_its_fetch_cancelled() -> None:
     facade, _ = make(1)
-    facade.pick(Ask("r", "once", 5000))
-    assert facade.report(Left("r")).decisions == (Cancel("r", 0),)
+    facade.decide(RequestReceived("r", "once", 5000))
+    assert facade.report(ClientDisconnected("r")).actions == (CancelAttempt("r", 0),)
 
 
 def test_the_clock_may_stand_or_step_back() -> None:
     facade, clock = make(1)
     clock.now -= 500
-    (decision,) = facade.pick(Ask("r", "once", 5000)).decisions
-    assert isinstance(decision, Fetch)
+    (decision,) = facade.decide(RequestReceived("r", "once", 5000)).actions
+    assert isinstance(decision, StartAttempt)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,16 +7,28 @@
 import pytest
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.decision import interface as fw
-
-FREE = fw.JobClass("free", aim=1000, deadline=10000, repeat=fw.Repeat.FREE)
+from oxbowyard.decision import load_estimate, outlier_detection
+from oxbowyard.decision.actions import StartAttempt
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointsChanged,
+    Readiness,
+    RequestReceived,
+    Result,
+    Scope,
+    WorkerInfo,
+)
+from oxbowyard.decision.settings import JobClass, Repeat
+
+FREE = JobClass("free", aim=1000, deadline=10000, repeat=Repeat.FREE)
 SIBLINGS, WORKERS = 40, 60
 NAMES = [f"w{i}" for i in range(WORKERS)]
 RAMP, TIP, TIP_AFTER, COLD = 22000.0, 2.5, 3000.0, 0.15
 
 
-def _info(name: str, weight: float = 5.0, since: float = 0.0) -> fw.WorkerInfo:
-    return fw.WorkerInfo(name, kind="std", weight=weight, online_since=since)
+def _info(name: str, weight: float = 5.0, since: float = 0.0) -> WorkerInfo:
+    return WorkerInfo(name, kind="std", weight=weight, online_since=since)
 
 
 def _dispatcher(seed: int = 0, live: bool = True) -> Dispatcher:
@@ -25,19 +37,19 @@
         ramp=RAMP, cold_from=COLD, tip_multiple=TIP, tip_after=TIP_AFTER,
     )  # fmt: skip
     d = Dispatcher(settings, seed)
-    d.handle(0.0, fw.WorkerList(fw.Scope.FULL, tuple(map(_info, NAMES))))
+    d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(map(_info, NAMES))))
     return d
 
 
 def _ask(d: Dispatcher, now: float, name: str, key: str = "k") -> str | None:
-    actions = d.handle(now, fw.Request(name, "free", 10000, key))
-    return next((a.worker for a in actions if isinstance(a, fw.Send)), None)
+    actions = d.handle(now, RequestReceived(name, "free", 10000, key))
+    return next((a.worker for a in actions if isinstance(a, StartAttempt)), None)
 
 
 def _serve(d: Dispatcher, now: float, name: str, worker: str, hold: float = 1000.0) -> None:
-    d.handle(now + 5, fw.Started(name, 0, worker))
+    d.handle(now + 5, AttemptStarted(name, 0, worker))
     report = {"free_slots": 5.0, "waiting": 0.0}
-    d.handle(now + 5 + hold, fw.Outcome(name, 0, worker, fw.Result.OK, hold + 5, True, report))
+    d.handle(now + 5 + hold, AttemptEnded(name, 0, worker, Result.OK, hold + 5, True, report))
 
 
 @pytest.mark.parametrize("live", [True, False])
@@ -48,7 +60,7 @@
     assert home is not None
     _serve(d, 1, "r0", home)
     loaded = _info(home, weight=5.0 / (1 + 4))  # four jobs to a slot
-    d.handle(2000, fw.WorkerList(fw.Scope.CHANGES, (loaded,)))
+    d.handle(2000, EndpointsChanged(Scope.CHANGES, (loaded,)))
     second = _ask(d, 2100, "r1")
     assert second is not None and (second != home) == live
 
@@ -59,11 +71,11 @@
     for i in range(60):
         worker = _ask(d, 10.0 * i, f"r{i}", f"k{i}")
         assert worker is not None
-        d.handle(10.0 * i + 1, fw.Started(f"r{i}", 0, worker))
+        d.handle(10.0 * i + 1, AttemptStarted(f"r{i}", 0, worker))
         report = {"free_slots": 4.0 if i == 0 else 0.0, "waiting": waiting}
-        d.handle(10.0 * i + 2, fw.Outcome(f"r{i}", 0, worker, fw.Result.OK, 2.0, True, report))
-    for pool in d.pools.values():
-        pool.hold, pool.slots = 1000.0, 4.0
+        d.handle(10.0 * i + 2, AttemptEnded(f"r{i}", 0, worker, Result.OK, 2.0, True, report))
+    for pool in d.state.pools.values():
+        pool.mean_service_time_ms, pool.slots = 1000.0, 4.0
     return d
 
 
@@ -78,10 +90,10 @@
 def test_a_cold_worker_is_not_reckoned_to_hold_what_the_warm_ones_do() -> None:
     """None had told of it yet: it was taken to hold the mean, four times what it bears, and left idle."""
     d = _reported(4.0)
-    d.handle(700, fw.WorkerList(fw.Scope.CHANGES, (_info("w0", since=700.0),)))
-    d.workers["w0"].jobs_at, d.workers["w0"].count = -float("inf"), 0
-    mean = d.workers["w0"].pool.jobs
-    assert 0 < d._load(d.workers["w0"], 700) < 1.5 * COLD * mean
+    d.handle(700, EndpointsChanged(Scope.CHANGES, (_info("w0", since=700.0),)))
+    d.state.workers["w0"].reported_at_ms, d.state.workers["w0"].in_flight = -float("inf"), 0
+    mean = d.state.workers["w0"].pool.mean_reported_jobs
+    assert 0 < load_estimate.estimated_load(d.state, d.state.workers["w0"], 700) < 1.5 * COLD * mean
 
 
 def test_old_weights_of_a_restored_list_are_not_believed() -> None:
@@ -90,17 +102,17 @@
     assert home is not None
     _serve(d, 1, "r0", home)
     rows = tuple(_info(n, weight=1.0 if n == home else 5.0) for n in NAMES)
-    d.handle(9000, fw.WorkerList(fw.Scope.RESTORED, rows))
+    d.handle(9000, EndpointsChanged(Scope.RESTORED, rows))
     assert _ask(d, 9100, "r1") == home
 
 
 def test_workers_that_turn_connects_down_stay_barred_though_most_do() -> None:
     """A stale list names as many workers that are gone as live, and fetches go to those (herd+vast)."""
     d = _dispatcher()
-    d.handle(1, fw.Request("first", "free", 10000, "k"))
+    d.handle(1, RequestReceived("first", "free", 10000, "k"))
     for name in NAMES[:45]:
-        d.workers[name].unreachable = True
-        d._strike(d.workers[name], 1.0, 100)
+        d.state.workers[name].unreachable = True
+        outlier_detection.record_connection_failure(d.state, d.state.workers[name], 1.0, 100)
     sent = {_ask(d, 200 + i, f"r{i}", f"k{i}") for i in range(40)}
     assert sent <= set(NAMES[45:]), "no guess: they turned a connect down at once"
     later = {_ask(d, 6000 + i, f"q{i}", f"k{i}") for i in range(40)}
@@ -111,9 +123,9 @@
     ends = []
     for seed in range(SIBLINGS):
         d = _dispatcher(seed)
-        d.handle(1, fw.Request("first", "free", 10000, "k"))
-        d._strike(d.workers["w0"], 1.0, 100)
-        ends.append(d.workers["w0"].barred_until)
+        d.handle(1, RequestReceived("first", "free", 10000, "k"))
+        outlier_detection.record_connection_failure(d.state, d.state.workers["w0"], 1.0, 100)
+        ends.append(d.state.workers["w0"].ejected_until_ms)
     most = max(Counter(int(end / 250) for end in ends).values())
     assert max(ends) - min(ends) > 1000 and most <= SIBLINGS / 3
 
@@ -128,7 +140,7 @@
             if worker := _ask(d, 1 + i, f"a{i}", f"a{i}"):
                 _serve(d, 1 + i, f"a{i}", worker, hold)
     born = 5000.0
-    change = fw.WorkerList(fw.Scope.CHANGES, tuple(_info(n, since=born) for n in NAMES[:36]))
+    change = EndpointsChanged(Scope.CHANGES, tuple(_info(n, since=born) for n in NAMES[:36]))
     for d in fleet:
         d.handle(born, change)
     if restarted:
@@ -153,8 +165,8 @@
 ZONES = ("a", "b", "c")
 
 
-def _zoned(name: str, since: float = 0.0) -> fw.WorkerInfo:
-    return fw.WorkerInfo(name, zone=ZONES[int(name[1:]) % 3], kind="std", weight=5.0, online_since=since)
+def _zoned(name: str, since: float = 0.0) -> WorkerInfo:
+    return WorkerInfo(name, zone=ZONES[int(name[1:]) % 3], kind="std", weight=5.0, online_since=since)
 
 
 def _zoned_fleet(seed: int) -> list[Dispatcher]:
@@ -165,7 +177,7 @@
             live_weights=True, ramp=RAMP, cold_from=COLD, tip_multiple=TIP, tip_after=TIP_AFTER,
         )  # fmt: skip
         d = Dispatcher(settings, seed * 100 + i)
-        d.handle(0.0, fw.WorkerList(fw.Scope.FULL, tuple(_zoned(n) for n in NAMES)))
+        d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(_zoned(n) for n in NAMES)))
         fleet.append(d)
     return fleet
 
@@ -188,13 +200,13 @@
         now = start + 10.0 * step
         d = fleet[step * 7 % SIBLINGS]
         name = f"r{start:.0f}-{step}"
-        actions = d.handle(now, fw.Request(name, "free", 10000, f"k{step % 97}"))
-        worker = next((a.worker for a in actions if isinstance(a, fw.Send)), None)
+        actions = d.handle(now, RequestReceived(name, "free", 10000, f"k{step % 97}"))
+        worker = next((a.worker for a in actions if isinstance(a, StartAttempt)), None)
         if worker is None:
             continue
         sends.setdefault(worker, []).append(now)
         if worker in lost:
-            d.handle(now + 250, fw.Outcome(name, 0, worker, fw.Result.UNREACHABLE, 250.0, False))
+            d.handle(now + 250, AttemptEnded(name, 0, worker, Result.UNREACHABLE, 250.0, False))
         else:
             _serve(d, now, name, worker, 1600.0)
     return sends
@@ -210,7 +222,7 @@
     # docs/design/large-fleet.md). It must not get more than its share, as when a silent worker looks idle.
     assert sum(len(during.get(n, [])) for n in lost) < 0.34 * sum(map(len, during.values())), "not piled on"
     back = 10000.0
-    change = fw.WorkerList(fw.Scope.CHANGES, tuple(_zoned(n, since=back) for n in sorted(lost)))
+    change = EndpointsChanged(Scope.CHANGES, tuple(_zoned(n, since=back) for n in sorted(lost)))
     for d in fleet:
         d.handle(back, change)
     after = _play(fleet, back, 2500, set())
@@ -229,8 +241,8 @@
         at = 5000.0 + 7000.0 * i / 36
         new = f"n{i}"
         born[new] = at
-        change = fw.WorkerList(
-            fw.Scope.CHANGES, (fw.WorkerInfo(NAMES[i], fw.Readiness.GONE), _zoned(f"n{i}", since=at))
+        change = EndpointsChanged(
+            Scope.CHANGES, (WorkerInfo(NAMES[i], Readiness.GONE), _zoned(f"n{i}", since=at))
         )
         for d in fleet:
             d.handle(at, change)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -11,12 +11,22 @@
 
 from oxbowyard import Dispatcher, Settings
 from oxbowyard.daemon.program import Program, Read
-from oxbowyard.decision import interface as fw
-from oxbowyard.decision import snapshot
+from oxbowyard.decision import ranking, slow_start, snapshot
+from oxbowyard.decision.actions import StartAttempt
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointsChanged,
+    RequestReceived,
+    Result,
+    Scope,
+    WorkerInfo,
+)
+from oxbowyard.decision.settings import JobClass, Repeat
 from oxbowyard.handover.learned import CLOCK_TOLERANCE_MS, MAX_AGE_MS, LearnedFile, Unusable, decode, encode
 
-SHORT = fw.JobClass("short", aim=1000, deadline=10000, repeat=fw.Repeat.FREE)
-ONCE = fw.JobClass("once", aim=4000, deadline=25000)
+SHORT = JobClass("short", aim=1000, deadline=10000, repeat=Repeat.FREE)
+ONCE = JobClass("once", aim=4000, deadline=25000)
 NAMES = [f"w{i}" for i in range(5)]
 SETTINGS = Settings(
     (SHORT, ONCE), siblings=3, max_attempts=3, tells_start=True, may_cancel=True,
@@ -28,9 +38,9 @@
 
 def dispatcher(seed: int, now: float = START) -> Dispatcher:
     made = Dispatcher(SETTINGS, seed)
-    cold = fw.WorkerInfo("w4", kind="std", online_since=START - 5000.0)
-    infos = (*(fw.WorkerInfo(name, kind="std") for name in NAMES[:4]), cold)
-    made.handle(now, fw.WorkerList(fw.Scope.FULL, infos))
+    cold = WorkerInfo("w4", kind="std", online_since=START - 5000.0)
+    infos = (*(WorkerInfo(name, kind="std") for name in NAMES[:4]), cold)
+    made.handle(now, EndpointsChanged(Scope.FULL, infos))
     return made
 
 
@@ -40,44 +50,59 @@
     for i in range(count):
         now += 100.0
         cls = ONCE if i % 3 == 0 else SHORT
-        actions = made.handle(now, fw.Request(f"r{i}", cls.name, cls.deadline, f"k{i % 7}"))
+        actions = made.handle(now, RequestReceived(f"r{i}", cls.name, cls.deadline, f"k{i % 7}"))
         for action in actions:
-            if isinstance(action, fw.Send):
-                made.handle(now + 5, fw.Started(action.id, 0, action.worker))
+            if isinstance(action, StartAttempt):
+                made.handle(now + 5, AttemptStarted(action.request_id, 0, action.worker))
                 report = {"free_slots": 3.0, "waiting": 0.0}
-                result = fw.Result.ERROR if action.worker == "w1" else fw.Result.OK
-                made.handle(now + 90, fw.Outcome(action.id, 0, action.worker, result, 90.0, True, report))
+                result = Result.ERROR if action.worker == "w1" else Result.OK
+                made.handle(
+                    now + 90, AttemptEnded(action.request_id, 0, action.worker, result, 90.0, True, report)
+                )
         now += 90.0
     return now
 
 
 def handed(old: Dispatcher, now: float, pid: int = PID) -> snapshot.Snapshot:
-    return decode(encode(snapshot.take(old, now), PID), pid, now + 200.0)
+    return decode(encode(snapshot.take(old.state, now), PID), pid, now + 200.0)
 
 
 def test_the_successor_goes_on_from_all_of_it() -> None:
     old = dispatcher(1)
     now = served(old)
     new = dispatcher(2, now)
-    assert new.pools["std"].hold == 0.0
-    snapshot.adopt(new, handed(old, now), now + 200.0)
-    for name in ("most", "slots", "hold", "wait", "seen", "jobs", "pace"):
-        assert getattr(new.pools["std"], name) == getattr(old.pools["std"], name), name
+    assert new.state.pools["std"].mean_service_time_ms == 0.0
+    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    for name in (
+        "max_concurrency",
+        "slots",
+        "mean_service_time_ms",
+        "mean_queue_wait_ms",
+        "completed_jobs",
+        "mean_reported_jobs",
+        "service_time_ratio",
+    ):
+        assert getattr(new.state.pools["std"], name) == getattr(old.state.pools["std"], name), name
     for name in NAMES:
-        mine, theirs = new.workers[name], old.workers[name]
-        assert (mine.strikes, mine.barred_until, mine.due, mine.done) == (
-            theirs.strikes, theirs.barred_until, theirs.due, theirs.done)  # fmt: skip
-        assert mine.faults == theirs.faults and list(mine.sends) == list(theirs.sends)
-        assert mine.count == 0 and not mine.running, "what is owed stays with the old one"
-    assert old.workers["w1"].faults, "it was seen to fail"
-    assert new.holds.state() == old.holds.state()
-    assert {place: key.size for place, key in new.keys.items()} == {
-        place: key.size for place, key in old.keys.items()
+        mine, theirs = new.state.workers[name], old.state.workers[name]
+        assert mine.failure_count == theirs.failure_count
+        assert mine.ejected_until_ms == theirs.ejected_until_ms
+        assert mine.expected_completions == theirs.expected_completions
+        assert mine.completions == theirs.completions
+        assert mine.class_ejections == theirs.class_ejections
+        assert list(mine.cold_sends_at_ms) == list(theirs.cold_sends_at_ms)
+        assert mine.in_flight == 0 and not mine.running, "what is owed stays with the old one"
+    assert old.state.workers["w1"].class_ejections, "it was seen to fail"
+    assert new.state.service_times_ms.state() == old.state.service_times_ms.state()
+    assert {place: key.set_size for place, key in new.state.keys.items()} == {
+        place: key.set_size for place, key in old.state.keys.items()
     }
     warm = [name for name in NAMES if name != "w4"]
     later = now + 300.0
     for cls in (SHORT, ONCE):
-        ranks = [[d._rank(d.workers[name], cls, later) for name in warm] for d in (old, new)]
+        ranks = [
+            [ranking.rank(d.state, d.state.workers[name], cls, later) for name in warm] for d in (old, new)
+        ]
         assert ranks[1] == pytest.approx(ranks[0], rel=0.5), "it judges the workers alike"
 
 
@@ -86,33 +111,38 @@
     now = served(old)
     learned = handed(old, now)
     new = dispatcher(2, now)
-    restarted = fw.WorkerInfo("w1", kind="std", online_since=now)
-    new.handle(now, fw.WorkerList(fw.Scope.CHANGES, (restarted,)))
-    snapshot.adopt(new, learned, now + 200.0)
-    assert new.workers["w1"].since == now and not new.workers["w1"].faults
+    restarted = WorkerInfo("w1", kind="std", online_since=now)
+    new.handle(now, EndpointsChanged(Scope.CHANGES, (restarted,)))
+    snapshot.adopt(new.state, learned, now + 200.0)
+    assert new.state.workers["w1"].started_at_ms == now and not new.state.workers["w1"].class_ejections
     unknown = Dispatcher(SETTINGS, 3)
-    snapshot.adopt(unknown, learned, now)  # its list has not come: nothing to believe it of
-    assert not unknown.workers
+    snapshot.adopt(unknown.state, learned, now)  # its list has not come: nothing to believe it of
+    assert not unknown.state.workers
 
 
 def test_a_budget_of_a_cold_worker_counts_what_the_old_process_sent() -> None:
     old = dispatcher(1)
     now = served(old)
-    old.workers["w4"].sends.append(now - 10.0)
+    old.state.workers["w4"].cold_sends_at_ms.append(now - 10.0)
     new = dispatcher(2, now)
-    snapshot.adopt(new, handed(old, now), now + 200.0)
-    worker = new.workers["w4"]
-    new._cold_room(worker, now + 200.0)
-    assert now - 10.0 in worker.sends
-    worker.allowed, worker.window = 1, int((now + 200.0 + new.phase) / SETTINGS.tip_after)
-    assert not new._cold_room(worker, now + 200.0), "the one that it bears now was sent by the old process"
+    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    worker = new.state.workers["w4"]
+    slow_start.budget_allows_send(new.state, worker, now + 200.0)
+    assert now - 10.0 in worker.cold_sends_at_ms
+    worker.budget_sends, worker.budget_window = (
+        1,
+        int((now + 200.0 + new.state.warm_up_window_offset_ms) / SETTINGS.tip_after),
+    )
+    assert not slow_start.budget_allows_send(new.state, worker, now + 200.0), (
+        "the one that it bears now was sent by the old process"
+    )
 
 
 def test_only_the_process_named_believes_it_and_only_while_it_is_young() -> None:
     old = dispatcher(1)
     now = served(old)
-    text = encode(snapshot.take(old, now), PID)
-    assert decode(text, PID, now).at == now
+    text = encode(snapshot.take(old.state, now), PID)
+    assert decode(text, PID, now).taken_at_ms == now
     for pid, at in ((PID + 1, now), (PID, now + MAX_AGE_MS + 1.0), (PID, now - CLOCK_TOLERANCE_MS - 1.0)):
         with pytest.raises(Unusable):
             decode(text, pid, at)
@@ -121,7 +151,7 @@
 def test_whatever_is_damaged_is_not_believed() -> None:
     old = dispatcher(1)
     now = served(old, 10)
-    text = encode(snapshot.take(old, now), PID)
+    text = encode(snapshot.take(old.state, now), PID)
     for cut in range(0, len(text), 7):
         with pytest.raises(Unusable):
             decode(text[:cut], PID, now)
@@ -138,7 +168,7 @@
 def test_a_whole_file_of_another_form_is_not_believed(change: dict[str, object]) -> None:
     old = dispatcher(1)
     now = served(old, 10)
-    taken = orjson.loads(orjson.dumps(snapshot.take(old, now))) | change
+    taken = orjson.loads(encode(snapshot.take(old.state, now), PID).partition(b"\n")[2]) | change
     text = encode(taken, PID)
     if "version" in change:
         text = text.replace(b'"version":1', b'"version":2', 1)
@@ -150,9 +180,9 @@
     old = dispatcher(1)
     now = served(old, 10)
     nowhere = LearnedFile(tmp_path / "absent", "n1", 1, lambda: now)
-    nowhere.write(snapshot.take(old, now), PID)
+    nowhere.write(snapshot.take(old.state, now), PID)
     assert nowhere.read() is None and "not handed over" in caplog.text
-    LearnedFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old, now), PID)
+    LearnedFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old.state, now), PID)
     successor = LearnedFile(tmp_path, "n1", PID, lambda: now)
     assert successor.read() is not None
     (tmp_path / "oxbowyard-n1-learned").write_bytes(b"x" * (2 << 20))
@@ -173,7 +203,7 @@
         program = Program(lambda: Read(config))
         scheduler = program._parts.scheduler
         now = program._parts.clock()
-        learned = snapshot.take(dispatcher(1), now)
+        learned = snapshot.take(dispatcher(1).state, now)
         program._learned.read = lambda: learned  # type: ignore[method-assign]
         scheduler.adopt = broken  # type: ignore[method-assign,assignment]
         assert program._adopt(), "it is not tried again and again"
@@ -190,9 +220,10 @@
 def test_a_successor_that_knows_of_a_failing_class_still_decides_about_it() -> None:
     old = dispatcher(1)
     now = served(old)
-    assert any(until > now for _, until in old.workers["w1"].faults.values()), "w1 is out for a class"
+    ejections = old.state.workers["w1"].class_ejections.values()
+    assert any(ejection.until_ms > now for ejection in ejections), "w1 is out for a class"
     new = dispatcher(2, now)
-    snapshot.adopt(new, handed(old, now), now + 200.0)
+    snapshot.adopt(new.state, handed(old, now), now + 200.0)
     for i in range(40):
-        actions = new.handle(now + 200.0, fw.Request(f"n{i}", "once", ONCE.deadline, f"n{i}"))
-        assert any(isinstance(action, fw.Send) for action in actions)
+        actions = new.handle(now + 200.0, RequestReceived(f"n{i}", "once", ONCE.deadline, f"n{i}"))
+        assert any(isinstance(action, StartAttempt) for action in actions)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
 from oxbowyard.daemon.assembly import Assembly
 from oxbowyard.daemon.config import Config
 from oxbowyard.daemon.descriptors import Descriptors
-from oxbowyard.decision.interface import JobClass, Settings
+from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
 from oxbowyard.gearman.jobs import _key
 from oxbowyard.listeners.acceptor import ACCEPT_AGAIN, Acceptor
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -17,7 +17,7 @@
 from oxbowyard.core.req import Kind
 from oxbowyard.core.retune import live_part_only, retune
 from oxbowyard.decision.facade import Readiness, WorkerInfo
-from oxbowyard.decision.interface import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, Repeat
 from oxbowyard.discovery.registry import Change, Registry
 from oxbowyard.handover.files import STALE, Marks
 from oxbowyard.handover.steps import WAIT_MOST, Handover, Step
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 import pytest
 from player import ROOT, SETTINGS, Program
 
-from oxbowyard.decision.facts import settings_of
+from oxbowyard.decision.platform_settings import settings_of
 from oxbowyard.operator.file import MOST_FILE, Faulty, load
 from oxbowyard.waiting.settings import WaitingSettings
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,41 +5,53 @@
 import pytest
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.decision import interface as fw
-
-ORDER = fw.JobClass("order", aim=600, deadline=15000, in_order=True)
-PAIRED = fw.JobClass("paired", aim=600, deadline=15000, repeat=fw.Repeat.FREE, in_order=True)
-PLAIN = fw.JobClass("plain", aim=400, deadline=5000, repeat=fw.Repeat.FREE)
+from oxbowyard.decision import slow_start
+from oxbowyard.decision.actions import Action, CancelAttempt, RejectRequest, StartAttempt
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsChanged,
+    RequestReceived,
+    Result,
+    Scope,
+    TimerFired,
+    WorkerInfo,
+)
+from oxbowyard.decision.settings import JobClass, Repeat
+
+ORDER = JobClass("order", aim=600, deadline=15000, in_order=True)
+PAIRED = JobClass("paired", aim=600, deadline=15000, repeat=Repeat.FREE, in_order=True)
+PLAIN = JobClass("plain", aim=400, deadline=5000, repeat=Repeat.FREE)
 
 
 def make(gap: float = 0.0, workers: int = 4, **more: object) -> Dispatcher:
     values: dict[str, object] = {"max_attempts": 3, "tells_start": True, "may_cancel": True, "turn_gap": gap}
     values.update(more)
     d = Dispatcher(Settings((ORDER, PAIRED, PLAIN), **values), seed=3)  # type: ignore[arg-type]
-    d.handle(0.0, fw.WorkerList(fw.Scope.FULL, tuple(fw.WorkerInfo(f"w{i}") for i in range(workers))))
+    d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers))))
     return d
 
 
-def sends(actions: list[fw.Action]) -> list[tuple[str, str]]:
-    return [(a.id, a.worker) for a in actions if isinstance(a, fw.Send)]
+def sends(actions: list[Action]) -> list[tuple[str, str]]:
+    return [(a.request_id, a.worker) for a in actions if isinstance(a, StartAttempt)]
 
 
-def ask(d: Dispatcher, now: float, name: str, cls: str = "order", key: str | None = "k") -> list[fw.Action]:
-    return d.handle(now, fw.Request(name, cls, 9000, key))
+def ask(d: Dispatcher, now: float, name: str, cls: str = "order", key: str | None = "k") -> list[Action]:
+    return d.handle(now, RequestReceived(name, cls, 9000, key))
 
 
-def end(d: Dispatcher, now: float, name: str, result: fw.Result, final: bool = False) -> list[str]:
-    return [i for i, _ in sends(d.handle(now, fw.Outcome(name, 0, "w", result, 1.0, final)))]
+def end(d: Dispatcher, now: float, name: str, result: Result, final: bool = False) -> list[str]:
+    return [i for i, _ in sends(d.handle(now, AttemptEnded(name, 0, "w", result, 1.0, final)))]
 
 
 def test_requests_of_one_key_go_one_at_a_time_whatever_class_in_order() -> None:
     d = make()
     assert sends(ask(d, 1, "a"))
     assert not sends(ask(d, 2, "b", "paired")) and not sends(ask(d, 3, "c"))
-    assert end(d, 50, "a", fw.Result.OK, True) == ["b"]
-    assert end(d, 90, "b", fw.Result.OK, True) == ["c"]
-    end(d, 99, "c", fw.Result.OK, True)
-    assert not d.lines and not d.jobs
+    assert end(d, 50, "a", Result.OK, True) == ["b"]
+    assert end(d, 90, "b", Result.OK, True) == ["c"]
+    end(d, 99, "c", Result.OK, True)
+    assert not d.state.key_queues and not d.state.jobs
 
 
 def test_other_keys_no_key_and_other_classes_are_free() -> None:
@@ -49,18 +61,18 @@
     assert sends(ask(d, 4, "d", key=None)) and sends(ask(d, 5, "e", key=None))
 
 
-@pytest.mark.parametrize("result", [fw.Result.TIMEOUT, fw.Result.RESET, fw.Result.CANCELLED])
-def test_a_key_rests_after_an_attempt_that_may_still_run(result: fw.Result) -> None:
+@pytest.mark.parametrize("result", [Result.TIMEOUT, Result.RESET, Result.CANCELLED])
+def test_a_key_rests_after_an_attempt_that_may_still_run(result: Result) -> None:
     d = make(gap=300)
     ask(d, 1, "a")
     ask(d, 2, "b")
     assert end(d, 50, "a", result) == []
-    assert not sends(d.handle(300, fw.TimerDue(0)))
-    assert sends(d.handle(351, fw.TimerDue(0)))
+    assert not sends(d.handle(300, TimerFired(0)))
+    assert sends(d.handle(351, TimerFired(0)))
 
 
 def test_no_rest_after_an_error_or_without_a_gap() -> None:
-    for gap, result in ((300.0, fw.Result.ERROR), (0.0, fw.Result.RESET)):
+    for gap, result in ((300.0, Result.ERROR), (0.0, Result.RESET)):
         d = make(gap=gap)
         ask(d, 1, "a")
         ask(d, 2, "b")
@@ -71,40 +83,40 @@
     d = make(gap=100)
     ask(d, 1, "a")
     ask(d, 2, "b")
-    assert fw.Cancel("a", 0) in d.handle(10, fw.ClientGone("a"))
-    assert not sends(d.handle(500, fw.TimerDue(0)))  # its attempt still lacks an outcome
-    assert end(d, 510, "a", fw.Result.CANCELLED, True) == []
-    assert end(d, 511, "a", fw.Result.CANCELLED, True) == []  # told twice: nothing more
-    assert [i for i, _ in sends(d.handle(611, fw.TimerDue(0)))] == ["b"]
+    assert CancelAttempt("a", 0) in d.handle(10, ClientDisconnected("a"))
+    assert not sends(d.handle(500, TimerFired(0)))  # its attempt still lacks an outcome
+    assert end(d, 510, "a", Result.CANCELLED, True) == []
+    assert end(d, 511, "a", Result.CANCELLED, True) == []  # told twice: nothing more
+    assert [i for i, _ in sends(d.handle(611, TimerFired(0)))] == ["b"]
 
 
 def test_one_that_leaves_while_it_waits_does_not_block_the_rest() -> None:
     d = make()
     for i, name in enumerate("abc"):
         ask(d, 1 + i, name)
-    d.handle(10, fw.ClientGone("b"))
-    assert end(d, 20, "a", fw.Result.OK, True) == ["c"]
+    d.handle(10, ClientDisconnected("b"))
+    assert end(d, 20, "a", Result.OK, True) == ["c"]
 
 
 def test_an_own_retry_keeps_the_turn_even_while_the_key_rests() -> None:
     d = make(gap=5000)
     ask(d, 1, "a", "paired")
     ask(d, 2, "b")
-    assert end(d, 50, "a", fw.Result.RESET) == ["a"]
+    assert end(d, 50, "a", Result.RESET) == ["a"]
 
 
 def test_what_cannot_get_its_turn_in_time_is_refused_at_once() -> None:
     d = make()
-    d.holds.add("order", 2000.0)
+    d.state.service_times_ms.add("order", 2000.0)
     ask(d, 1, "a")
     (answer,) = ask(d, 2, "b")
-    assert isinstance(answer, fw.Refuse) and answer.id == "b"
+    assert isinstance(answer, RejectRequest) and answer.request_id == "b"
 
 
 def test_lines_survive_the_eviction_of_keys() -> None:
     d = make()
     ask(d, 1, "a")
-    d.keys.clear()
+    d.state.keys.clear()
     assert not sends(ask(d, 2, "b"))
 
 
@@ -127,15 +139,15 @@
         s = Settings((PLAIN,), siblings=siblings, tells_start=True, cold_from=cold_from, ramp=ramp,
                      tip_multiple=multiple, tip_after=window)  # fmt: skip
         d = Dispatcher(s, seed)
-        d.handle(0.0, fw.WorkerList(fw.Scope.FULL, (fw.WorkerInfo("w", online_since=1.0),)))
-        d.workers["w"].pool.hold = hold
+        d.handle(0.0, EndpointsChanged(Scope.FULL, (WorkerInfo("w", online_since=1.0),)))
+        d.state.workers["w"].pool.mean_service_time_ms = hold
         fleet.append(d)
     sent: list[float] = []
     for step in range(int(ramp / 100)):
         now = 1.0 + step * 100
         for i, d in enumerate(fleet):  # every dispatcher has work for it all the time
-            if d._cold_room(d.workers["w"], now):
-                d.workers["w"].sends.append(now)
+            if slow_start.budget_allows_send(d.state, d.state.workers["w"], now):
+                d.state.workers["w"].cold_sends_at_ms.append(now)
                 sent.append(now + i / 1000)
     assert sent, "the budget is never used"
     for first in sent:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,9 +15,21 @@
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.daemon.parts import Parts
-from oxbowyard.decision import interface as fw
-from oxbowyard.decision.choice import Dispatcher
-from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
+from oxbowyard.decision import slow_start
+from oxbowyard.decision.actions import StartAttempt
+from oxbowyard.decision.dispatcher import Dispatcher
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    EndpointsChanged,
+    PeerFaultsChanged,
+    RequestReceived,
+    Result,
+    Scope,
+    WorkerFault,
+    WorkerInfo,
+)
+from oxbowyard.decision.facade import Facade
+from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.membership.datagrams import Datagrams
 from oxbowyard.membership.messages import Head, Malformed, Note, Told, decode, encode
 from oxbowyard.membership.notes import Notes
@@ -79,16 +91,16 @@
 
 def test_the_decisions_go_by_the_new_number() -> None:
     """A cold worker's budget is shared among the living."""
-    classes = (fw.JobClass("c", 1000.0, 10000.0),)
-    settings = fw.Settings(classes, siblings=20, cold_from=0.2, ramp=10000.0)
+    classes = (JobClass("c", 1000.0, 10000.0),)
+    settings = Settings(classes, siblings=20, cold_from=0.2, ramp=10000.0)
 
     def allowed(siblings: int) -> int:
         facade = Facade(settings, 1, lambda: 1000.0)
-        facade.reckon(siblings)
-        facade.learn(Scope.FULL, (WorkerInfo("w", online_since=500.0, slots=64),))
-        worker = facade._dispatcher.workers["w"]
-        facade._dispatcher._cold_room(worker, 1000.0)
-        return worker.allowed
+        facade.set_scheduler_count(siblings)
+        facade.update_endpoints(Scope.FULL, (WorkerInfo("w", online_since=500.0, slots=64),))
+        worker = facade._dispatcher.state.workers["w"]
+        slow_start.budget_allows_send(facade._dispatcher.state, worker, 1000.0)
+        return worker.budget_sends
 
     assert allowed(2) >= 4 * max(allowed(20), 1)
 
@@ -104,32 +116,39 @@
 
 
 def dispatcher(workers: int) -> Dispatcher:
-    d = Dispatcher(fw.Settings((fw.JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1), 1)
-    d.handle(0, fw.WorkerList(fw.Scope.FULL, tuple(fw.WorkerInfo(f"w{i}") for i in range(workers))))
+    d = Dispatcher(Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1), 1)
+    d.handle(0, EndpointsChanged(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers))))
     return d
 
 
 def sent_to(d: Dispatcher, now: float, number: int) -> str:
-    actions = d.handle(now, fw.Request(f"r{number}-{now}", "c", 10000.0, key=f"k{number}"))
-    worker = next(a.worker for a in actions if isinstance(a, fw.Send))
-    d.handle(now, fw.Outcome(f"r{number}-{now}", 0, worker, fw.Result.OK, 1.0, True))
+    actions = d.handle(now, RequestReceived(f"r{number}-{now}", "c", 10000.0, key=f"k{number}"))
+    worker = next(a.worker for a in actions if isinstance(a, StartAttempt))
+    d.handle(now, AttemptEnded(f"r{number}-{now}", 0, worker, Result.OK, 1.0, True))
     return worker
 
 
 def test_a_heard_trouble_spares_a_worker_for_a_while_and_never_the_other_way_round() -> None:
     d = dispatcher(8)
     home = sent_to(d, 0, 1)
-    d.handle(1, fw.Troubles((fw.Trouble(home, 1000.0),)))
+    d.handle(1, PeerFaultsChanged((WorkerFault(home, 1000.0),)))
     assert home not in {sent_to(d, 2, i) for i in range(200)}
     assert sent_to(d, 1500, 1) == home
-    w = d.workers["w0"]
-    w.shunned, w.since, w.strikes, w.barred_until = 3000.0, 1400.0, 1.0, 2500.0
-    d.handle(1500, fw.Troubles((fw.Trouble("w0", 5.0, 100.0),)))
-    d.handle(1500, fw.Troubles())
-    assert (w.shunned, w.since, w.strikes, w.barred_until) == (3000.0, 1400.0, 1.0, 2500.0)
+    w = d.state.workers["w0"]
+    w.avoided_until_ms, w.started_at_ms, w.failure_count, w.ejected_until_ms = 3000.0, 1400.0, 1.0, 2500.0
+    d.handle(1500, PeerFaultsChanged((WorkerFault("w0", 5.0, 100.0),)))
+    d.handle(1500, PeerFaultsChanged())
+    assert (w.avoided_until_ms, w.started_at_ms, w.failure_count, w.ejected_until_ms) == (
+        3000.0,
+        1400.0,
+        1.0,
+        2500.0,
+    )
     d = dispatcher(8)
-    d.handle(1, fw.Troubles(tuple(fw.Trouble(f"w{i}", 4000.0) for i in range(3))))
-    assert not any(w.shunned for w in d.workers.values()), "of over a quarter nothing is believed"
+    d.handle(1, PeerFaultsChanged(tuple(WorkerFault(f"w{i}", 4000.0) for i in range(3))))
+    assert not any(w.avoided_until_ms for w in d.state.workers.values()), (
+        "of over a quarter nothing is believed"
+    )
 
 
 def note(about: str, by: str = "m1", count: int = 1, value: float = 0.0, age: float = 0.0, lasts: float = 1.0,
@@ -139,23 +158,23 @@
 
 def test_own_troubles_are_told_once_and_again_when_they_last_longer() -> None:
     sharing = Sharing(ramp=10.0)
-    (say,) = sharing.to_say(0.0, [Trouble("w1", 800.0)], 12, 0.0)
+    (say,) = sharing.to_say(0.0, [WorkerFault("w1", 800.0)], 12, 0.0)
     assert (say.about, say.lasts) == ("bar:w1", 0.8)
-    assert not sharing.to_say(0.1, [Trouble("w1", 700.0)], 12, 100.0)
-    assert sharing.to_say(0.2, [Trouble("w1", 4000.0)], 12, 200.0)
-    many = [Trouble(f"w{i}", 800.0) for i in range(4)]
+    assert not sharing.to_say(0.1, [WorkerFault("w1", 700.0)], 12, 100.0)
+    assert sharing.to_say(0.2, [WorkerFault("w1", 4000.0)], 12, 200.0)
+    many = [WorkerFault(f"w{i}", 800.0) for i in range(4)]
     assert not Sharing(10.0).to_say(0.0, many, 12, 0.0), "a third of all: the trouble is rather ours"
 
 
 def test_what_is_heard_keeps_its_time_and_is_not_told_to_and_fro() -> None:
     sharing = Sharing(ramp=10.0)
-    (say,) = sharing.to_say(50.0, [Trouble("w1", 0.0, 7000.0)], 12, 9000.0)
+    (say,) = sharing.to_say(50.0, [WorkerFault("w1", 0.0, 7000.0)], 12, 9000.0)
     assert (say.value, say.lasts) == (2.0, 8.0)
     other = Sharing(ramp=10.0)
     assert other.hear(note(say.about, value=say.value, age=0.5, lasts=say.lasts), 100.0)
     (heard,) = other.heard(101.0, 20000.0)
     assert heard.since == 20000.0 - 3500.0 and heard.lasts == 0.0
-    known = [Trouble("w1", 0.0, 16500.0)]
+    known = [WorkerFault("w1", 0.0, 16500.0)]
     assert not other.heard(101.0, 20000.0, known), "it is known here already"
     assert not other.to_say(101.0, known, 12, 20000.0), "it was heard of, and is not told again"
     assert not other.heard(108.0, 27000.0)
@@ -167,16 +186,16 @@
 
 
 def test_a_cold_start_that_the_list_tells_is_no_news() -> None:
-    async def play() -> list[Trouble]:
-        settings = fw.Settings((fw.JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1)
+    async def play() -> list[WorkerFault]:
+        settings = Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1)
         classes, clock = settings.classes, lambda: 5000.0
         facade = Facade(settings, 1, clock)
         scheduler = Scheduler(settings, facade, Nowhere(), clock, ServiceMeasure(classes), Limits())
         scheduler.learn(Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed")))
-        facade._dispatcher.workers["guessed"].since = 4500.0
+        facade._dispatcher.state.workers["guessed"].started_at_ms = 4500.0
         return scheduler.troubles()
 
-    assert asyncio.run(play()) == [Trouble("guessed", 0.0, 4500.0)]
+    assert asyncio.run(play()) == [WorkerFault("guessed", 0.0, 4500.0)]
 
 
 # ---- Drains ----
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,19 +7,40 @@
 import pytest
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.decision import interface as fw
+from oxbowyard.decision.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointsChanged,
+    Event,
+    Readiness,
+    RequestReceived,
+    Result,
+    Scope,
+    TimerFired,
+    WorkerInfo,
+)
+from oxbowyard.decision.settings import JobClass, Repeat
 
 CLASSES = (
-    fw.JobClass("free", aim=400, deadline=3000, repeat=fw.Repeat.FREE),
-    fw.JobClass("once", aim=600, deadline=4000),
-    fw.JobClass("order", aim=600, deadline=4000, in_order=True),
-    fw.JobClass("pairs", aim=500, deadline=3000, repeat=fw.Repeat.FREE, in_order=True),
-    fw.JobClass("keyed", aim=500, deadline=4000, repeat=fw.Repeat.GUARDED, group="cell", memory=800),
+    JobClass("free", aim=400, deadline=3000, repeat=Repeat.FREE),
+    JobClass("once", aim=600, deadline=4000),
+    JobClass("order", aim=600, deadline=4000, in_order=True),
+    JobClass("pairs", aim=500, deadline=3000, repeat=Repeat.FREE, in_order=True),
+    JobClass("keyed", aim=500, deadline=4000, repeat=Repeat.GUARDED, group="cell", memory=800),
 )
-NEVER_RAN = (fw.Result.FULL, fw.Result.UNREACHABLE, fw.Result.NOT_SENT)
+NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)
 IN_ORDER = ("order", "pairs")
-MAY_RUN_ON = (fw.Result.TIMEOUT, fw.Result.RESET, fw.Result.CANCELLED)
-MAYBE = (fw.Result.ERROR, fw.Result.RESET)
+MAY_RUN_ON = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+MAYBE = (Result.ERROR, Result.RESET)
 
 
 class World:
@@ -28,7 +49,7 @@
     def __init__(self, seed: int, siblings: int, gap: float) -> None:
         self.rng = random.Random(seed)
         self.gap = gap
-        self.later: list[fw.Event] = []
+        self.later: list[Event] = []
         self.lines: dict[str, list[str]] = {}  # requests in order of a key, as taken, until over
         self.key_of: dict[str, str] = {}
         self.rests: dict[str, tuple[float, str]] = {}  # until when, and whose attempt it was
@@ -38,51 +59,51 @@
         self.now = 0.0
         self.cells = {f"w{i}": i % 2 for i in range(6)}
         self.ready = set(self.cells)
-        self.open: dict[str, tuple[fw.JobClass, float]] = {}
+        self.open: dict[str, tuple[JobClass, float]] = {}
         self.sent: dict[str, list[tuple[str, float]]] = {}
         self.out: dict[tuple[str, int], bool] = {}  # attempts out; whether started
         self.ran: dict[str, tuple[str, float]] = {}
         self.timers: list[tuple[float, int]] = []
         self.give(
-            fw.WorkerList(fw.Scope.RESTORED, tuple(fw.WorkerInfo(w, cell=c) for w, c in self.cells.items()))
+            EndpointsChanged(Scope.RESTORED, tuple(WorkerInfo(w, cell=c) for w, c in self.cells.items()))
         )
 
-    def give(self, event: fw.Event) -> None:
+    def give(self, event: Event) -> None:
         for action in self.d.handle(self.now, event):
             self.check(action)
 
-    def check(self, action: fw.Action) -> None:
-        if isinstance(action, fw.SetTimer):
-            self.timers.append((self.now + action.delay, action.tag))
-        elif isinstance(action, fw.Send):
-            cls, deadline = self.open[action.id]  # nothing goes out after the final answer
+    def check(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            self.timers.append((self.now + action.delay_ms, action.tag))
+        elif isinstance(action, StartAttempt):
+            cls, deadline = self.open[action.request_id]  # nothing goes out after the final answer
             assert action.worker in self.ready and self.now < deadline
-            tries = self.sent.setdefault(action.id, [])
-            if action.id in self.key_of:
-                line = self.lines[self.key_of[action.id]]
-                for earlier in line[: line.index(action.id)]:
-                    assert not self.busy(earlier), f"{action.id} overtook {earlier}"
-                until, whose = self.rests.get(self.key_of[action.id], (0.0, ""))
-                assert self.now >= until or whose == action.id
-            assert not any((action.id, n) in self.out for n in range(len(tries)))
-            if action.id in self.ran and cls.repeat is not fw.Repeat.FREE:
-                worker, when = self.ran[action.id]
-                assert cls.repeat is fw.Repeat.GUARDED and self.now - when < cls.memory
+            tries = self.sent.setdefault(action.request_id, [])
+            if action.request_id in self.key_of:
+                line = self.lines[self.key_of[action.request_id]]
+                for earlier in line[: line.index(action.request_id)]:
+                    assert not self.busy(earlier), f"{action.request_id} overtook {earlier}"
+                until, whose = self.rests.get(self.key_of[action.request_id], (0.0, ""))
+                assert self.now >= until or whose == action.request_id
+            assert not any((action.request_id, n) in self.out for n in range(len(tries)))
+            if action.request_id in self.ran and cls.repeat is not Repeat.FREE:
+                worker, when = self.ran[action.request_id]
+                assert cls.repeat is Repeat.GUARDED and self.now - when < cls.memory
                 assert self.cells[worker] == self.cells[action.worker]
-            self.out[(action.id, len(tries))] = False
+            self.out[(action.request_id, len(tries))] = False
             tries.append((action.worker, self.now))
-        elif isinstance(action, fw.Refuse):
-            cls, _ = self.open.pop(action.id)
-            assert cls.repeat is fw.Repeat.FREE or action.id not in self.ran
-        elif isinstance(action, fw.Fail):
-            del self.open[action.id]
-        elif isinstance(action, fw.Cancel):
-            self.end(action.id, action.attempt, fw.Result.CANCELLED)
+        elif isinstance(action, RejectRequest):
+            cls, _ = self.open.pop(action.request_id)
+            assert cls.repeat is Repeat.FREE or action.request_id not in self.ran
+        elif isinstance(action, FailRequest):
+            del self.open[action.request_id]
+        elif isinstance(action, CancelAttempt):
+            self.end(action.request_id, action.attempt, Result.CANCELLED)
 
     def busy(self, name: str) -> bool:
         return name in self.open or any(n == name for n, _ in self.out)
 
-    def end(self, name: str, n: int, result: fw.Result) -> None:
+    def end(self, name: str, n: int, result: Result) -> None:
         if self.out.pop((name, n), None) is None:
             return
         worker, when = self.sent[name][n]
@@ -91,10 +112,10 @@
         if name in self.key_of and result in MAY_RUN_ON:
             self.rests[self.key_of[name]] = self.now + self.gap, name
         final = name not in self.open
-        if result is fw.Result.OK and not final:
+        if result is Result.OK and not final:
             del self.open[name]
             final = True
-        self.later.append(fw.Outcome(name, n, worker, result, self.now - when, final))
+        self.later.append(AttemptEnded(name, n, worker, result, self.now - when, final))
 
     def settle(self) -> None:
         """No more requests: every one is answered, and every attempt ends."""
@@ -103,9 +124,9 @@
             self.now += 20
             for due, tag in sorted(t for t in self.timers if t[0] <= self.now):
                 self.timers.remove((due, tag))
-                self.give(fw.TimerDue(tag))
+                self.give(TimerFired(tag))
             for key in list(self.out):
-                self.end(*key, fw.Result.OK)
+                self.end(*key, Result.OK)
             while self.later:
                 self.give(self.later.pop(0))
         assert not self.open and not self.out
@@ -117,10 +138,10 @@
         for name, (_, deadline) in list(self.open.items()):
             if self.now >= deadline - 1:  # the last attempt times out with the client
                 for key in [k for k in self.out if k[0] == name]:
-                    self.end(*key, fw.Result.TIMEOUT)
+                    self.end(*key, Result.TIMEOUT)
         for due, tag in sorted(t for t in self.timers if t[0] <= self.now):
             self.timers.remove((due, tag))
-            self.give(fw.TimerDue(tag))
+            self.give(TimerFired(tag))
         pick = rng.random()
         if pick < 0.4:
             cls = rng.choice(CLASSES)
@@ -129,27 +150,27 @@
             if cls.name in IN_ORDER:
                 self.key_of[f"r{i}"] = data
                 self.lines.setdefault(data, []).append(f"r{i}")
-            self.give(fw.Request(f"r{i}", cls.name, cls.deadline, data))
+            self.give(RequestReceived(f"r{i}", cls.name, cls.deadline, data))
         elif pick < 0.42 and self.open:
             name = rng.choice(list(self.open))
             del self.open[name]
-            self.give(fw.ClientGone(name))
+            self.give(ClientDisconnected(name))
         elif pick < 0.9 and self.out:
             name, n = rng.choice(list(self.out))
             if rng.random() < 0.4:
                 self.out[(name, n)] = True
-                self.give(fw.Started(name, n, self.sent[name][n][0]))
+                self.give(AttemptStarted(name, n, self.sent[name][n][0]))
             else:
-                result = rng.choice((fw.Result.OK,) * 6 + MAYBE + (() if self.out[(name, n)] else NEVER_RAN))
+                result = rng.choice((Result.OK,) * 6 + MAYBE + (() if self.out[(name, n)] else NEVER_RAN))
                 self.end(name, n, result)
         elif pick < 0.94:
             worker = rng.choice(list(self.cells))
-            state = rng.choice(list(fw.Readiness))
-            (self.ready.add if state is fw.Readiness.READY else self.ready.discard)(worker)
-            info = fw.WorkerInfo(worker, state, cell=self.cells[worker], online_since=self.now)
-            self.give(fw.WorkerList(fw.Scope.CHANGES, (info,)))
+            state = rng.choice(list(Readiness))
+            (self.ready.add if state is Readiness.READY else self.ready.discard)(worker)
+            info = WorkerInfo(worker, state, cell=self.cells[worker], online_since=self.now)
+            self.give(EndpointsChanged(Scope.CHANGES, (info,)))
         elif pick < 0.96:
-            self.give(fw.WorkerList(fw.Scope.FAILED))
+            self.give(EndpointsChanged(Scope.FAILED))
         while self.later:
             self.give(self.later.pop(0))
         for name, (_, deadline) in self.open.items():
@@ -165,6 +186,11 @@
     assert len(world.sent) > (200 if siblings < 10 else 20)  # most workers are cold, and many share them
     world.settle()
     d = world.d
-    assert not d.jobs and not d.held and not d.unstarted and d.total == 0
-    assert all(w.count == 0 and not w.running and not w.waiting for w in d.workers.values())
-    assert not any(line.jobs for line in d.lines.values())
+    assert (
+        not d.state.jobs
+        and not d.state.queued_jobs
+        and not d.state.unstarted_attempts
+        and d.state.in_flight == 0
+    )
+    assert all(w.in_flight == 0 and not w.running and not w.unstarted for w in d.state.workers.values())
+    assert not any(line.jobs for line in d.state.key_queues.values())
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -13,8 +13,18 @@
 import pytest
 
 from oxbowyard import Dispatcher, simhost
-from oxbowyard.decision import interface as fw
-from oxbowyard.decision.facts import settings_of
+from oxbowyard.decision.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    ProbeWorker,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    SubscribeEndpoints,
+)
+from oxbowyard.decision.platform_settings import settings_of
 
 ROOT = Path(__file__).parent.parent
 FACTS: dict[str, Any] = {
@@ -69,17 +79,17 @@
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (fw.Send("r", "w", 5.0), ["passOn", 3, "r", "w", 5.0]),
-        (fw.Refuse("r", 7.0), ["decline", 3, "r", 7.0]),
-        (fw.Fail("r"), ["giveUp", 3, "r"]),
-        (fw.Cancel("r", 1), ["abandon", 3, "r", 1]),
-        (fw.Probe("w"), ["soundOut", 3, "w"]),
-        (fw.Subscribe(), ["follow", 3, True]),
-        (fw.SetTimer(1, 9.0), ["defer", 3, 1, 9.0]),
-        (fw.Record("text"), ["record", 3, "text"]),
+        (StartAttempt("r", 0, "w", 5.0), ["passOn", 3, "r", "w", 5.0]),
+        (RejectRequest("r", 7.0), ["decline", 3, "r", 7.0]),
+        (FailRequest("r"), ["giveUp", 3, "r"]),
+        (CancelAttempt("r", 1), ["abandon", 3, "r", 1]),
+        (ProbeWorker("w"), ["soundOut", 3, "w"]),
+        (SubscribeEndpoints(), ["follow", 3, True]),
+        (SetTimer(1, 9.0), ["defer", 3, 1, 9.0]),
+        (LogMessage("text"), ["record", 3, "text"]),
     ],
 )
-def test_actions_on_the_wire(action: fw.Action, line: list[Any]) -> None:
+def test_actions_on_the_wire(action: Action, line: list[Any]) -> None:
     assert json.loads(simhost.encode(3, action)) == line
 
 
@@ -120,7 +130,7 @@
 
 
 def test_a_failure_of_the_decisions_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, event: object) -> list[fw.Action]:
+    def broken(self: object, now: float, event: object) -> list[Action]:
         raise RuntimeError("boom")
 
     monkeypatch.setattr(Dispatcher, "handle", broken)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -82,14 +82,15 @@
     assert f"{project['name']} {project['version']}" == VERSION
 
 
-def test_the_module_stays_behind_its_facade() -> None:
-    """Its events and actions are seen by the facade and the simulator's adapter alone."""
+def test_the_decisions_stay_behind_their_facade() -> None:
+    """Other packages see the facade, the settings and the snapshot's form alone."""
+    public = {"facade", "settings", "platform_settings", "snapshot"}
     for path in ROOT.rglob("*.py"):
         if path.parent.name == "decision" or path.name in ("simhost.py", "__init__.py"):
             continue
-        names = imports_of(path)
-        assert "oxbowyard.decision.choice" not in names, path
-        taken = {n.rpartition(".")[2] for n in names if n.startswith("oxbowyard.decision.interface.")}
+        names = {n for n in imports_of(path) if n.startswith("oxbowyard.decision.")}
+        assert {n.split(".")[2] for n in names} <= public, path
+        taken = {n.rpartition(".")[2] for n in names if n.startswith("oxbowyard.decision.settings.")}
         assert taken <= {"JobClass", "Repeat", "Settings"}, path
 
 
--- a/tests/test_waiting_room.py
+++ b/tests/test_waiting_room.py
@@ -17,7 +17,7 @@
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.daemon.collector import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
-from oxbowyard.decision.interface import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, Repeat, Settings
 from oxbowyard.waiting.ledger import Memory
 from oxbowyard.waiting.order import AGED, Changed, End, Final, Parent, Rejected, State, Wait, When
 from oxbowyard.waiting.room import WaitingRoom, bounded, with_aged
--- a/tests/test_workers_in_part.py
+++ b/tests/test_workers_in_part.py
@@ -3,11 +3,23 @@
 from __future__ import annotations
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.decision import interface as fw
-from oxbowyard.decision.facts import settings_of
-
-FREE = fw.JobClass("free", aim=300, deadline=5000, repeat=fw.Repeat.FREE)
-ONCE = fw.JobClass("once", aim=1000, deadline=12000)
+from oxbowyard.decision import slow_start
+from oxbowyard.decision.actions import CancelAttempt, StartAttempt
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    AttemptStarted,
+    EndpointsChanged,
+    RequestReceived,
+    Result,
+    Scope,
+    TimerFired,
+    WorkerInfo,
+)
+from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.settings import JobClass, Repeat
+
+FREE = JobClass("free", aim=300, deadline=5000, repeat=Repeat.FREE)
+ONCE = JobClass("once", aim=1000, deadline=12000)
 
 
 def make(workers: int = 3, **more: object) -> Dispatcher:
@@ -16,22 +28,26 @@
         "connect_timeout": 200.0, "ramp": 8000.0, "cold_from": 0.3,
     } | more  # fmt: skip
     d = Dispatcher(Settings(**values), seed=1)  # type: ignore[arg-type]
-    infos = tuple(fw.WorkerInfo(f"w{i}", kind="std") for i in range(workers))
-    d.handle(0.0, fw.WorkerList(fw.Scope.FULL, infos))
+    infos = tuple(WorkerInfo(f"w{i}", kind="std") for i in range(workers))
+    d.handle(0.0, EndpointsChanged(Scope.FULL, infos))
     return d
 
 
 def ask(d: Dispatcher, now: float, name: str, cls: str = "free") -> str | None:
     """Where a job is sent, if it is."""
-    sends = [a.worker for a in d.handle(now, fw.Request(name, cls, 5000.0, "k")) if isinstance(a, fw.Send)]
+    sends = [
+        a.worker
+        for a in d.handle(now, RequestReceived(name, cls, 5000.0, "k"))
+        if isinstance(a, StartAttempt)
+    ]
     return sends[0] if sends else None
 
 
 def served(d: Dispatcher, now: float, name: str, cls: str = "free", takes: float = 200.0) -> str:
     worker = ask(d, now, name, cls)
     assert worker is not None
-    d.handle(now + 1, fw.Started(name, 0, worker))
-    d.handle(now + takes, fw.Outcome(name, 0, worker, fw.Result.OK, takes, True))
+    d.handle(now + 1, AttemptStarted(name, 0, worker))
+    d.handle(now + takes, AttemptEnded(name, 0, worker, Result.OK, takes, True))
     return worker
 
 
@@ -40,8 +56,8 @@
     d = make()
     home = served(d, 1, "warm")
     assert ask(d, 300, "once1", "once") == home
-    d.handle(611, fw.Outcome("once1", 0, home, fw.Result.FULL, 311))
-    assert d.jobs["once1"].attempts[-1].worker.name != home
+    d.handle(611, AttemptEnded("once1", 0, home, Result.FULL, 311))
+    assert d.state.jobs["once1"].attempts[-1].worker.name != home
     for i in range(3):  # again and again: longer than its first bar
         now = 700 + 40 * i
         assert ask(d, now, f"once-{i}", "once") != home
@@ -50,13 +66,13 @@
 
 def test_a_full_queue_is_still_one() -> None:
     d = make()
-    home = d.workers[served(d, 1, "warm")]
+    home = d.state.workers[served(d, 1, "warm")]
     for i in range(12):
         ask(d, 300, f"r{i}", "once")
-    last = next(reversed(home.waiting))
-    assert last.load >= home.pool.slots
-    d.handle(400, fw.Outcome(last.job.id, 0, home.name, fw.Result.FULL, 100))
-    assert home.delay > 0 and ONCE not in home.faults
+    last = next(reversed(home.unstarted))
+    assert last.load_before >= home.pool.slots
+    d.handle(400, AttemptEnded(last.job.id, 0, home.name, Result.FULL, 100))
+    assert home.queue_wait_ms > 0 and ONCE not in home.class_ejections
 
 
 def test_connects_refused_for_a_moment_are_no_restart() -> None:
@@ -66,11 +82,11 @@
     for name, down, cold in (("brief", 300.0, False), ("long", 1300.0, True)):
         now = 1000.0 if name == "brief" else 9000.0
         assert ask(d, now, name) == "w0"
-        d.handle(now + 1, fw.Outcome(name, 0, "w0", fw.Result.UNREACHABLE, 1.0, True))
-        assert d.workers["w0"].unreachable
+        d.handle(now + 1, AttemptEnded(name, 0, "w0", Result.UNREACHABLE, 1.0, True))
+        assert d.state.workers["w0"].unreachable
         assert served(d, now + down, f"{name}-after") == "w0"
-        assert not d.workers["w0"].unreachable
-        assert (d.warmth(d.workers["w0"], now + down + 300) < 1) is cold
+        assert not d.state.workers["w0"].unreachable
+        assert (slow_start.warmth(d.state, d.state.workers["w0"], now + down + 300) < 1) is cold
 
 
 def test_a_worker_that_stands_still_gets_a_trial_that_may_move_on() -> None:
@@ -82,8 +98,8 @@
     assert ask(d, now, "trial") == home
     assert ask(d, now + 1, "next") != home  # one trial
     assert ask(d, now + 2, "once", "once") != home  # never with a job that can't move on
-    moved = d.handle(now + 500, fw.TimerDue(0))
-    assert fw.Cancel("trial", 0) in moved  # it has not begun: it goes where it begins at once
+    moved = d.handle(now + 500, TimerFired(0))
+    assert CancelAttempt("trial", 0) in moved  # it has not begun: it goes where it begins at once
     assert ask(d, now + 1001, "again") == home
 
 
@@ -93,12 +109,12 @@
     home = served(d, 1, "warm")
     assert ask(d, 1000, "lost", "once") == home
     assert served(d, 1050, "passes") == home
-    worker = d.workers[home]
-    assert not worker.waiting and worker.count == 1  # it makes nobody wait
+    worker = d.state.workers[home]
+    assert not worker.unstarted and worker.in_flight == 1  # it makes nobody wait
     assert ask(d, 3000, "once", "once") != home
     assert served(d, 3100, "free") == home
-    d.handle(13000, fw.Outcome("lost", 0, home, fw.Result.TIMEOUT, 12000.0))
-    assert worker.count == 0
+    d.handle(13000, AttemptEnded("lost", 0, home, Result.TIMEOUT, 12000.0))
+    assert worker.in_flight == 0
 
 
 def test_where_jobs_do_not_begin_in_order_overtaking_says_nothing() -> None:
@@ -106,7 +122,7 @@
     home = served(d, 1, "warm")
     ask(d, 1000, "waits", "once")
     served(d, 1050, "passes")
-    assert len(d.workers[home].waiting) == 1 and ONCE not in d.workers[home].faults
+    assert len(d.state.workers[home].unstarted) == 1 and ONCE not in d.state.workers[home].class_ejections
 
 
 def test_the_settings_say_whether_jobs_begin_in_order() -> None:
