--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -18,7 +18,7 @@
 from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.collector import spare_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
-from oxbowyard.decision.interface import JobClass, Settings
+from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.waiting.order import Final, Parent, State, Wait
 from oxbowyard.waiting.room import WaitingRoom
 from oxbowyard.waiting.settings import WaitingSettings
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -11,27 +11,27 @@
 from itertools import chain
 
 from ..decision.facade import (
-    Ask,
-    Began,
-    Cancel,
+    AttemptEnded,
+    AttemptStarted,
+    CancelAttempt,
     Capacity,
-    Decision,
-    Ended,
+    ClientDisconnected,
+    Decisions,
     Facade,
-    Fail,
-    Fetch,
-    Hold,
-    Left,
+    FailRequest,
+    QueueRequest,
     Readiness,
-    Refuse,
+    RejectRequest,
+    RequestAction,
+    RequestReceived,
     Result,
     Scope,
     Snapshot,
-    Trouble,
-    Turn,
+    StartAttempt,
+    WorkerFault,
     WorkerInfo,
 )
-from ..decision.interface import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, Repeat, Settings
 from .request import (
     Answer,
     AnswerKind,
@@ -136,7 +136,7 @@
         """Other classes and attempts for the requests taken from now on; those open keep theirs."""
         self._max_attempts = min(settings.max_attempts, self._limits.max_attempts)
         self._windows = {c.name: _window(c) for c in settings.classes}
-        self._facade.retune(settings)
+        self._facade.replace_classes(settings)
         self.measure.set_classes(settings.classes)
 
     def update_endpoints(
@@ -153,11 +153,11 @@
         if scope is not Scope.CHANGES:
             others = (rows.values() for name, rows in self._listed.items() if name != source)
             backends = (*backends, *chain.from_iterable(others))
-        self._follow(self._facade.learn(scope, backends))
+        self._follow(self._facade.update_endpoints(scope, backends))
 
     def set_scheduler_count(self, siblings: int) -> None:
         """So many schedulers send to the same backends from now on."""
-        self._facade.reckon(siblings)
+        self._facade.set_scheduler_count(siblings)
 
     def snapshot(self) -> Snapshot:
         """What the decisions have learned, for a process that replaces this one."""
@@ -167,7 +167,7 @@
         """Go on from what the process that this one replaces has learned."""
         self._facade.adopt(learned)
 
-    def worker_faults(self) -> list[Trouble]:
+    def worker_faults(self) -> list[WorkerFault]:
         """Backends that own attempts show to be in trouble; it walks all of them. A cold start that the list
         tells is left out: all are told it."""
         told: dict[str, float] = {}
@@ -175,13 +175,13 @@
             told |= {name: info.online_since for name, info in rows.items() if info.online_since}
         found = (
             replace(t, since=0.0) if t.since <= told.get(t.worker, 0.0) else t
-            for t in self._facade.troubles()
+            for t in self._facade.worker_faults()
         )
         return [t for t in found if t.lasts or t.since]
 
-    def apply_peer_faults(self, troubles: tuple[Trouble, ...]) -> None:
+    def apply_peer_faults(self, troubles: tuple[WorkerFault, ...]) -> None:
         """Take what other schedulers tell of backends' troubles, all that holds now."""
-        self._follow(self._facade.hear(troubles))
+        self._follow(self._facade.apply_peer_faults(troubles))
 
     @property
     def open_request_count(self) -> int:
@@ -226,7 +226,7 @@
         self._open_by_class[request.job_class] += 1
         self._idle.clear()
         entry.alarm = self._loop.call_at(deadline - ANSWER_AHEAD, self._expire, entry)
-        ask = Ask(
+        ask = RequestReceived(
             request.id,
             request.job_class,
             request.timeout_s * 1000,
@@ -235,7 +235,7 @@
             request.slots,
             request.is_retry,
         )
-        self._follow(self._facade.pick(ask), entry)
+        self._follow(self._facade.decide(ask), entry)
         return entry
 
     def _finish(self, entry: _Open, answer: Answer) -> None:
@@ -270,7 +270,7 @@
         self.measure.record_answer(
             entry.request.job_class, AnswerKind.CLIENT_DISCONNECTED, self._loop.time() - entry.taken_at, None
         )
-        self._follow(self._facade.report(Left(entry.request.id)))
+        self._follow(self._facade.report(ClientDisconnected(entry.request.id)))
         self._call_off(entry)
         self._let_go(entry)
 
@@ -293,7 +293,7 @@
         kind = AnswerKind.REJECTED if self._harmless_to_retry(entry) else AnswerKind.FAILED
         wait = self._busy_wait if kind is AnswerKind.REJECTED else 0.0
         self._finish(entry, _answer(entry, kind, reason, wait))
-        self._follow(self._facade.report(Left(entry.request.id)))
+        self._follow(self._facade.report(ClientDisconnected(entry.request.id)))
 
     def _harmless_to_retry(self, entry: _Open) -> bool:
         out = entry.notes is not None and entry.notes.written
@@ -301,20 +301,20 @@
 
     # ---- Decisions ----
 
-    def _follow(self, turn: Turn, about: _Open | None = None) -> None:
+    def _follow(self, turn: Decisions, about: _Open | None = None) -> None:
         """Carry out every decision of a turn, whichever requests they are for, and set the next tick."""
         if turn.fault is not None:
             log.error("decision fault: %r", turn.fault, exc_info=turn.fault)
-        for decision in turn.decisions:
+        for decision in turn.actions:
             try:
                 self._carry_out(decision)
             except Exception:
                 log.exception("could not carry out %s", decision)
-                if entry := self._open.get(decision.req):
+                if entry := self._open.get(decision.request_id):
                     self._answer_ourselves(entry, "internal fault")
         if turn.fault is not None and about is not None and about.task is None:
             self._answer_ourselves(about, "internal fault")
-        self._set_ticker(turn.next_tick)
+        self._set_ticker(turn.next_tick_ms)
 
     def _set_ticker(self, due: float | None) -> None:
         if self._ticker is not None:
@@ -327,23 +327,23 @@
         self._ticker = None
         self._follow(self._facade.tick(self._clock()))
 
-    def _carry_out(self, decision: Decision) -> None:
-        entry = self._open.get(decision.req)
+    def _carry_out(self, decision: RequestAction) -> None:
+        entry = self._open.get(decision.request_id)
         if entry is None:  # answered without the decisions; an attempt that never was must not count as out
-            if isinstance(decision, Fetch):
+            if isinstance(decision, StartAttempt):
                 self._loop.call_soon(self._report_unsent, decision, True)
             return
         match decision:
-            case Fetch():
+            case StartAttempt():
                 self._start_attempt(entry, decision)
-            case Refuse(retry_after=wait):
+            case RejectRequest(retry_after_ms=wait):
                 self._refuse(entry, wait / 1000)
-            case Fail():
+            case FailRequest():
                 self._finish(entry, _answer(entry, AnswerKind.FAILED, "given up"))
-            case Cancel(number=number):
+            case CancelAttempt(attempt=number):
                 if number == entry.attempts - 1:
                     self._call_off(entry)
-            case Hold():
+            case QueueRequest():
                 pass
 
     def _refuse(self, entry: _Open, retry_after: float) -> None:
@@ -355,12 +355,12 @@
 
     # ---- Fetches ----
 
-    def _start_attempt(self, entry: _Open, decision: Fetch) -> None:
+    def _start_attempt(self, entry: _Open, decision: StartAttempt) -> None:
         left = entry.deadline - ANSWER_AHEAD - self._loop.time()
         barred = entry.may_have_run and entry.window is None
         if entry.answer.done() or entry.task or entry.attempts >= entry.max_attempts or left <= 0 or barred:
             log.warning(
-                "request %s: attempt %d to %s not sent", entry.request.id, decision.number, decision.backend
+                "request %s: attempt %d to %s not sent", entry.request.id, decision.attempt, decision.worker
             )
             entry.attempts += 1
             self._loop.call_soon(self._report_unsent, decision, entry.answer.done())
@@ -368,7 +368,7 @@
         entry.attempts += 1
         entry.calling_off = False
         entry.began_at = None
-        wait = min(left, decision.timeout / 1000) if decision.timeout > 0 else left
+        wait = min(left, decision.timeout_ms / 1000) if decision.timeout_ms > 0 else left
         entry.notes = AttemptContext(
             wait, lambda: self._began(entry, decision), lambda note: self._note(entry, decision, note),
             entry.repeat_by,
@@ -377,40 +377,42 @@
         sent_at = self._loop.time()
         log.debug(
             "attempt %d of request %s (%s) to %s",
-            decision.number,
+            decision.attempt,
             entry.request.id,
             entry.request.job_class,
-            decision.backend,
+            decision.worker,
         )
         # A task cancelled before its first step never enters its body: only its end is sure to be told.
         entry.task.add_done_callback(lambda task: self._ended(entry, decision, task, sent_at))
 
-    def _report_unsent(self, decision: Fetch, final: bool) -> None:
-        outcome = Ended(decision.req, decision.number, decision.backend, Result.NOT_SENT, final=final)
-        self._follow(self._facade.report(outcome), self._open.get(decision.req))
+    def _report_unsent(self, decision: StartAttempt, final: bool) -> None:
+        outcome = AttemptEnded(
+            decision.request_id, decision.attempt, decision.worker, Result.NOT_SENT, final=final
+        )
+        self._follow(self._facade.report(outcome), self._open.get(decision.request_id))
 
-    def _began(self, entry: _Open, decision: Fetch) -> None:
+    def _began(self, entry: _Open, decision: StartAttempt) -> None:
         entry.began_at = self._loop.time()
-        log.debug("attempt %d of request %s began at %s", decision.number, entry.request.id, decision.backend)
+        log.debug("attempt %d of request %s began at %s", decision.attempt, entry.request.id, decision.worker)
         if entry.request.on_running:
             entry.request.on_running(True)
-        self._follow(self._facade.report(Began(entry.request.id, decision.number, decision.backend)))
+        self._follow(self._facade.report(AttemptStarted(entry.request.id, decision.attempt, decision.worker)))
 
-    def _note(self, entry: _Open, decision: Fetch, note: AttemptUpdate) -> None:
-        current = decision.number == entry.attempts - 1
+    def _note(self, entry: _Open, decision: StartAttempt, note: AttemptUpdate) -> None:
+        current = decision.attempt == entry.attempts - 1
         if current and entry.request.on_update and not entry.answer.done():
             entry.request.on_update(note)
 
     async def _run(
-        self, request: Request, decision: Fetch, notes: AttemptContext, wait: float
+        self, request: Request, decision: StartAttempt, notes: AttemptContext, wait: float
     ) -> AttemptOutcome:
         try:
             async with asyncio.timeout(wait):
-                return await self._transport.attempt(decision.backend, request, notes)
+                return await self._transport.attempt(decision.worker, request, notes)
         except TimeoutError:
             return AttemptOutcome(Result.TIMEOUT if notes.written else Result.NOT_SENT, reason="timed out")
         except Exception as failure:
-            log.exception("attempt of request %s at %s failed in our own code", request.id, decision.backend)
+            log.exception("attempt of request %s at %s failed in our own code", request.id, decision.worker)
             return AttemptOutcome(Result.ERROR if notes.written else Result.NOT_SENT, reason=repr(failure))
 
     def _cut(self, entry: _Open) -> AttemptOutcome:
@@ -419,7 +421,7 @@
         return AttemptOutcome(Result.TIMEOUT if entry.expired else Result.CANCELLED, reason="called off")
 
     def _ended(
-        self, entry: _Open, decision: Fetch, task: asyncio.Task[AttemptOutcome], sent_at: float
+        self, entry: _Open, decision: StartAttempt, task: asyncio.Task[AttemptOutcome], sent_at: float
     ) -> None:
         ending = self._cut(entry) if task.cancelled() else task.result()
         duration = (self._loop.time() - sent_at) * 1000
@@ -433,10 +435,10 @@
         if ending.result is not Result.OK:
             log.info(
                 "attempt %d of request %s (%s) at %s: %s after %.0f ms, %s",
-                decision.number,
+                decision.attempt,
                 entry.request.id,
                 entry.request.job_class,
-                decision.backend,
+                decision.worker,
                 ending.result.value,
                 duration,
                 ending.reason,
@@ -444,9 +446,9 @@
         else:
             log.debug(
                 "attempt %d of request %s served by %s after %.0f ms, %s",
-                decision.number,
+                decision.attempt,
                 entry.request.id,
-                decision.backend,
+                decision.worker,
                 duration,
                 ending.load,
             )
@@ -455,8 +457,8 @@
         if ending.result is Result.OK:
             self._finish(entry, Answer(AnswerKind.SERVED, ending.body, run_state=RunState.HAS_RUN))
         final = entry.answer.done()
-        outcome = Ended(
-            entry.request.id, decision.number, decision.backend, ending.result, duration, final, ending.load
+        outcome = AttemptEnded(
+            entry.request.id, decision.attempt, decision.worker, ending.result, duration, final, ending.load
         )
         self._let_go(entry)
         self._follow(self._facade.report(outcome), entry)
