--- a/oxbowyard/core/__init__.py
+++ b/oxbowyard/core/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler between a front and its backends; knows no wire."""
+"""The scheduler between a front and its backends. It knows no wire format."""
--- a/oxbowyard/core/clock.py
+++ b/oxbowyard/core/clock.py
@@ -7,6 +7,7 @@
 
 
 def steady_unix_ms() -> Callable[[], float]:
-    """Unix time read once, carried on by the monotonic clock: a step of the system's time is not seen."""
-    offset = time.time() - time.monotonic()
-    return lambda: (time.monotonic() + offset) * 1000
+    """A clock that reads Unix time once and follows the monotonic clock, so that a step of the system's time
+    has no effect."""
+    offset_s = time.time() - time.monotonic()
+    return lambda: (time.monotonic() + offset_s) * 1000
--- a/oxbowyard/core/service_measure.py
+++ b/oxbowyard/core/service_measure.py
@@ -1,4 +1,4 @@
-"""The service measure: worth answered in time over worth asked."""
+"""The service measure: the worth of the requests answered in time, as a share of all requests' worth."""
 
 from __future__ import annotations
 
@@ -9,25 +9,33 @@
 from ..decision.settings import JobClass
 from .request import AnswerKind
 
-RUN_SAMPLES = 200  # the mean running time of a class follows about so many requests
+RUN_TIME_SAMPLES = 200  # the mean running time of a class follows about so many of its latest requests
 
 
 @dataclass(slots=True)
 class _ClassTally:
-    asked: int = 0
-    in_time_work: float = 0.0
+    """The counts of one class."""
+
+    requests: int = 0
     in_time: int = 0
-    mean_run: float = 0.0
+    in_time_run_s: float = 0.0  # running time of the requests answered in time
+    mean_run_s: float = 0.0
     runs: int = 0
     answers: Counter[AnswerKind] = field(default_factory=Counter)
 
-    def ran(self, seconds: float) -> None:
+    def add_run(self, run_time_s: float) -> None:
         self.runs += 1
-        self.mean_run += (seconds - self.mean_run) / min(self.runs, RUN_SAMPLES)
+        self.mean_run_s += (run_time_s - self.mean_run_s) / min(self.runs, RUN_TIME_SAMPLES)
 
 
 class ServiceMeasure:
-    """Counts each request once. Where worth goes by work, one whose work nobody saw counts as a mean one."""
+    """Counts each request once.
+
+    Args:
+        classes: The classes that are counted; requests of others are not.
+        by_work: A request is worth its class's weight times its running time, or the class's mean where
+            nobody saw it run; else the weight alone.
+    """
 
     def __init__(self, classes: Iterable[JobClass], by_work: bool = True) -> None:
         self._classes = {c.name: c for c in classes}
@@ -35,18 +43,20 @@
         self._tallies = {name: _ClassTally() for name in self._classes}
 
     def set_classes(self, classes: Iterable[JobClass]) -> None:
-        """Count these classes from now on, new ones from nothing; one that went keeps its counts."""
+        """Count these classes too from now on; those counted before keep their counts."""
         for c in classes:
             self._classes[c.name] = c
             self._tallies.setdefault(c.name, _ClassTally())
 
     def record_request(self, job_class: str, is_retry: bool) -> None:
-        """A request was taken; a marked retry belongs to its first attempt, whose worth was counted."""
+        """Count a request. A client's marked retry belongs to its first request, whose worth was counted."""
         if tally := self._tallies.get(job_class):
-            tally.asked += not is_retry
+            tally.requests += not is_retry
 
-    def record_answer(self, job_class: str, kind: AnswerKind, elapsed: float, run: float | None) -> None:
-        """A request has its answer after `elapsed` seconds; `run` is how long it ran, where that is known."""
+    def record_answer(
+        self, job_class: str, kind: AnswerKind, elapsed_s: float, run_time_s: float | None
+    ) -> None:
+        """Count an answer, `elapsed_s` after the request came; `run_time_s` is None where it is not known."""
         tally = self._tallies.get(job_class)
         if tally is None:
             return
@@ -54,16 +64,16 @@
         if kind is not AnswerKind.SERVED:
             return
         cls = self._classes[job_class]
-        if run is not None:
-            tally.ran(run)
-        if elapsed * 1000 <= cls.aim + cls.stretch * (run or 0.0) * 1000:
+        if run_time_s is not None:
+            tally.add_run(run_time_s)
+        if elapsed_s * 1000 <= cls.aim + cls.stretch * (run_time_s or 0.0) * 1000:
             tally.in_time += 1
-            tally.in_time_work += tally.mean_run if run is None else run
+            tally.in_time_run_s += tally.mean_run_s if run_time_s is None else run_time_s
 
     def mean_run_s(self, job_class: str) -> float:
-        """The mean running time in seconds of a class's requests, of late; 0 if none was seen."""
+        """The recent mean running time of a class's requests in seconds; 0 if none was seen."""
         tally = self._tallies.get(job_class)
-        return tally.mean_run if tally else 0.0
+        return tally.mean_run_s if tally else 0.0
 
     def answers_by_class(self) -> dict[str, Counter[AnswerKind]]:
         """The answers so far, by class and kind."""
@@ -72,18 +82,18 @@
     @property
     def answers(self) -> Counter[AnswerKind]:
         """All answers so far, by kind."""
-        return sum((t.answers for t in self._tallies.values()), Counter())
+        return sum((tally.answers for tally in self._tallies.values()), Counter())
 
     @property
     def share(self) -> float:
-        """Worth answered in time over worth asked; 1 before anything was asked."""
-        asked = served = 0.0
+        """The measure, from 0 to 1; 1 before the first request."""
+        requested = served = 0.0
         for name, tally in self._tallies.items():
-            worth = self._classes[name].worth
-            if self._by_work and tally.mean_run:
-                asked += worth * max(tally.asked * tally.mean_run, tally.in_time_work)
-                served += worth * tally.in_time_work
+            weight = self._classes[name].worth
+            if self._by_work and tally.mean_run_s:
+                requested += weight * max(tally.requests * tally.mean_run_s, tally.in_time_run_s)
+                served += weight * tally.in_time_run_s
             else:
-                asked += worth * tally.asked
-                served += worth * tally.in_time
-        return min(served / asked, 1.0) if asked else 1.0
+                requested += weight * tally.requests
+                served += weight * tally.in_time
+        return min(served / requested, 1.0) if requested else 1.0
--- a/oxbowyard/core/settings_update.py
+++ b/oxbowyard/core/settings_update.py
@@ -1,9 +1,9 @@
-"""Settings brought by SIGHUP: what may change live, and the rules that hold while clients learn of it.
+"""A change of settings while the scheduler runs: what may change, and the rules that hold in between.
 
-A change binds from the moment clients use it, a little after the signal. Until then a request may come
-under the old rules or the new, so the stricter of the two holds: where either says a class must not run
-twice, it must not; of two numbers of attempts, the smaller. A class that goes out is still taken for that
-time, under its old rules.
+A change takes effect for a client when that client uses it, a little after the signal. Until then a request
+may come under the old rules or the new ones, so the stricter of the two holds: a class that must not run
+twice by either must not, and of two numbers of attempts the smaller counts. A class that is removed is still
+accepted for that time, under its old rules.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 from ..decision.settings import JobClass, Repeat, Settings
 
-STRICTNESS = (Repeat.FREE, Repeat.GUARDED, Repeat.SINGLE_SHOT)  # from the most lenient
+BY_STRICTNESS = (Repeat.FREE, Repeat.GUARDED, Repeat.SINGLE_SHOT)  # from the most lenient
+LIVE_SETTINGS = ("classes", "max_attempts")
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,26 +25,28 @@
 
 
 def restart_only_changes(old: Settings, new: Settings) -> tuple[str, ...]:
-    """The names of the settings that differ and can't change live: all but the classes and attempts."""
-    fixed = ("classes", "max_attempts")
+    """The names of the settings that differ and take effect only with a restart."""
     return tuple(
-        name for name in Settings.__slots__ if name not in fixed and getattr(old, name) != getattr(new, name)
+        name
+        for name in Settings.__slots__
+        if name not in LIVE_SETTINGS and getattr(old, name) != getattr(new, name)
     )
 
 
 def plan_settings_update(old: Settings, new: Settings) -> SettingsUpdate:
-    """The two steps from the settings in force to new ones; only classes and attempts change."""
-    after = replace(old, classes=new.classes, max_attempts=new.max_attempts)
-    before = {c.name: c for c in old.classes}
-    classes = tuple(_stricter(before[c.name], c) if c.name in before else c for c in new.classes)
-    named = {c.name for c in new.classes}
-    going = tuple(c for c in old.classes if c.name not in named)
-    meanwhile = replace(after, classes=classes + going, max_attempts=min(old.max_attempts, new.max_attempts))
-    return SettingsUpdate(meanwhile, after)
+    """The two steps from the settings in force to new ones; only `LIVE_SETTINGS` change."""
+    final = replace(old, classes=new.classes, max_attempts=new.max_attempts)
+    old_classes = {c.name: c for c in old.classes}
+    new_names = {c.name for c in new.classes}
+    changed = tuple(_stricter(old_classes[c.name], c) if c.name in old_classes else c for c in new.classes)
+    removed = tuple(c for c in old.classes if c.name not in new_names)
+    max_attempts = min(old.max_attempts, new.max_attempts)
+    transition = replace(final, classes=changed + removed, max_attempts=max_attempts)
+    return SettingsUpdate(transition, final)
 
 
 def _stricter(old: JobClass, new: JobClass) -> JobClass:
-    """The new class, but with the stricter repeat of the two."""
-    if STRICTNESS.index(old.repeat) <= STRICTNESS.index(new.repeat):
+    """The new class, with the old repeat rule where that one is stricter."""
+    if BY_STRICTNESS.index(old.repeat) <= BY_STRICTNESS.index(new.repeat):
         return new
     return replace(new, repeat=old.repeat, group=old.group, memory=max(old.memory, new.memory))
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -93,7 +93,7 @@
     assert asyncio.run(play()).result is result
 
 
-def test_each_fetch_has_a_connection_of_its_own() -> None:
+def test_each_attempt_has_a_connection_of_its_own() -> None:
     """A kept one may be closed by then, unseen: what is written to it ends as a reset."""
     ports: list[int] = []
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -114,7 +114,7 @@
     asyncio.run(play())
 
 
-def test_a_req_that_the_module_holds_is_answered() -> None:
+def test_a_request_that_the_decisions_hold_is_answered() -> None:
     async def play() -> None:
         stage = Stage(served, workers=0)
         assert (await stage.serve("once", patience=0.3)).kind is AnswerKind.REJECTED
@@ -123,7 +123,7 @@
     asyncio.run(play())
 
 
-def test_a_fault_in_the_decisions_answers_its_req(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_fault_in_the_decisions_answers_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     def fault(*_: Any) -> None:
         raise ZeroDivisionError
 
@@ -138,7 +138,7 @@
     asyncio.run(play())
 
 
-def test_a_fault_after_the_fetch_answers_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_fault_after_the_attempt_answers_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     def fault(*_: Any) -> None:
         raise ZeroDivisionError
 
@@ -170,7 +170,7 @@
     asyncio.run(play())
 
 
-def test_too_many_open_reqs_are_refused_and_an_open_id_is_not_taken_twice() -> None:
+def test_too_many_open_requests_are_rejected_and_an_open_id_is_not_admitted_twice() -> None:
     async def play() -> None:
         stage = Stage(hangs, limits=Limits(max_open_requests=1))
         first = asyncio.create_task(stage.serve("once", id_="a"))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -186,13 +186,13 @@
         client.sendall(ask(job_class))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
-        (entry,) = stage.scheduler._open.values()
+        (entry,) = stage.scheduler._admission._open.values()
         if first == "answer":
             stage.worker.end(0)
             await turns(2)  # it lies with the loop, and may be read by now
-            stage.scheduler._expire(entry)
+            stage.scheduler._lifecycle._deadlines._expire(entry)
         else:
-            stage.scheduler._expire(entry)
+            stage.scheduler._lifecycle._deadlines._expire(entry)
             stage.worker.end(0)
         await asyncio.sleep(1.0)
         assert sum(stage.parts.measure.answers.values()) == 1
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -47,13 +47,13 @@
     assert {c.name: c.repeat for c in step.transition.classes}["free"] is Repeat.SINGLE_SHOT
 
 
-def test_only_classes_and_fetches_change_live() -> None:
+def test_only_classes_and_attempts_change_live() -> None:
     assert restart_only_changes(SETTINGS, replace(SETTINGS, classes=(NEW,), max_attempts=1)) == ()
     assert restart_only_changes(SETTINGS, replace(SETTINGS, siblings=4)) == ("siblings",)
 
 
-def test_a_req_open_at_a_retune_keeps_its_class() -> None:
-    """Taken as one that must not run twice, it is never fetched again after its class turned harmless."""
+def test_a_request_open_at_a_settings_update_keeps_its_class() -> None:
+    """Taken as one that must not run twice, it is never attempted again after its class turned harmless."""
 
     async def play() -> None:
         stage = Stage(lost)
