--- a/oxbowyard/backends/__init__.py
+++ b/oxbowyard/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The way to scan workers over HTTP."""
+"""The transport to scan workers over HTTP."""
--- /dev/null
+++ b/oxbowyard/backends/answer_tail.py
@@ -0,0 +1,59 @@
+"""Reads the rest of an answer after its last line, so that its connection ends in order, not by a reset."""
+
+from __future__ import annotations
+
+import asyncio
+
+import aiohttp
+from aiohttp.http_exceptions import HttpProcessingError
+
+TAIL_TIMEOUT_S = 0.25  # for the end of the chunks after the last line
+MAX_TAIL_BYTES = 1 << 16
+# What the library raises for an answer that breaks off or can't be read; ValueError is for a line that is too
+# long, and for an answer without an end.
+BROKEN_ANSWER = (aiohttp.ClientError, OSError, HttpProcessingError, ValueError)
+
+
+class TailReader:
+    """Reads the ends of answers whose outcome is known, up to a number of them at once.
+
+    Args:
+        max_tails: Connections held for it; past them one is closed at once.
+    """
+
+    def __init__(self, max_tails: int) -> None:
+        self._max_tails = max_tails
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def read(self, response: aiohttp.ClientResponse) -> None:
+        """Read the rest of this answer in the background, and then release its connection."""
+        if response.content.at_eof():
+            response.release()
+            return
+        if len(self._tasks) >= self._max_tails:
+            response.close()
+            return
+        task = asyncio.create_task(_read_tail(response))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def cancel(self) -> None:
+        """Close the connections that are held."""
+        for task in self._tasks:
+            task.cancel()
+
+
+async def _read_tail(response: aiohttp.ClientResponse) -> None:
+    try:
+        size = 0
+        async with asyncio.timeout(TAIL_TIMEOUT_S):
+            while size <= MAX_TAIL_BYTES and (piece := await response.content.readany()):
+                size += len(piece)
+        if size > MAX_TAIL_BYTES:
+            raise ValueError("answer without an end")
+        response.release()
+    except (TimeoutError, *BROKEN_ANSWER):
+        response.close()
+    except asyncio.CancelledError:
+        response.close()
+        raise
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -108,7 +108,9 @@
         """The classes and fetches of these settings for reqs from now on; Gearman's functions stay."""
         settings = _with_functions(settings, self._gearman_config)
         self.scheduler.apply_settings(settings)
-        self.backends.once = frozenset(c.name for c in settings.classes if c.repeat is not Repeat.FREE)
+        self.backends.non_repeatable = frozenset(
+            c.name for c in settings.classes if c.repeat is not Repeat.FREE
+        )
         self.deadlines |= {c.name: c.deadline / 1000 for c in settings.classes}
 
     def start(self) -> None:
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -142,7 +142,7 @@
 
     def _control(self) -> Sources:
         parts = self._parts
-        counted = Counted(parts.measure, parts.backends.relayed, parts.registry, self._files)
+        counted = Counted(parts.measure, parts.backends.sent_attempts, parts.registry, self._files)
         return Sources(
             self._is_ready,
             lambda: figures(counted, parts.scheduler.open_request_count),
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -13,7 +13,7 @@
 from openapi_spec_validator import validate
 from player import ROOT
 
-from oxbowyard.backends.lines import LAST, LineReader
+from oxbowyard.backends.answer_lines import FINAL_STATES, AnswerReader
 from oxbowyard.clients.limits import MAX_BODY_BYTES
 from oxbowyard.clients.waiting import BatchForm, JobForm, JobView
 from oxbowyard.clients.wording import DEADLINE_FORM, ID_FORM, STATUS
@@ -80,8 +80,8 @@
     for example in message["examples"]:
         payload = example["payload"]
         jsonschema.validate(payload, schema(name))
-        reader = LineReader(payload["id"], {"waiting": "waiting", "x0": "free_slots"})
-        ending = reader.take(json.dumps(payload).encode())
+        reader = AnswerReader(payload["id"], {"waiting": "waiting", "x0": "free_slots"})
+        ending = reader.read(json.dumps(payload).encode())
         assert (ending is not None) == message["summary"].startswith("Last:")
         if ending is not None:
             never = "never ran" in message["summary"]
@@ -89,11 +89,11 @@
             assert (ending.result is Result.OK) == (name == "done")
             assert len(ending.load) == len(payload.get("load", {}))
         else:
-            assert reader.began or reader.share == payload["share"]
+            assert reader.is_started or reader.progress == payload["share"]
 
 
 def test_the_described_events_are_all_the_events() -> None:
-    assert set(MESSAGES) == {"started", "running", *LAST}
+    assert set(MESSAGES) == {"started", "running", *FINAL_STATES}
     assert set(ASYNCAPI["channels"]["jobEvents"]["messages"]) == set(MESSAGES)
 
 
