--- a/oxbowyard/clients/connection.py
+++ b/oxbowyard/clients/connection.py
@@ -13,7 +13,7 @@
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import StreamResponse
 
-from ..listeners.disconnects import peer_disconnected, unread, unread_bytes
+from ..listeners.disconnects import is_readable, peer_disconnected, unread_bytes
 from .limits import (
     DRAIN_TIMEOUT_S,
     KEEP_ALIVE_TIMEOUT_S,
@@ -146,7 +146,7 @@
         self._alarm = None
         if self.phase is Phase.UNFINISHED and self._pending:
             return  # its body has a timer of its own, set to the same moment
-        if self.phase in HEARD_OUT and not self._looked and unread(self.transport):
+        if self.phase in HEARD_OUT and not self._looked and is_readable(self.transport):
             self._looked = True  # once: who sends on and on without an end is ended all the same
             self._alarm = self._loop.call_later(LOOK_AGAIN, self._late)
             return
@@ -161,7 +161,7 @@
     @property
     def unheard(self) -> bool:
         """What has come may be a whole request that nobody took yet: unread, or read in this very turn."""
-        if unread(self.transport):
+        if is_readable(self.transport):
             return True
         if not self._pending or self.phase is not Phase.UNFINISHED:
             return False
@@ -183,7 +183,7 @@
         young = self.phase is Phase.SILENT and self._loop.time() < self.since + UNREAD_REQUEST_TIMEOUT_S
         if self.phase not in (Phase.SILENT, Phase.KEPT) or self.transport is None:
             return  # its answer closes it, or its own time; or it is closed
-        if young or unread(self.transport):
+        if young or is_readable(self.transport):
             self._loop.call_later(LOOK_AGAIN, self.wind_down)
         else:
             self.force_close()
--- a/oxbowyard/clients/session.py
+++ b/oxbowyard/clients/session.py
@@ -13,7 +13,7 @@
 
 from ..core.request import AnswerKind
 from ..core.scheduler import Scheduler
-from ..listeners.disconnects import peer_disconnected, unread
+from ..listeners.disconnects import is_readable, peer_disconnected
 from .connection import Connection, Phase
 from .connection_set import ConnectionSet
 from .limits import MAX_BODY_BYTES, MAX_STRANGERS_SHARE, REQUEST_TIMEOUT_S, SHORT, SLOW, UNUSED, YOUNG
@@ -123,7 +123,7 @@
     def close_idle(self) -> None:
         """Close the connections kept between requests, but those on which the next one has come by now. One
         that crosses the close is sent again by its client: a close between requests is allowed."""
-        for connection in [c for c in self._open if c.phase is Phase.KEPT and not unread(c.transport)]:
+        for connection in [c for c in self._open if c.phase is Phase.KEPT and not is_readable(c.transport)]:
             connection.force_close()
 
     async def close(self, within: float) -> None:
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -195,7 +195,7 @@
             if step is Step.HAND_OVER and self.state in (State.SERVING, State.RELOADING) and self._acceptor:
                 self._enter(State.HANDING)
                 self._hand_learned()
-                await self._acceptor.shut()
+                await self._acceptor.close_and_wait()
                 self._sessions.wind_down()
                 self._sessions.close_idle()
                 await self._further.hand_over()
@@ -350,7 +350,7 @@
         await asyncio.sleep(ACCEPT_ON)
         self._enter(State.FINISHING)
         if self._acceptor is not None:
-            await self._acceptor.shut()
+            await self._acceptor.close_and_wait()
         if self._parts.gearman:
             self._parts.gearman.wind_down()
         await self._sessions.close(max(self._longest, self._parts.scheduler.max_time_left_s()) + 1.0)
--- a/oxbowyard/gearman/front.py
+++ b/oxbowyard/gearman/front.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ..listeners.acceptor import Acceptor
-from ..listeners.disconnects import peer_disconnected, unread, unsent_bytes
+from ..listeners.disconnects import is_readable, peer_disconnected, unsent_bytes
 from ..waiting.order import End
 from .admin import Admin
 from .config import GearmanConfig
@@ -179,7 +179,7 @@
     @property
     def unheard(self) -> bool:
         """Something has come from it that was not read yet."""
-        return unread(self._transport)
+        return is_readable(self._transport)
 
     def finish(self) -> None:
         """Nothing more is said to it. Closed over what it still sends, it would be reset, and what its system
--- a/oxbowyard/listeners/__init__.py
+++ b/oxbowyard/listeners/__init__.py
@@ -1,1 +1,1 @@
-"""Listeners: how connections of either front come in."""
+"""Listening sockets, and what the system knows of a connection. Both fronts and the admin API use them."""
--- a/oxbowyard/listeners/acceptor.py
+++ b/oxbowyard/listeners/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections as there is room for them."""
+"""Accepts connections as far as their owner has places for them; the others wait in the system's backlog."""
 
 from __future__ import annotations
 
@@ -11,102 +11,126 @@
 
 log = logging.getLogger("oxbowyard.listeners")
 
-ROOM_AGAIN = 0.02  # seconds before room is looked for again: new connections wait in the backlog meanwhile
-ACCEPT_AGAIN = 0.05  # the same when the system has no descriptor or no memory left
-AT_ONCE = 16  # connections accepted before those that are open have their turn again
-BACKLOG = 1024  # connections that the system holds for us until then: hundreds may come at once
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RETRY_FULL_S = 0.02  # until a full owner is asked again for a place
+RETRY_NO_DESCRIPTOR_S = 0.05  # until a connection is accepted again after the system was out of descriptors
+MAX_ACCEPTS_AT_ONCE = 16  # then the open connections have their turn of the loop
+BACKLOG = 1024  # connections that the system holds until they are accepted: hundreds may come at once
+OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class Sessions(Protocol):
-    """Those who hold the connections."""
+class ConnectionOwner(Protocol):
+    """Who holds the accepted connections."""
 
-    counts: Counter[str]  # of what no line is logged for
+    counts: Counter[str]  # of events that have no log line of their own
 
     @property
     def free(self) -> int:
-        """How many more connections may come."""
+        """How many more connections may be accepted."""
 
     def evict_idle_connection(self) -> bool:
-        """Close the connection that is needed least, if any may go."""
+        """Close the connection that is needed least; False if none may be closed."""
 
     def make_connection(self) -> asyncio.Protocol:
-        """For a new connection."""
+        """The protocol of a new connection."""
 
 
 class Acceptor:
-    """The listener. What it does not accept yet waits in the system's backlog."""
+    """A listening TCP socket.
 
-    def __init__(self, front: str, host: str, port: int, sessions: Sessions, shared: bool = False) -> None:
+    It is bound when it is made, and accepts from `open` to `close`.
+
+    Args:
+        front: The name of what listens, for the log.
+        host: An IPv4 or IPv6 address, the latter with or without brackets.
+        port: The port; 0 takes a free one.
+        owner: Who holds the connections.
+        shared: Whether another process of this program may bind the same address, to replace this one.
+
+    Raises:
+        OSError: The address can't be bound.
+    """
+
+    def __init__(
+        self, front: str, host: str, port: int, owner: ConnectionOwner, shared: bool = False
+    ) -> None:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # Shared: a second process of ours binds it beside this one while this one serves, to replace it.
         self._listener = socket.create_server(
             (host.strip("[]"), port), family=family, backlog=BACKLOG, reuse_port=shared
         )
         self._listener.setblocking(False)
-        self._sessions = sessions
+        self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._pause: asyncio.TimerHandle | None = None
-        self._coming: set[asyncio.Task[object]] = set()  # accepted, and handed to their session in a moment
+        self._resume_timer: asyncio.TimerHandle | None = None
+        self._connecting: set[asyncio.Task[object]] = set()  # accepted, and not with their protocol yet
         log.info("%s listens on %s:%d", front, *self._listener.getsockname()[:2])
 
     def open(self) -> None:
         """Begin to accept."""
-        self._pause = None
-        self._loop.add_reader(self._listener, self._ready)
+        self._resume_timer = None
+        self._loop.add_reader(self._listener, self._on_readable)
 
     def close(self) -> None:
-        """Accept nothing more, but take first what the system holds for us: closed, it would be reset."""
+        """Accept what the system holds by now, and then no more: it would reset what it still holds.
+
+        Beyond the owner's free places each connection takes the place of an idle one, so that descriptors
+        stay few.
+        """
         if self._listener.fileno() < 0:
             return
-        self._stand_still()
-        places = self._sessions.free  # past them one goes for each that comes: descriptors stay few
-        while self._accept(1) and (places > 1 or self._sessions.evict_idle_connection()):
+        self._pause()
+        places = self._owner.free
+        while self._accept(1) and (places > 1 or self._owner.evict_idle_connection()):
             places -= 1
-        self._stand_still()  # it may have wanted to go on later
+        self._pause()  # `_accept` may have set the timer
         self._listener.close()
 
-    async def shut(self) -> None:
-        """The same, and wait until those connections have come up."""
+    async def close_and_wait(self) -> None:
+        """Close, and wait until every accepted connection is with its protocol."""
         self.close()
-        while self._coming:
-            await asyncio.wait(self._coming)
-
-    def _ready(self) -> None:
-        """Somebody waits. Accepted in one step: whatever ends this, no connection is lost in between."""
-        if self._sessions.free:
-            self._accept(min(AT_ONCE, self._sessions.free))
-        elif not self._sessions.evict_idle_connection():  # else there is room in the loop's next turn
-            self._stand_still(ROOM_AGAIN)
-
-    def _stand_still(self, seconds: float | None = None) -> None:
-        """Nobody is accepted for so long; for good if it is not said."""
+        while self._connecting:
+            await asyncio.wait(self._connecting)
+
+    def _on_readable(self) -> None:
+        """Accept in one step, so that no connection is lost whatever ends this."""
+        if self._owner.free:
+            self._accept(min(MAX_ACCEPTS_AT_ONCE, self._owner.free))
+        elif not self._owner.evict_idle_connection():  # else there is a place in the loop's next turn
+            self._pause(RETRY_FULL_S)
+
+    def _pause(self, duration_s: float | None = None) -> None:
+        """Accept nothing for so long, or for good."""
         self._loop.remove_reader(self._listener)
-        if self._pause is not None:
-            self._pause.cancel()
-        self._pause = None if seconds is None else self._loop.call_later(seconds, self.open)
-
-    def _accept(self, most: int) -> bool:
-        """Accept so many at most; whether more may wait."""
-        for _ in range(most):
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
+            self._resume_timer = None
+        if duration_s is not None:
+            self._resume_timer = self._loop.call_later(duration_s, self.open)
+
+    def _accept(self, max_connections: int) -> bool:
+        """Accept some connections; return whether more may wait."""
+        for _ in range(max_connections):
             try:
-                accepted = self._listener.accept()[0]
+                connection = self._listener.accept()[0]
             except BlockingIOError:
                 return False
             except OSError as fault:
-                if fault.errno in SHORT:  # it stays readable: trying on at once would take the whole core
-                    self._sessions.counts["no descriptor"] += 1
-                    self._stand_still(ACCEPT_AGAIN)
+                if fault.errno in OUT_OF_RESOURCES:
+                    # The listener stays readable: without a pause this would take the whole processor.
+                    self._owner.counts["no descriptor"] += 1
+                    self._pause(RETRY_NO_DESCRIPTOR_S)
                     return False
                 continue  # that client went before it was accepted
-            coming = self._loop.connect_accepted_socket(self._sessions.make_connection, accepted)
-            task: asyncio.Task[object] = self._loop.create_task(coming)
-            self._coming.add(task)
-            task.add_done_callback(self._came)
+            self._connect(connection)
         return True
 
-    def _came(self, task: asyncio.Task[object]) -> None:
-        self._coming.discard(task)
+    def _connect(self, connection: socket.socket) -> None:
+        connecting = self._loop.connect_accepted_socket(self._owner.make_connection, connection)
+        task: asyncio.Task[object] = self._loop.create_task(connecting)
+        self._connecting.add(task)
+        task.add_done_callback(self._on_connected)
+
+    def _on_connected(self, task: asyncio.Task[object]) -> None:
+        self._connecting.discard(task)
         fault = None if task.cancelled() else task.exception()
-        if fault is not None and not isinstance(fault, OSError):  # one that ended meanwhile is no fault
-            log.error("a connection did not come up: %r", fault, exc_info=fault)
+        if fault is not None and not isinstance(fault, OSError):  # OSError: the client ended it meanwhile
+            log.error("accepted connection not set up: %r", fault, exc_info=fault)
--- a/oxbowyard/listeners/disconnects.py
+++ b/oxbowyard/listeners/disconnects.py
@@ -1,7 +1,7 @@
-"""What the system knows of a connection before the loop has read it: an end of its peer, bytes that wait.
+"""What the system knows of a connection before the event loop has read it.
 
-A loop that was held up, or a connection that is not read for now, learns of an end late. Before something is
-done that can't be undone, the system is asked.
+A busy loop, or a connection whose reading is paused, notices bytes and a disconnect late. Before a step that
+can't be undone, the system is asked. Each function is a system call; none of them blocks.
 """
 
 from __future__ import annotations
@@ -12,43 +12,44 @@
 import struct
 import termios
 
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # closed, half-closed or reset
+DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # closed, half-closed or reset
 
 
 def peer_disconnected(transport: asyncio.BaseTransport | None) -> bool:
-    """The peer has closed, half-closed or reset, whatever it sent before that."""
-    return _told(transport, ENDED)
+    """Whether the peer has closed, half-closed or reset the connection, whatever it sent before."""
+    return _is_ready(transport, DISCONNECTED)
 
 
-def unread(transport: asyncio.BaseTransport | None) -> bool:
-    """Bytes have come, or an end, that the loop has not read yet."""
-    return _told(transport, select.POLLIN)
+def is_readable(transport: asyncio.BaseTransport | None) -> bool:
+    """Whether bytes or a disconnect have come that the loop has not read yet."""
+    return _is_ready(transport, select.POLLIN)
 
 
 def unread_bytes(transport: asyncio.BaseTransport | None) -> int:
-    """How many bytes have come that the loop has not read yet; 0 as well where the system does not say."""
-    return _counted(transport, termios.FIONREAD)
+    """The bytes that have come and that the loop has not read yet; 0 where the system does not say."""
+    return _queued_bytes(transport, termios.FIONREAD)
 
 
 def unsent_bytes(transport: asyncio.WriteTransport) -> int:
-    """How many bytes written to the peer its system does not have yet: a reset would take them away."""
-    return transport.get_write_buffer_size() + _counted(transport, termios.TIOCOUTQ)
+    """The bytes written that the peer's system has not acknowledged yet: a reset would lose them."""
+    return transport.get_write_buffer_size() + _queued_bytes(transport, termios.TIOCOUTQ)
 
 
-def _counted(transport: asyncio.BaseTransport | None, what: int) -> int:
+def _queued_bytes(transport: asyncio.BaseTransport | None, request: int) -> int:
     socket = transport.get_extra_info("socket") if transport is not None else None
     if socket is None:
         return 0
     try:
-        return int(struct.unpack("i", fcntl.ioctl(socket.fileno(), what, bytes(4)))[0])
+        return int(struct.unpack("i", fcntl.ioctl(socket.fileno(), request, bytes(4)))[0])
     except (OSError, ValueError):
         return 0
 
 
-def _told(transport: asyncio.BaseTransport | None, events: int) -> bool:
+def _is_ready(transport: asyncio.BaseTransport | None, events: int) -> bool:
+    """Whether one of the events holds; of a closed connection each of them does."""
     socket = transport.get_extra_info("socket") if transport is not None else None
-    if socket is None or (number := socket.fileno()) < 0:  # a transport that is closed has none any more
+    if socket is None or (descriptor := socket.fileno()) < 0:
         return True
-    asked = select.poll()
-    asked.register(number, events)
-    return bool(asked.poll(0))
+    poll = select.poll()
+    poll.register(descriptor, events)
+    return bool(poll.poll(0))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -43,7 +43,7 @@
 async def _leave(stage: Stage) -> None:
     """As the program leaves, from when it accepts nothing more."""
     stage.sessions.wind_down()
-    await stage.acceptor.shut()
+    await stage.acceptor.close_and_wait()
     await stage.sessions.close(30.0)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
 from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
 from oxbowyard.gearman.jobs import _key
-from oxbowyard.listeners.acceptor import ACCEPT_AGAIN, Acceptor
+from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
 
 OTHERS = tuple(JobClass(name, aim=1000, deadline=5000) for name in ("label-check", "accession"))
 
@@ -35,7 +35,7 @@
     assert with_gearman.total <= sockets
 
 
-def test_without_a_descriptor_the_gate_tries_again_now_and_then() -> None:
+def test_without_a_descriptor_the_acceptor_tries_again_now_and_then() -> None:
     class Sessions:
         free = 1
         counts: Counter[str] = Counter()
@@ -54,10 +54,10 @@
         with socket.create_connection(acceptor._listener.getsockname()):  # it stays readable all the time
             acceptor._listener = Listener(acceptor._listener)  # type: ignore[assignment]
             acceptor.open()
-            await asyncio.sleep(4.5 * ACCEPT_AGAIN)
+            await asyncio.sleep(4.5 * RETRY_NO_DESCRIPTOR_S)
             acceptor.close()
             assert 2 <= Sessions.counts["no descriptor"] <= 6
-            await asyncio.sleep(2 * ACCEPT_AGAIN)
+            await asyncio.sleep(2 * RETRY_NO_DESCRIPTOR_S)
             assert Sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
 
     asyncio.run(play())
