--- /dev/null
+++ b/tests/test_stored_forms.py
@@ -0,0 +1,307 @@
+"""What earlier releases stored and what peers, clients and operators are sent keeps its form.
+
+The fixtures were written by the program as found (`fixtures/make_fixtures.py` says how). What is read must be
+read as it was; what is written or sent must be the same bytes again.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+import shutil
+import sqlite3
+import tomllib
+from dataclasses import astuple
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+import scenes
+from player import ROOT, SETTINGS
+
+from oxbowyard.control.maintenance import MaintenanceFile
+from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
+from oxbowyard.decision.facts import settings_of
+from oxbowyard.decision.interface import JobClass, Repeat, Settings
+from oxbowyard.discovery.registry import Registry, parse_list
+from oxbowyard.durable.ledger import pack, parents_of, unpack
+from oxbowyard.handover.learned import decode, encode
+from oxbowyard.operator.file import Faulty, OperatorConfig, load
+from oxbowyard.start import disk
+from oxbowyard.store.record import Change, Kept, Moved, Stored
+from oxbowyard.store.sqlite import Database
+
+FIXTURES = Path(__file__).parent / "fixtures"
+WALL_S = 4_000_000_000.0
+CLOCK_MS = WALL_S * 1000
+START_MS = CLOCK_MS - 60_000.0
+PID = 4711
+
+# ---- The names of the program that the tests use: all of them stand in this part ----
+
+
+def read_operator(path: Path) -> OperatorConfig:
+    """The operator's file as the program reads it."""
+    return load(path, settings_of(SETTINGS).classes)
+
+
+def operator_faults(path: Path) -> tuple[str, ...]:
+    """What the program says of a faulty one, by keys."""
+    with pytest.raises(Faulty) as caught:
+        read_operator(path)
+    return tuple(caught.value.faults)
+
+
+def operator_tables(found: OperatorConfig) -> dict[str, Any]:
+    """What was read: by the file's keys, for [gearman] and the group in the order of the fields."""
+    assert found.gearman is not None and found.membership is not None
+    tables = {"waiting": found.waiting, "durable": found.durable, "membership": found.membership,
+              "start": found.start}  # fmt: skip
+    return {name: msgspec.to_builtins(table) for name, table in tables.items()} | {
+        "gearman": astuple(found.gearman), "membership's group": astuple(found.membership.group_settings()),
+    }  # fmt: skip
+
+
+def stored_jobs(database: Database, ids: list[str]) -> list[Stored]:
+    """These jobs as the program reads them."""
+    return [job for id_ in ids if (job := database.find(id_)) is not None]
+
+
+def store_again(database: Database, jobs: list[Stored]) -> None:
+    """Write them anew, change by change."""
+    changes: list[Change] = []
+    for job in jobs:
+        number = job.taken.number
+        changes.append(job.taken)
+        if job.lease is not None:
+            changes.append(Moved(number, Kept.GRANTED, job.asks, job.lease))
+        if job.ended is not None:
+            changes.append(job.ended)
+        elif job.kept is not Kept.GRANTED:
+            changes.append(Moved(number, job.kept, job.asks))
+    database.apply(changes)
+
+
+def packed_again(job: Stored) -> tuple[bytes, bytes]:
+    """A stored request and its parents, read and written again."""
+    parents = [[parent.id, parent.when.value] for parent in parents_of(job)]
+    return pack(unpack(job, 5.0)), json.dumps(parents).encode()
+
+
+def stored_as(job: Stored) -> tuple[bytes, bytes]:
+    """The same as the store has it."""
+    return job.taken.req, job.taken.parents
+
+
+def read_list(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
+    """The list kept on disk: its version, entries and age."""
+    found = disk.read(path, "default", now, 86400.0, 100, 1 << 20)
+    return found.rev, [dict(row) for row in found.targets], found.age
+
+
+def write_list(path: Path, rev: int, rows: list[dict[str, Any]]) -> None:
+    """Take a list from discovery, as the program does, and keep it on disk."""
+    registry = Registry(lambda: CLOCK_MS, 1000.0)
+    registry.apply(parse_list({"rev": rev, "all": True, "targets": rows}))
+    registry.put_out("w3")
+    disk.write(path, "default", WALL_S, rev, registry.document())
+
+
+def out_by_hand(path: Path) -> set[str]:
+    """The workers that the file names."""
+    return set(MaintenanceFile(path).read() or ())
+
+
+def change_out_by_hand(path: Path, uid: str, out: bool) -> None:
+    """Add one to the file or take it away."""
+    MaintenanceFile(path).change(uid, out)
+
+
+def learned_again(text: bytes, now: float) -> bytes:
+    """The file of estimates, read and written."""
+    return encode(decode(text, PID, now), PID)
+
+
+def learned_adopted(text: bytes) -> bytes:
+    """What a fresh process that goes on from these estimates hands on at once."""
+    classes = (
+        JobClass("short", aim=1000, deadline=10000, repeat=Repeat.FREE),
+        JobClass("once", aim=4000, deadline=25000),
+    )
+    settings = Settings(
+        classes, siblings=3, max_attempts=3, tells_start=True, may_cancel=True, ramp=90_000.0,
+        cold_from=0.15, tip_multiple=2.5, tip_after=3000.0,
+    )  # fmt: skip
+    facade = Facade(settings, 1, lambda: CLOCK_MS)
+    infos = [WorkerInfo(f"w{i}", kind="fast" if i % 2 else "slow", weight=1.0 + i) for i in range(4)]
+    cold = WorkerInfo("w4", kind="slow", online_since=START_MS - 5000.0)
+    facade.learn(Scope.FULL, (*infos, cold))
+    facade.adopt(decode(text, PID, CLOCK_MS))
+    return encode(facade.snapshot(), PID)
+
+
+# ---- The operator's file ----
+
+
+def as_json(value: object) -> Any:
+    return json.loads(
+        json.dumps(value, default=lambda item: item.value if isinstance(item, Enum) else str(item))
+    )
+
+
+def leaves(table: dict[str, Any], above: str = "") -> set[str]:
+    found: set[str] = set()
+    for key, value in table.items():
+        found |= leaves(value, f"{above}{key}.") if isinstance(value, dict) else {above + key}
+    return found
+
+
+def test_each_key_of_the_operators_file_is_read_as_it_was() -> None:
+    read = as_json(operator_tables(read_operator(FIXTURES / "operator.toml")))
+    assert read == json.loads((FIXTURES / "operator.json").read_text())
+
+
+def test_each_key_of_the_operators_file_is_named_by_its_fault(tmp_path: Path) -> None:
+    text = (FIXTURES / "operator.toml").read_text()
+    path = tmp_path / "operator.toml"
+    path.write_text(re.sub(r"(?m)^(\w+) = .*", r"\1 = {bad = 1}", text))
+    named = {fault.partition(":")[0] for fault in operator_faults(path)}
+    assert named == leaves(tomllib.loads(text))
+
+
+def test_the_fixture_has_every_key_of_the_deployed_file() -> None:
+    deployed = re.sub(r"(?m)^# (?=[\[\w]+.*(=|\]$))", "", (ROOT / "deploy/operator.toml").read_text())
+    tables = tomllib.loads(deployed)
+    own = leaves(tomllib.loads((FIXTURES / "operator.toml").read_text()))
+    for table in ("waiting", "durable", "membership", "start"):
+        keys = {key for key in leaves({table: tables[table]}) if ".classes." not in key}
+        assert keys and keys <= own
+
+
+# ---- The store ----
+
+
+def rows(path: Path) -> tuple[list[Any], list[Any]]:
+    """The schema, and the jobs."""
+    database = sqlite3.connect(path)
+    try:
+        schema = database.execute("SELECT type, name, sql FROM sqlite_master ORDER BY name").fetchall()
+        figures = [database.execute(f"PRAGMA {name}").fetchone() for name in
+                   ("application_id", "user_version", "auto_vacuum", "journal_mode")]  # fmt: skip
+        return [schema, figures], database.execute("SELECT * FROM jobs ORDER BY number").fetchall()
+    finally:
+        database.close()
+
+
+@pytest.fixture
+def store(tmp_path: Path) -> Path:
+    return Path(shutil.copy(FIXTURES / "jobs.db", tmp_path / "jobs.db"))
+
+
+def job_ids(path: Path) -> list[str]:
+    return [row[1] for row in rows(path)[1]]
+
+
+def test_a_store_is_read_and_written_alike(store: Path, tmp_path: Path) -> None:
+    ids, before = job_ids(store), rows(store)
+    old, new = Database(store), Database(tmp_path / "new.db")
+    jobs = stored_jobs(old, ids)
+    assert len(jobs) == len(ids) == 18
+    store_again(new, jobs)
+    old.close()
+    new.close()
+    assert rows(store) == before, "reading changes nothing"
+    assert rows(tmp_path / "new.db") == before
+
+
+def test_the_records_of_waiting_jobs_are_read_and_written_alike(store: Path) -> None:
+    database = Database(store)
+    jobs = stored_jobs(database, job_ids(store))
+    database.close()
+    assert [packed_again(job) for job in jobs] == [stored_as(job) for job in jobs]
+
+
+# ---- The list kept on disk, and the workers out by hand ----
+
+
+def test_the_list_on_disk_is_read_and_written_alike(tmp_path: Path) -> None:
+    rev, entries, age = read_list(FIXTURES / "list.json", WALL_S + 7.0)
+    assert (rev, age, [row["uid"] for row in entries]) == (41, 7.0, ["w1", "w2", "w3"])
+    write_list(tmp_path / "list.json", rev, entries)
+    assert (tmp_path / "list.json").read_bytes() == (FIXTURES / "list.json").read_bytes()
+
+
+def test_the_file_of_workers_out_by_hand_is_read_and_written_alike(tmp_path: Path) -> None:
+    assert out_by_hand(FIXTURES / "out-by-hand.json") == {"w1", "w3", "gone \xe9"}
+    path = Path(shutil.copy(FIXTURES / "out-by-hand.json", tmp_path))
+    change_out_by_hand(path, "w2", True)
+    assert out_by_hand(path) == {"w1", "w2", "w3", "gone \xe9"}
+    change_out_by_hand(path, "w2", False)
+    assert path.read_bytes() == (FIXTURES / "out-by-hand.json").read_bytes()
+
+
+# ---- What a replaced process has learned ----
+
+
+def body_of(text: bytes) -> dict[str, Any]:
+    found: dict[str, Any] = json.loads(text.partition(b"\n")[2])
+    return found
+
+
+@pytest.mark.parametrize(
+    ("name", "written"),
+    [
+        ("learned", "learned-read"),  # its whole numbers are read as floats
+        ("learned-read", "learned-read"),
+        ("learned-distinct", "learned-distinct"),
+        ("learned-adopted", "learned-adopted"),
+    ],
+)
+def test_the_file_of_estimates_is_read_and_written_alike(name: str, written: str) -> None:
+    text = (FIXTURES / name).read_bytes()
+    assert learned_again(text, body_of(text)["at"] + 100.0) == (FIXTURES / written).read_bytes()
+
+
+def test_the_estimates_have_what_they_are_to_show() -> None:
+    body = body_of((FIXTURES / "learned").read_bytes())
+    workers = body["workers"]
+    assert len(workers) == 5 and len(body["pools"]) == 2 and len(body["keys"]) == 7
+    assert workers["w1"]["faults"]["short"] and workers["w4"]["since"] and workers["w4"]["base"] is None
+    assert workers["w2"]["unreachable"] and workers["w0"]["kept"] and body["holds"] and body["price_with"]
+    distinct = body_of((FIXTURES / "learned-distinct").read_bytes())
+    for worker in distinct["workers"].values():
+        assert all(value for name, value in worker.items() if name not in ("since", "unreachable"))
+
+
+def test_each_estimate_goes_where_it_went() -> None:
+    """Each place of the file has a number of its own, so that two that changed places are seen."""
+    text = (FIXTURES / "learned-distinct").read_bytes()
+    assert learned_adopted(text) == (FIXTURES / "learned-adopted").read_bytes()
+
+
+# ---- What the started program answers ----
+
+
+def answers(name: str) -> dict[str, str]:
+    found: dict[str, str] = json.loads((FIXTURES / f"{name}-answers.json").read_text())
+    return found
+
+
+def test_the_admin_api_answers_as_it_did(tmp_path: Path) -> None:
+    assert scenes.admin_answers(ROOT, tmp_path) == answers("admin")
+
+
+def test_the_members_call_answers_as_it_did(tmp_path: Path) -> None:
+    assert scenes.members_answers(ROOT, tmp_path) == answers("members")
+
+
+def test_the_waiting_api_answers_as_it_did_over_a_store_of_the_program_as_found(tmp_path: Path) -> None:
+    store = FIXTURES / "jobs.db"
+    folder = tmp_path / "program"
+    folder.mkdir()
+    found = scenes.waiting_answers(
+        ROOT, folder, store, job_ids(Path(shutil.copy(store, tmp_path / "copy.db")))
+    )
+    assert found == answers("waiting")
