--- a/oxbowyard/membership/messages.py
+++ b/oxbowyard/membership/messages.py
@@ -43,7 +43,7 @@
 
 
 class Note(msgspec.Struct, frozen=True, array_like=True):
-    """A small value that a member tells the others: see notes.py."""
+    """A small value that a member tells the others: see entries.py."""
 
     about: str
     by: str
--- a/oxbowyard/membership/node.py
+++ b/oxbowyard/membership/node.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from random import Random
 
-from .datagrams import Datagrams
 from .messages import VERSION, Given, Head, Malformed, Message, Note, Sync, Want, decode, encode
 from .protocol import Action, Group, Heard, Notice, Send
-from .streams import Streams
 from .table import MembershipSettings
+from .tcp_transport import Streams
+from .udp_transport import Datagrams
 
 log = logging.getLogger("oxbowyard.membership")
 
--- a/oxbowyard/membership/protocol.py
+++ b/oxbowyard/membership/protocol.py
@@ -17,6 +17,8 @@
 from enum import Enum
 from random import Random
 
+from .entries import Notes
+from .member_list import Member, View, Word
 from .messages import (
     VERSION,
     Ack,
@@ -33,9 +35,7 @@
     note_size,
     size,
 )
-from .notes import Notes
 from .settings import GroupSettings
-from .view import Member, View, Word
 
 LATE_SHARE = 0.5  # of a period: a tick that comes so late shows that this process stood still
 MOST_SAID = 1000  # conflicts and members past the limit remembered, so that each is said once
--- a/oxbowyard/membership/table.py
+++ b/oxbowyard/membership/table.py
@@ -6,8 +6,8 @@
 
 from msgspec import Meta, Struct
 
-from .datagrams import is_literal
 from .settings import GroupSettings
+from .udp_transport import is_literal
 
 Address = Annotated[str, Meta(pattern=r"^[^\s:]+:\d{1,5}$", max_length=128)]
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.faults.virtual_group import Node, VirtualGroup
+from oxbowyard.membership.member_list import View, Word
 from oxbowyard.membership.messages import (
     MOST_DATAGRAM,
     VERSION,
@@ -29,7 +30,6 @@
 )
 from oxbowyard.membership.protocol import Group, Happened, Notice, Send
 from oxbowyard.membership.settings import GroupSettings
-from oxbowyard.membership.view import View, Word
 
 SETTLE = 20.0  # seconds in which a group of eight has met
 HEAD = Head(VERSION, "oxbowyard", "m1", 7, "10.0.0.1:1")
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -20,7 +20,7 @@
 from benchmarks.faults.processes import DOORS, ROOT, Fleet, Member, fleet, free_port, until
 from benchmarks.standin import Fleet as Workers
 from oxbowyard.membership.messages import Ack, Claim, Head, Ping, State, decode, encode
-from oxbowyard.membership.streams import LENGTH
+from oxbowyard.membership.tcp_transport import LENGTH
 
 GROUP = "oxbowyard"
 CONFIG: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,10 +18,10 @@
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision.choice import Dispatcher
 from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
-from oxbowyard.membership.datagrams import Datagrams
+from oxbowyard.membership.entries import Notes
 from oxbowyard.membership.messages import Head, Malformed, Note, Told, decode, encode
-from oxbowyard.membership.notes import Notes
-from oxbowyard.membership.streams import LENGTH, Streams
+from oxbowyard.membership.tcp_transport import LENGTH, Streams
+from oxbowyard.membership.udp_transport import Datagrams
 from oxbowyard.peers.count import SETTLE, LiveCount, Seen
 from oxbowyard.peers.drains import OUT, Drains
 from oxbowyard.peers.troubles import Sharing
