--- a/benchmarks/faults/virtual_group.py
+++ b/benchmarks/faults/virtual_group.py
@@ -8,9 +8,24 @@
 from itertools import count
 from random import Random
 
+from oxbowyard.membership.events import (
+    EntryWritten,
+    Event,
+    LeaveRequested,
+    MessageReceived,
+    Started,
+    TimerFired,
+)
+from oxbowyard.membership.instructions import (
+    DeliverEntry,
+    Instruction,
+    MemberEventKind,
+    NotifyMemberEvent,
+    SendMessage,
+)
 from oxbowyard.membership.messages import Message, encode
-from oxbowyard.membership.protocol import Action, Group, Happened, Heard, Notice, Send
-from oxbowyard.membership.settings import GroupSettings
+from oxbowyard.membership.protocol import MembershipProtocol
+from oxbowyard.membership.settings import ProtocolSettings
 
 
 @dataclass(slots=True)
@@ -28,12 +43,12 @@
     """One member and what was done to it."""
 
     name: str
-    group: Group
+    protocol: MembershipProtocol
     runs: bool = True
     stopped_until: float = 0.0
     held: list[tuple[Message, str, bool]] = field(default_factory=list)  # came while it was stopped
-    notices: list[tuple[float, Notice]] = field(default_factory=list)
-    heard: list[tuple[float, Heard]] = field(default_factory=list)
+    events: list[tuple[float, NotifyMemberEvent]] = field(default_factory=list)
+    delivered: list[tuple[float, DeliverEntry]] = field(default_factory=list)
     timer: int = 0  # the latest one that was set; earlier ones are passed over
     sent: int = 0
     sent_bytes: int = 0
@@ -42,8 +57,10 @@
 class VirtualGroup:
     """The members, the network between them, and the clock."""
 
-    def __init__(self, size: int, seed: int, settings: GroupSettings | None = None, zones: int = 3) -> None:
-        self.settings = settings or GroupSettings()
+    def __init__(
+        self, size: int, seed: int, settings: ProtocolSettings | None = None, zones: int = 3
+    ) -> None:
+        self.settings = settings or ProtocolSettings()
         self.random = Random(seed)
         self.now = 0.0
         self.link = Link()
@@ -55,26 +72,27 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._timers = count(1)
-        self.watch: Callable[[Node, Notice], None] = lambda node, notice: None
+        self.watch: Callable[[Node, NotifyMemberEvent], None] = lambda node, event: None
         for i in range(size):
             self.add(f"m{i}", f"10.0.{i >> 8}.{i & 255}:1", f"z{i % zones}", ("10.0.0.0:1", "10.0.0.1:1"))
 
     def add(self, name: str, address: str, zone: str, seeds: tuple[str, ...]) -> Node:
         """Start a member."""
         run = self.random.getrandbits(48)
-        group = Group(name, run, address, zone, self.settings, Random(self.random.getrandbits(48)))
-        node = self.nodes[name] = self._by_address[address] = Node(name, group)
-        self._carry_out(node, group.start(self.now, seeds))
+        random = Random(self.random.getrandbits(48))
+        protocol = MembershipProtocol(name, run, address, zone, self.settings, random)
+        node = self.nodes[name] = self._by_address[address] = Node(name, protocol)
+        self.hand(node, Started(seeds))
         return node
 
     def introduce(self) -> None:
         """Let everybody know everybody, as after a long time: for groups too large to be met here."""
-        claims = [node.group.me for node in self.nodes.values()]
+        records = [node.protocol.me for node in self.nodes.values()]
         for node in self.nodes.values():
-            for claim in claims:
-                if claim.name != node.name:
-                    node.group.view.take(claim, self.now, "")
-            node.group.forget_news()
+            for record in records:
+                if record.name != node.name:
+                    node.protocol.members.merge(record, self.now, "")
+            node.protocol.assume_converged()
 
     def kill(self, name: str) -> Node:
         """End a member without a word."""
@@ -85,13 +103,16 @@
     def leave(self, name: str) -> None:
         """End a member that says so."""
         node = self.nodes[name]
-        self._carry_out(node, node.group.leave(self.now))
+        self.hand(node, LeaveRequested())
         self.kill(name)
 
-    def say(self, name: str, about: str, value: float, lasts: float, **more: bool) -> None:
-        """Let a member say a note."""
-        node = self.nodes[name]
-        self._carry_out(node, node.group.say(self.now, about, value, lasts, **more))
+    def write(self, name: str, entry: EntryWritten) -> None:
+        """Let a member share an entry."""
+        self.hand(self.nodes[name], entry)
+
+    def hand(self, node: Node, event: Event) -> None:
+        """Hand an event to a member and carry out what follows."""
+        self._carry_out(node, node.protocol.handle(self.now, event))
 
     def stop(self, name: str, seconds: float) -> None:
         """Stop a member as a stop signal does: what comes meanwhile waits."""
@@ -115,10 +136,10 @@
             do()
         self.now = until
 
-    def notices(self, what: Happened) -> Iterator[tuple[float, str, Notice]]:
-        """All notices of a kind, with when and at whom."""
+    def events(self, kind: MemberEventKind) -> Iterator[tuple[float, str, NotifyMemberEvent]]:
+        """All events of a kind, with when and at whom."""
         for node in self.nodes.values():
-            yield from ((when, node.name, n) for when, n in node.notices if n.what is what)
+            yield from ((when, node.name, event) for when, event in node.events if event.kind is kind)
 
     def _continue(self, node: Node) -> None:
         held, node.held = node.held, []
@@ -128,27 +149,27 @@
             self._deliver(node, message, source, stream)
         self._tick(node, node.timer)
 
-    def _carry_out(self, node: Node, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, Notice):
-                node.notices.append((self.now, action))
-                self.watch(node, action)
-            elif isinstance(action, Heard):
-                node.heard.append((self.now, action))
+    def _carry_out(self, node: Node, instructions: list[Instruction]) -> None:
+        for instruction in instructions:
+            if isinstance(instruction, NotifyMemberEvent):
+                node.events.append((self.now, instruction))
+                self.watch(node, instruction)
+            elif isinstance(instruction, DeliverEntry):
+                node.delivered.append((self.now, instruction))
             else:
-                self._send(node, action)
+                self._send(node, instruction)
         timer = node.timer = next(self._timers)
-        self.at(max(node.group.due, self.now), lambda: self._tick(node, timer))
+        self.at(max(node.protocol.due_at, self.now), lambda: self._tick(node, timer))
 
-    def _send(self, node: Node, send: Send) -> None:
+    def _send(self, node: Node, send: SendMessage) -> None:
         node.sent += 1
         if self.measure_bytes:
             node.sent_bytes += len(encode(send.message))
         other = self._by_address.get(send.address)
         if other is None or (node.name, other.name) in self.cuts:
             return
-        link, source = self.link, node.group.me.address
-        if send.stream:
+        link, source = self.link, node.protocol.me.address
+        if send.by_stream:
             self._send_by_stream(node, other, send.message)
             return
         for _ in range(1 + (self.random.random() < link.doubled)):
@@ -162,7 +183,7 @@
         while self.random.random() < 1 - (1 - self.link.loss) ** 2:
             way, again = way + again, again * 2
         if way < 3.0:
-            self.at(self.now + way, lambda: self._deliver(other, message, node.group.me.address, True))
+            self.at(self.now + way, lambda: self._deliver(other, message, node.protocol.me.address, True))
 
     def _deliver(self, node: Node, message: Message, source: str, stream: bool = False) -> None:
         if not node.runs:
@@ -170,8 +191,8 @@
         if self.now < node.stopped_until:
             node.held.append((message, source, stream))
             return
-        self._carry_out(node, node.group.handle(self.now, message, source, stream))
+        self.hand(node, MessageReceived(message, source, stream))
 
     def _tick(self, node: Node, timer: int) -> None:
         if node.runs and timer == node.timer and self.now >= node.stopped_until:
-            self._carry_out(node, node.group.tick(self.now))
+            self.hand(node, TimerFired())
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,11 +21,13 @@
 from random import Random
 
 from benchmarks.faults.virtual_group import VirtualGroup
-from oxbowyard.membership.protocol import Happened
-from oxbowyard.membership.settings import GroupSettings
+from oxbowyard.membership.instructions import MemberEventKind
+from oxbowyard.membership.settings import ProtocolSettings
 
-OURS = GroupSettings()
-PLAIN = GroupSettings(most_health=0, confirmations=0, patience=1.0, by_stream=False)
+OURS = ProtocolSettings()
+PLAIN = ProtocolSettings(
+    max_health_score=0, confirmation_count=0, max_suspicion_factor=1.0, stream_probe_enabled=False
+)
 PAUSED = 0.1  # share of the members
 SETTLE = 30.0
 LARGE = 1000  # members that do not meet here: they know each other from the start
@@ -42,7 +44,7 @@
 
 
 def wrongful(
-    settings: GroupSettings, size: int, loss: float, paused: bool, minutes: float, seed: int
+    settings: ProtocolSettings, size: int, loss: float, paused: bool, minutes: float, seed: int
 ) -> tuple[float, float]:
     """Wrongful deaths a member-hour, of members that were not paused, and bytes a member sends a second."""
     group = VirtualGroup(size, seed, settings)
@@ -59,7 +61,9 @@
             group.at(at, partial(group.stop, name, pause))
             at += pause + random.uniform(0.5, 5.0)
     group.run(end)
-    events = episodes({(n.name, w) for w, _, n in group.notices(Happened.DIED) if n.name not in troubled})
+    events = episodes(
+        {(n.name, w) for w, _, n in group.events(MemberEventKind.DIED) if n.name not in troubled}
+    )
     sent = sum(node.sent_bytes for node in group.nodes.values())
     return events / ((size - len(troubled)) * minutes / 60), sent / size / (minutes * 60)
 
@@ -67,19 +71,19 @@
 def heartbeats(size: int, loss: float, minutes: float, seed: int) -> tuple[float, float]:
     """The same of all-to-all heartbeats."""
     random, s = Random(seed), OURS
-    most = int(PLAIN.suspicion_lasts(size, 0) / s.period)
+    most = int(PLAIN.suspicion_timeout_s(size, 0) / s.probe_interval_s)
     wrong: set[tuple[str, float]] = set()
     for one in range(size):
         for other in range(size):
             missed = 0
-            for beat in range(int(minutes * 60 / s.period)):
+            for beat in range(int(minutes * 60 / s.probe_interval_s)):
                 missed = missed + 1 if random.random() < loss else 0
                 if one != other and missed == most:
-                    wrong.add((str(one), beat * s.period))
-    return episodes(wrong) / (size * minutes / 60), (size - 1) * 60 / s.period
+                    wrong.add((str(one), beat * s.probe_interval_s))
+    return episodes(wrong) / (size * minutes / 60), (size - 1) * 60 / s.probe_interval_s
 
 
-def detection(settings: GroupSettings, size: int, seed: int) -> tuple[float, float, float, float]:
+def detection(settings: ProtocolSettings, size: int, seed: int) -> tuple[float, float, float, float]:
     """Seconds until a killed one is known dead to one and to 99%; CPU and bytes a member-second."""
     group = VirtualGroup(size, seed, settings)
     if size >= LARGE:
@@ -95,7 +99,9 @@
     at = group.now
     lasts = 40 if size < LARGE else 15
     group.run(at + lasts)
-    known = sorted(when - at for when, _, n in group.notices(Happened.DIED) if n.name == name and when > at)
+    known = sorted(
+        when - at for when, _, n in group.events(MemberEventKind.DIED) if n.name == name and when > at
+    )
     ninety_nine = known[int(0.99 * (size - 1)) - 1] if len(known) >= 0.99 * (size - 1) else float("inf")
     share = (time.process_time() - began) / (lasts * size)
     sent = sum(node.sent_bytes for node in group.nodes.values()) - before
@@ -121,8 +127,8 @@
     figure.savefig(path, dpi=110)
 
 
-def settings_of(text: str) -> GroupSettings:
-    """Ours with some figures changed: `askers=0,patience=4`."""
+def settings_of(text: str) -> ProtocolSettings:
+    """Ours with some figures changed: `volunteer_count=0,max_suspicion_factor=4`."""
     parts = (part.partition("=") for part in text.split(",") if part)
     changed = {name: float(value) for name, _, value in parts}
     kept = {f.name: type(getattr(OURS, f.name)) for f in fields(OURS)}
@@ -139,7 +145,9 @@
     parser.add_argument("--losses", type=float, nargs="*", default=[0.0, 0.1, 0.2, 0.3, 0.4, 0.5])
     parser.add_argument("--plot", type=Path)
     parser.add_argument("--sizes", type=int, nargs="*", default=[8, 32, 100, 1000])
-    parser.add_argument("--ours", default="", help="figures of ours to change, as askers=0,patience=4")
+    parser.add_argument(
+        "--ours", default="", help="figures of ours to change, as volunteer_count=0,max_suspicion_factor=4"
+    )
     parser.add_argument("--alone", action="store_true", help="without the baselines, and only with pauses")
     args = parser.parse_args()
     kinds = {"ours": settings_of(args.ours)} | ({} if args.alone else {"plain SWIM": PLAIN})
--- a/benchmarks/membership_processes.py
+++ b/benchmarks/membership_processes.py
@@ -26,7 +26,7 @@
 CONFIG = json.loads((ROOT / "examples/config.json").read_text()) | {"discovery": "127.0.0.1:1"}
 TICK = os.sysconf("SC_CLK_TCK")
 CALM = 15.0  # seconds over which the costs are taken
-DIED = re.compile(r"^(\S+ \S+) .*member (\w+): died")
+DIED = re.compile(r"^(\S+ \S+) .*member died: name=(\w+)")
 
 
 def cpu(pid: int) -> float:
--- a/oxbowyard/membership/messages.py
+++ b/oxbowyard/membership/messages.py
@@ -1,27 +1,28 @@
-"""The messages of the group in MessagePack. Each names its version and group; fields are only ever added.
+"""The messages of the group and their MessagePack encoding.
 
-A newer version's further fields at the end of a message are passed over; an older one lacks them and gets
-the defaults.
+Every struct is encoded as an array, so the names of its fields never reach the wire; their order does. Fields
+are only ever added, at the end: the additional fields of a newer version are ignored, and those that an older
+version lacks take their defaults. Each message carries the protocol's version and the group's name.
 """
 
 from __future__ import annotations
 
 import math
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 
 import msgspec
 
-VERSION = 1
-MOST_DATAGRAM = 1400  # bytes: what passes everywhere in one piece
-MOST_NAME = 128
-MOST_FACTS = 16
-MOST_ABOUT = 300  # a worker's uid and some letters
-MOST_FIGURE = 1e12
-MOST_COUNT = 1 << 52
+PROTOCOL_VERSION = 1
+MAX_DATAGRAM_BYTES = 1400  # passes every usual network without being fragmented
+MAX_NAME_LENGTH = 128
+MAX_FACTS = 16
+MAX_ENTRY_KEY_LENGTH = 300  # a worker's id and a prefix
+MAX_ENTRY_FIGURE = 1e12
+MAX_LAMPORT_TIME = 1 << 52
 
 
-class State(IntEnum):
-    """What is claimed of a member. Of claims with one incarnation the larger holds."""
+class MemberState(IntEnum):
+    """What a record says of a member. Of two records with one incarnation the larger state holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,111 +30,127 @@
     LEFT = 3
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """What one member says of another, or of itself."""
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
+    """An alive, suspect, dead or left record: what one member says of another, or of itself."""
 
     name: str
-    run: int  # a number by chance of each process: two with one name are told apart
+    run_id: int  # drawn by each process: distinguishes two processes with one name
     address: str
     zone: str
-    incarnation: int  # only its owner raises it
-    state: State
+    incarnation: int  # only the member itself raises it
+    state: MemberState
     facts: dict[str, float] = {}  # noqa: RUF012  # msgspec copies it
-    accuser: str = ""  # of a suspicion: it counts once for each
+    accuser: str = ""  # who suspects it; each accuser counts as one confirmation
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
-    """A small value that a member tells the others: see entries.py."""
+class GossipEntry(msgspec.Struct, frozen=True, array_like=True):
+    """A small value with an age that a member shares with the others; entries.py has the rules."""
 
-    about: str
-    by: str
-    count: int
+    key: str
+    author: str
+    lamport_time: int
     value: float
-    age: float  # seconds
-    lasts: float  # seconds from its beginning until it is over
-    common: bool = False
+    age_s: float
+    lifetime_s: float  # from the entry's beginning until it expires
+    is_shared: bool = False  # one register for the whole group, rather than one for each author
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
-    """Where a message comes from."""
+class Header(msgspec.Struct, frozen=True, array_like=True):
+    """The sender of a message."""
 
     version: int
     group: str
     name: str
-    run: int
+    run_id: int
     address: str
 
 
-class _Probe(msgspec.Struct, frozen=True, array_like=True):
-    head: Head
-    number: int
-    target: str  # who is meant: another may live at the address now
-    news: list[Claim] = []  # noqa: RUF012
-    notes: list[Note] = []  # noqa: RUF012
+class _ProbeMessage(msgspec.Struct, frozen=True, array_like=True):
+    header: Header
+    sequence_number: int
+    target: str  # the member that is probed: another one may use the address now
+    records: list[MemberRecord] = []  # noqa: RUF012
+    entries: list[GossipEntry] = []  # noqa: RUF012
 
 
-class Ping(_Probe, frozen=True, array_like=True, tag=1):
-    """Are you there?"""
+class Ping(_ProbeMessage, frozen=True, array_like=True, tag=1):
+    """A probe: the target answers with an Ack."""
 
 
-class Ack(_Probe, frozen=True, array_like=True, tag=2):
-    """The target is there."""
+class Ack(_ProbeMessage, frozen=True, array_like=True, tag=2):
+    """The target of a probe is there."""
 
 
-class PingFor(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask it for me."""
+class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """An indirect probe: the receiver probes the target on the sender's behalf (SWIM's ping-req)."""
 
-    head: Head
-    number: int
+    header: Header
+    sequence_number: int
     target: str
     address: str
-    news: list[Claim] = []  # noqa: RUF012
+    records: list[MemberRecord] = []  # noqa: RUF012
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """It did not answer me either, but your question came through."""
+    """The target of an indirect probe has not answered the helper in time (Lifeguard)."""
 
-    head: Head
-    number: int
+    header: Header
+    sequence_number: int
     target: str
 
 
-class Sync(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """All that the sender knows; over a stream. `wants` asks for the same in return."""
+class PushPull(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """The sender's complete state; by stream. With `wants_reply` the receiver sends its own back."""
 
-    head: Head
-    wants: bool
-    members: list[Claim]
-    notes: list[Note] = []  # noqa: RUF012
+    header: Header
+    wants_reply: bool
+    records: list[MemberRecord]
+    entries: list[GossipEntry] = []  # noqa: RUF012
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Notes that don't wait for the next question."""
+class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """Urgent entries, which do not wait for the next probe."""
 
-    head: Head
-    notes: list[Note]
+    header: Header
+    entries: list[GossipEntry]
 
 
-class Want(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Give me this, if you have it; over a stream."""
+class PullRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
+    """A request for a document that the receiver may offer; by stream."""
 
-    head: Head
-    what: str
+    header: Header
+    topic: str
 
 
-class Given(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Here it is; `body` is for whoever asked to read."""
+class PullReply(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """The document asked for. Its body is opaque to the membership."""
 
-    head: Head
-    what: str
+    header: Header
+    topic: str
     body: bytes
 
 
-Message = Ping | Ack | PingFor | Nack | Sync | Told | Want | Given
+Message = Ping | Ack | PingRequest | Nack | PushPull | Gossip | PullRequest | PullReply
 
 
-class Malformed(ValueError):
-    """Not a message of this group that can be read; its text says why in a word that is counted."""
+class MalformedReason(StrEnum):
+    """Why a message was refused. The values are counted under these words in the admin API."""
+
+    UNREADABLE = "unreadable"
+    FOREIGN_GROUP = "foreign"
+    UNKNOWN_VERSION = "version"
+    TOO_MANY_RECORDS = "too many claims"
+    INVALID_RECORD = "absurd claim"
+    TOO_MANY_ENTRIES = "too many notes"
+    INVALID_ENTRY = "absurd note"
+
+
+class MalformedMessageError(ValueError):
+    """Raised by `decode` for bytes that are no valid message of this group."""
+
+    def __init__(self, reason: MalformedReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 _decoder = msgspec.msgpack.Decoder(Message)
@@ -141,50 +158,74 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message's bytes."""
+    """The message's bytes."""
     return _encoder.encode(message)
 
 
-def size(claim: Claim) -> int:
-    """How many bytes a claim adds to a message."""
-    return len(_encoder.encode(claim))
+def encoded_size(part: MemberRecord | GossipEntry) -> int:
+    """The bytes that a record or an entry adds to a message."""
+    return len(_encoder.encode(part))
+
+
+def records_of(message: Message) -> list[MemberRecord]:
+    """The member records that a message carries, of whichever kind it is."""
+    records: list[MemberRecord] = getattr(message, "records", [])
+    return records
+
 
+def entries_of(message: Message) -> list[GossipEntry]:
+    """The gossip entries that a message carries, of whichever kind it is."""
+    entries: list[GossipEntry] = getattr(message, "entries", [])
+    return entries
 
-def note_size(note: Note) -> int:
-    """How many bytes a note adds to a message."""
-    return len(_encoder.encode(note))
 
+def decode(data: bytes, group: str, max_items: int) -> Message:
+    """Read a message of `group` with at most `max_items` records and as many entries.
 
-def decode(data: bytes, group: str, most_claims: int) -> Message:
-    """Read a message; raises Malformed for what is cut, foreign or absurd, whoever sent it."""
+    Raises MalformedMessageError for bytes that are truncated, foreign or out of bounds.
+    """
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Malformed("unreadable") from None
-    if message.head.group != group:
-        raise Malformed("foreign")
-    if message.head.version < 1:
-        raise Malformed("version")
-    claims = message.members if isinstance(message, Sync) else getattr(message, "news", [])
-    if len(claims) > most_claims:
-        raise Malformed("too many claims")
-    for claim in claims:
-        if not 0 < len(claim.name) <= MOST_NAME or len(claim.address) > MOST_NAME or claim.incarnation < 0:
-            raise Malformed("absurd claim")
-        if len(claim.facts) > MOST_FACTS or len(claim.zone) > MOST_NAME:
-            raise Malformed("absurd claim")
-    notes: list[Note] = getattr(message, "notes", [])
-    if len(notes) > most_claims:
-        raise Malformed("too many notes")
-    if any(_absurd(note) for note in notes):
-        raise Malformed("absurd note")
+        raise MalformedMessageError(MalformedReason.UNREADABLE) from None
+    if message.header.group != group:
+        raise MalformedMessageError(MalformedReason.FOREIGN_GROUP)
+    if message.header.version < 1:
+        raise MalformedMessageError(MalformedReason.UNKNOWN_VERSION)
+    _check_records(records_of(message), max_items)
+    _check_entries(entries_of(message), max_items)
     return message
 
 
-def _absurd(note: Note) -> bool:
-    if not 0 < len(note.about) <= MOST_ABOUT or not 0 < len(note.by) <= MOST_NAME:
-        return True
-    figures = (note.value, note.age, note.lasts)
-    return not all(math.isfinite(f) and 0 <= f <= MOST_FIGURE for f in figures) or not (
-        0 <= note.count <= MOST_COUNT
+def _check_records(records: list[MemberRecord], max_records: int) -> None:
+    if len(records) > max_records:
+        raise MalformedMessageError(MalformedReason.TOO_MANY_RECORDS)
+    if not all(_is_valid_record(record) for record in records):
+        raise MalformedMessageError(MalformedReason.INVALID_RECORD)
+
+
+def _is_valid_record(record: MemberRecord) -> bool:
+    return (
+        0 < len(record.name) <= MAX_NAME_LENGTH
+        and len(record.address) <= MAX_NAME_LENGTH
+        and len(record.zone) <= MAX_NAME_LENGTH
+        and len(record.facts) <= MAX_FACTS
+        and record.incarnation >= 0
+    )
+
+
+def _check_entries(entries: list[GossipEntry], max_entries: int) -> None:
+    if len(entries) > max_entries:
+        raise MalformedMessageError(MalformedReason.TOO_MANY_ENTRIES)
+    if not all(_is_valid_entry(entry) for entry in entries):
+        raise MalformedMessageError(MalformedReason.INVALID_ENTRY)
+
+
+def _is_valid_entry(entry: GossipEntry) -> bool:
+    figures = (entry.value, entry.age_s, entry.lifetime_s)
+    return (
+        0 < len(entry.key) <= MAX_ENTRY_KEY_LENGTH
+        and 0 < len(entry.author) <= MAX_NAME_LENGTH
+        and 0 <= entry.lamport_time <= MAX_LAMPORT_TIME
+        and all(math.isfinite(figure) and 0 <= figure <= MAX_ENTRY_FIGURE for figure in figures)
     )
--- a/oxbowyard/membership/node.py
+++ b/oxbowyard/membership/node.py
@@ -1,27 +1,43 @@
-"""A member's sockets and timers: it carries out what the protocol asks for, and decides nothing."""
+"""A member's sockets and timer: it carries out the protocol's instructions and decides nothing."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections import Counter
 from collections.abc import Callable
 from random import Random
-
-from .messages import VERSION, Given, Head, Malformed, Message, Note, Sync, Want, decode, encode
-from .protocol import Action, Group, Heard, Notice, Send
+from typing import TypeGuard
+
+from .drops import DropCounter, DropReason, Transport
+from .events import Event, LeaveRequested, MessageReceived, Started, TimerFired
+from .instructions import DeliverEntry, Instruction, MemberEventKind, NotifyMemberEvent, SendMessage
+from .messages import (
+    GossipEntry,
+    MalformedMessageError,
+    Message,
+    PullReply,
+    PullRequest,
+    PushPull,
+    decode,
+    encode,
+)
+from .protocol import MembershipProtocol
 from .table import MembershipSettings
-from .tcp_transport import Streams
-from .udp_transport import Datagrams
+from .tcp_transport import TcpTransport
+from .udp_transport import UdpTransport
 
 log = logging.getLogger("oxbowyard.membership")
 
-MOST_NEWS = 64  # claims or notes in a datagram: more don't fit into one
-ANSWER = "by the same stream"  # a source that is no address: answers go back on the connection
+MAX_DATAGRAM_ITEMS = 64  # records or entries: more do not fit into a datagram
+RUN_ID_BITS = 48
+REPLY_ON_STREAM = "by the same stream"  # a source that is no address: answers go back on the connection
 
 
 class Node:
-    """One member on its loop."""
+    """One member on its event loop.
+
+    `on_event` is called with each event of a member, `on_entry` with each entry that is new here.
+    """
 
     def __init__(
         self,
@@ -29,167 +45,202 @@
         zone: str,
         settings: MembershipSettings,
         random: Random,
-        on_notice: Callable[[Notice], None] = lambda notice: None,
-        on_heard: Callable[[Note], None] = lambda note: None,
+        on_event: Callable[[NotifyMemberEvent], None] = lambda event: None,
+        on_entry: Callable[[GossipEntry], None] = lambda entry: None,
     ) -> None:
+        self._name = name
+        self._zone = zone
         self._settings = settings
         self._random = random
-        self._name, self._zone = name, zone
-        self._on_notice, self._on_heard = on_notice, on_heard
+        self._on_event = on_event
+        self._on_entry = on_entry
         self._loop = asyncio.get_running_loop()
-        self.counts: Counter[str] = Counter()  # of what was dropped, by why
-        self.group = self._new_group()
-        self._offered: dict[str, Callable[[], bytes | None]] = {}
-        self._datagrams: Datagrams | None = None
-        self._streams: Streams | None = None
+        self.drops = DropCounter()
+        self.protocol = self._new_protocol()
+        self._offers: dict[str, Callable[[], bytes | None]] = {}  # by topic
+        self._udp: UdpTransport | None = None
+        self._tcp: TcpTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    def _new_group(self) -> Group:
-        run = self._random.getrandbits(48)
-        s = self._settings
-        return Group(self._name, run, s.reached_at, self._zone, s.group_settings(), self._random)
+    def _new_protocol(self) -> MembershipProtocol:
+        settings = self._settings
+        return MembershipProtocol(
+            self._name,
+            self._random.getrandbits(RUN_ID_BITS),
+            settings.advertised_address,
+            self._zone,
+            settings.protocol_settings(),
+            self._random,
+        )
 
     @property
     def is_open(self) -> bool:
-        """It has its sockets."""
-        return self._datagrams is not None
+        """Whether it has its sockets."""
+        return self._udp is not None
 
     async def open(self) -> None:
-        """Bind the sockets and begin; raises OSError. One that was closed begins anew, as another process."""
-        s = self._settings
-        host, _, port = s.listen.rpartition(":")
-        streams = Streams(
-            host, s.max_streams, s.max_stream_bytes, s.stream_within_s, self._answer, self.counts
+        """Bind the sockets and begin; raises OSError. After `close` it begins again as another process."""
+        settings = self._settings
+        host, _, port = settings.listen.rpartition(":")
+        tcp = TcpTransport(
+            host,
+            settings.max_streams,
+            settings.max_stream_bytes,
+            settings.stream_within_s,
+            self._on_request,
+            self.drops,
         )
-        datagrams = Datagrams((host, int(port)), s.max_datagrams_s, self._datagram, self.counts)
+        udp = UdpTransport((host, int(port)), settings.max_datagrams_s, self._on_datagram, self.drops)
         try:
-            await streams.listen(datagrams.address[1])
+            await tcp.listen(udp.address[1])
         except OSError:
-            datagrams.close()
+            udp.close()
             raise
-        self.group = self._new_group()
-        self._datagrams, self._streams = datagrams, streams
-        self._carry_out(self.group.start(self._loop.time(), s.seeds))
+        self.protocol = self._new_protocol()
+        self._udp = udp
+        self._tcp = tcp
+        self.handle(Started(settings.seeds))
 
-    async def close(self, leave: bool = True) -> None:
-        """Say goodbye and let go of the sockets."""
+    async def close(self) -> None:
+        """Tell some members that this one leaves, and close the sockets."""
         if self._timer is not None:
             self._timer.cancel()
-        datagrams, streams = self._datagrams, self._streams
-        if datagrams is not None and leave:
-            for action in self.group.leave(self._loop.time()):
-                if isinstance(action, Send):
-                    datagrams.send(encode(action.message), action.address)
-        self._datagrams = self._streams = None
-        if datagrams is not None:
-            datagrams.close()
-        if streams is not None:
-            await streams.close()
-
-    def publish(self, facts: dict[str, float]) -> None:
-        """Tell the others other facts about this member."""
-        self._carry_out(self.group.publish(facts))
-
-    def say(
-        self, about: str, value: float, lasts: float, common: bool = False, at_once: bool = False,
-        count: int | None = None,
-    ) -> None:  # fmt: skip
-        """Tell the others a note."""
-        now = self._loop.time()
-        self._carry_out(self.group.say(now, about, value, lasts, common, at_once, count))
-
-    def offer(self, what: str, give: Callable[[], bytes | None]) -> None:
-        """Answer the others' questions for something; None is no answer."""
-        self._offered[what] = give
-
-    def ask(self, address: str, what: str, take: Callable[[bytes], None]) -> None:
-        """Ask one of the others for something; an answer may come, or not."""
-        if self._streams is None:
+        udp, tcp = self._udp, self._tcp
+        if udp is not None:
+            self._send_leave(udp)
+        self._udp = None
+        self._tcp = None
+        if udp is not None:
+            udp.close()
+        if tcp is not None:
+            await tcp.close()
+
+    def _send_leave(self, udp: UdpTransport) -> None:
+        for instruction in self.protocol.handle(self._loop.time(), LeaveRequested()):
+            if isinstance(instruction, SendMessage):
+                udp.send(encode(instruction.message), instruction.address)
+
+    # ---- Requests of the program ----
+
+    def handle(self, event: Event) -> None:
+        """Hand an event to the protocol (e.g. `FactsChanged`, `EntryWritten`) and carry out what follows."""
+        self._carry_out(self.protocol.handle(self._loop.time(), event))
+
+    def offer(self, topic: str, make_body: Callable[[], bytes | None]) -> None:
+        """Answer pull requests for a topic from now on; a body of None is no answer."""
+        self._offers[topic] = make_body
+
+    def pull(self, address: str, topic: str, on_body: Callable[[bytes], None]) -> None:
+        """Ask the member at an address for a topic; `on_body` is called if it answers."""
+        if self._tcp is None:
             return
 
-        def given(data: bytes) -> None:
-            message = self._read(data)
-            if isinstance(message, Given) and message.what == what:
-                take(message.body)
+        def on_reply(data: bytes) -> None:
+            reply = self._read_stream(data)
+            if isinstance(reply, PullReply) and reply.topic == topic:
+                on_body(reply.body)
 
-        self._streams.ask(address, encode(Want(self._head(), what)), given)
+        self._tcp.request(address, encode(PullRequest(self.protocol.header(), topic)), on_reply)
 
-    def _head(self) -> Head:
-        me = self.group.me
-        return Head(VERSION, self._settings.group, me.name, me.run, me.address)
+    # ---- Input ----
 
-    # ---- What comes ----
-
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._carry_out(self.group.tick(self._loop.time()))
+        self.handle(TimerFired())
 
-    def _datagram(self, data: bytes, source: str) -> None:
+    def _on_datagram(self, data: bytes, source: str) -> None:
         try:
-            message = decode(data, self._settings.group, MOST_NEWS)
-        except Malformed as fault:
-            self.counts[f"datagram {fault}"] += 1
+            message = decode(data, self._settings.group, MAX_DATAGRAM_ITEMS)
+        except MalformedMessageError as error:
+            self.drops.add_malformed(Transport.DATAGRAM, error.reason)
             return
-        if isinstance(message, (Sync, Want, Given)):  # it would be answered with far more bytes than it took
-            self.counts["datagram out of place"] += 1
+        if isinstance(message, PushPull | PullRequest | PullReply):
+            # The answer would be far larger than the datagram, whose source may be forged.
+            self.drops.add(DropReason.UNEXPECTED_MESSAGE)
             return
-        self._carry_out(self.group.handle(self._loop.time(), message, source))
+        self.handle(MessageReceived(message, source))
+
+    def _on_request(self, data: bytes) -> bytes | None:
+        """The reply to a request that came by stream."""
+        request = self._read_stream(data)
+        if isinstance(request, PullRequest):
+            return self._pull_reply(request.topic)
+        instructions = self._handle_stream(request)
+        replies = [instruction for instruction in instructions if _is_stream_reply(instruction)]
+        self._carry_out([instruction for instruction in instructions if instruction not in replies])
+        return encode(replies[0].message) if replies else None
+
+    def _on_reply(self, data: bytes) -> None:
+        """Handle the reply to a request of this member's own; a reply is not replied to."""
+        instructions = self._handle_stream(self._read_stream(data))
+        self._carry_out([instruction for instruction in instructions if not _is_stream_reply(instruction)])
+
+    def _handle_stream(self, message: Message | None) -> list[Instruction]:
+        if message is None:
+            return []
+        event = MessageReceived(message, REPLY_ON_STREAM, by_stream=True)
+        return self.protocol.handle(self._loop.time(), event)
 
-    def _read(self, data: bytes) -> Message | None:
-        s = self._settings
+    def _read_stream(self, data: bytes) -> Message | None:
+        settings = self._settings
+        max_items = settings.max_members + 1 + settings.max_notes
         try:
-            return decode(data, s.group, s.max_members + 1 + s.max_notes)
-        except Malformed as fault:
-            self.counts[f"stream {fault}"] += 1
+            return decode(data, settings.group, max_items)
+        except MalformedMessageError as error:
+            self.drops.add_malformed(Transport.STREAM, error.reason)
             return None
 
-    def _stream(self, message: Message | None) -> list[Action]:
-        if message is None:
-            return []
-        return self.group.handle(self._loop.time(), message, ANSWER, stream=True)
-
-    def _answer(self, question: bytes) -> bytes | None:
-        message = self._read(question)
-        if isinstance(message, Want):
-            give = self._offered.get(message.what)
-            body = give() if give is not None else None
-            return None if body is None else encode(Given(self._head(), message.what, body))
-        actions = self._stream(message)
-        answers = [a for a in actions if isinstance(a, Send) and a.address == ANSWER]
-        self._carry_out([a for a in actions if a not in answers])
-        return encode(answers[0].message) if answers else None
-
-    # ---- What goes ----
-
-    def _carry_out(self, actions: list[Action]) -> None:
-        """The timer is set last: what listens to a notice may have said something meanwhile."""
-        for action in actions:
-            match action:
-                case Notice():
-                    self._tell(action)
-                case Heard():
-                    self._on_heard(action.note)
-                case Send(stream=True) if self._streams is not None:
-                    self._streams.ask(action.address, encode(action.message), self._take_answer)
-                case Send(stream=False) if self._datagrams is not None:
-                    self._datagrams.send(encode(action.message), action.address)
+    def _pull_reply(self, topic: str) -> bytes | None:
+        make_body = self._offers.get(topic)
+        body = make_body() if make_body is not None else None
+        return None if body is None else encode(PullReply(self.protocol.header(), topic, body))
+
+    # ---- Output ----
+
+    def _carry_out(self, instructions: list[Instruction]) -> None:
+        """Carry out the instructions. The timer is set last: a listener may have handed in further events."""
+        for instruction in instructions:
+            match instruction:
+                case NotifyMemberEvent():
+                    _log_event(instruction)
+                    self._on_event(instruction)
+                case DeliverEntry():
+                    self._on_entry(instruction.entry)
+                case SendMessage():
+                    self._send(instruction)
         self._set_timer()
 
-    def _take_answer(self, data: bytes) -> None:
-        actions = self._stream(self._read(data))  # an answer is not answered
-        self._carry_out([a for a in actions if not (isinstance(a, Send) and a.address == ANSWER)])
+    def _send(self, instruction: SendMessage) -> None:
+        if instruction.by_stream and self._tcp is not None:
+            self._tcp.request(instruction.address, encode(instruction.message), self._on_reply)
+        elif not instruction.by_stream and self._udp is not None:
+            self._udp.send(encode(instruction.message), instruction.address)
 
     def _set_timer(self) -> None:
-        due = self.group.due
+        due_at = self.protocol.due_at
         if self._timer is not None:
-            if self._timer.when() == due:
+            if self._timer.when() == due_at:
                 return
             self._timer.cancel()
             self._timer = None
         if self.is_open:
-            self._timer = self._loop.call_at(due, self._tick)
-
-    def _tell(self, notice: Notice) -> None:
-        detail = f", {notice.detail}" if notice.detail else ""
-        log.info("member %s: %s%s", notice.name, notice.what.value, detail)
-        self._on_notice(notice)
+            self._timer = self._loop.call_at(due_at, self._on_timer)
+
+
+def _is_stream_reply(instruction: Instruction) -> TypeGuard[SendMessage]:
+    return isinstance(instruction, SendMessage) and instruction.address == REPLY_ON_STREAM
+
+
+def _log_event(event: NotifyMemberEvent) -> None:
+    """One line: the kind of event, the member, and what else is known of it."""
+    match event.kind:
+        case MemberEventKind.STALLED:
+            log.info("member %s: name=%s stalled_s=%.1f", event.kind, event.name, event.stalled_s)
+        case MemberEventKind.CONFLICT:
+            log.error("member %s: name=%s address=%s", event.kind, event.name, event.address)
+        case MemberEventKind.REJECTED:
+            log.info("member %s: name=%s address=%s", event.kind, event.name, event.address)
+        case _ if event.accuser:
+            log.info("member %s: name=%s accuser=%s", event.kind, event.name, event.accuser)
+        case _:
+            log.info("member %s: name=%s", event.kind, event.name)
--- a/oxbowyard/membership/tcp_transport.py
+++ b/oxbowyard/membership/tcp_transport.py
@@ -1,108 +1,131 @@
-"""Questions by TCP: a connection for each, a frame there and at most one back. A frame is its length in four
-bytes, then a message."""
+"""Requests to other members by TCP: one connection for each, with one frame there and at most one back.
+
+A frame is its length in four bytes, big endian, and then a message.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import struct
-from collections import Counter
 from collections.abc import Callable
 
-LENGTH = struct.Struct(">I")
-MOST_ASKED = 16  # questions of our own open at once; past it a question is not asked, and that is counted
+from .drops import DropCounter, DropReason
+
+FRAME_LENGTH = struct.Struct(">I")
+MAX_OPEN_REQUESTS = 16  # of this member's own
+READ_BUFFER_BYTES = 1 << 16
+ANY_HOST = "0.0.0.0"
 
-Answer = Callable[[bytes], bytes | None]  # a question's frame to its answer's, if there is one
+RequestHandler = Callable[[bytes], bytes | None]  # from a request's frame to its reply's, if there is one
 
 
-class Streams:
-    """Answers the others' questions, and asks ours."""
+class TcpTransport:
+    """Answers the requests of other members, and sends this member's own."""
 
     def __init__(
-        self, host: str, most_streams: int, most_bytes: int, within: float, answer: Answer,
-        counts: Counter[str],
-    ) -> None:  # fmt: skip
+        self,
+        host: str,
+        max_connections: int,
+        max_frame_bytes: int,
+        timeout_s: float,
+        on_request: RequestHandler,
+        drops: DropCounter,
+    ) -> None:
         self._host = host
-        self._most_streams = most_streams
-        self._most_bytes = most_bytes
-        self._within = within
-        self._answer = answer
-        self._counts = counts
+        self._max_connections = max_connections
+        self._max_frame_bytes = max_frame_bytes
+        self._timeout_s = timeout_s  # for a whole request and its reply
+        self._on_request = on_request
+        self._drops = drops
         self._server: asyncio.Server | None = None
-        self._open: set[asyncio.StreamWriter] = set()
-        self._asked: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.StreamWriter] = set()
+        self._requests: set[asyncio.Task[None]] = set()
 
     async def listen(self, port: int) -> int:
-        """Take the others' connections from now on; raises OSError. Returns the port."""
-        self._server = await asyncio.start_server(self._serve, self._host, port, limit=1 << 16)
-        bound: int = self._server.sockets[0].getsockname()[1]
-        return bound
-
-    def ask(self, address: str, question: bytes, take: Callable[[bytes], object]) -> None:
-        """Ask, and take the answer if one comes."""
-        if len(self._asked) >= MOST_ASKED:
-            self._counts["question not asked"] += 1
+        """Accept connections from now on; returns the port. Raises OSError."""
+        self._server = await asyncio.start_server(self._serve, self._host, port, limit=READ_BUFFER_BYTES)
+        bound_port: int = self._server.sockets[0].getsockname()[1]
+        return bound_port
+
+    def request(self, address: str, frame: bytes, on_reply: Callable[[bytes], object]) -> None:
+        """Send a request; `on_reply` is called if a reply comes."""
+        if len(self._requests) >= MAX_OPEN_REQUESTS:
+            self._drops.add(DropReason.REQUEST_LIMIT)
             return
-        task = asyncio.get_running_loop().create_task(self._ask(address, question, take))
-        self._asked.add(task)
-        task.add_done_callback(self._asked.discard)
+        task = asyncio.get_running_loop().create_task(self._request(address, frame, on_reply))
+        self._requests.add(task)
+        task.add_done_callback(self._requests.discard)
 
     async def close(self) -> None:
-        """End every connection."""
+        """Close every connection and cancel the open requests."""
         if self._server is not None:
             self._server.close()
-        for writer in list(self._open):
+        for writer in list(self._connections):
             writer.transport.abort()
-        for task in self._asked:
+        for task in self._requests:
             task.cancel()
-        await asyncio.gather(*self._asked, return_exceptions=True)
+        await asyncio.gather(*self._requests, return_exceptions=True)
 
-    async def _ask(self, address: str, question: bytes, take: Callable[[bytes], object]) -> None:
-        host, _, port = address.rpartition(":")
-        own = None if self._host == "0.0.0.0" else (self._host, 0)
+    async def _request(self, address: str, frame: bytes, on_reply: Callable[[bytes], object]) -> None:
         writer = None
         try:
-            async with asyncio.timeout(self._within):
-                reader, writer = await asyncio.open_connection(host, int(port), local_addr=own, limit=1 << 16)
-                writer.write(LENGTH.pack(len(question)) + question)
-                answer = await self._frame(reader)
-            if answer is not None:
-                take(answer)
+            async with asyncio.timeout(self._timeout_s):
+                reader, writer = await self._connect(address)
+                writer.write(FRAME_LENGTH.pack(len(frame)) + frame)
+                reply = await self._read_frame(reader)
+            if reply is not None:
+                on_reply(reply)
         except (OSError, ValueError, OverflowError, EOFError):
-            self._counts["question unanswered"] += 1
+            self._drops.add(DropReason.REQUEST_FAILED)
         finally:
             if writer is not None:
-                writer.transport.abort()  # the answer is in: nothing else is expected
+                writer.transport.abort()  # the reply is in, and nothing else is expected
+
+    async def _connect(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Connect from the listening host, by which the other members know this one."""
+        host, _, port = address.rpartition(":")
+        local_address = None if self._host == ANY_HOST else (self._host, 0)
+        return await asyncio.open_connection(
+            host, int(port), local_addr=local_address, limit=READ_BUFFER_BYTES
+        )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._open) >= self._most_streams:
-            self._counts["stream turned away"] += 1
+        if len(self._connections) >= self._max_connections:
+            self._drops.add(DropReason.STREAM_LIMIT)
             writer.transport.abort()
             return
-        self._open.add(writer)
+        self._connections.add(writer)
         try:
-            async with asyncio.timeout(self._within):
-                question = await self._frame(reader)
-                answer = None if question is None else self._answer(question)
-                if answer is not None:
-                    writer.write(LENGTH.pack(len(answer)) + answer)
-                    await writer.drain()
-                    await reader.read(1)  # it closes once it has read: no reset overtakes the answer
+            async with asyncio.timeout(self._timeout_s):
+                await self._reply(reader, writer)
         except (OSError, EOFError):
-            self._counts["stream broke off"] += 1
+            self._drops.add(DropReason.STREAM_BROKEN)
         finally:
-            self._open.discard(writer)
+            self._connections.discard(writer)
             writer.transport.abort()
 
-    async def _frame(self, reader: asyncio.StreamReader) -> bytes | None:
-        """A frame, or None where the other side sends none; a length past the limit is not waited for."""
+    async def _reply(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        request = await self._read_frame(reader)
+        reply = None if request is None else self._on_request(request)
+        if reply is None:
+            return
+        writer.write(FRAME_LENGTH.pack(len(reply)) + reply)
+        await writer.drain()
+        await reader.read(1)  # the requester closes once it has read: no reset overtakes the reply
+
+    async def _read_frame(self, reader: asyncio.StreamReader) -> bytes | None:
+        """A frame, or None if the other side sends none.
+
+        Raises EOFError for a broken frame and for one past the limit, which is not waited for.
+        """
         try:
-            head = await reader.readexactly(LENGTH.size)
-        except asyncio.IncompleteReadError as broken:
-            if broken.partial:
+            head = await reader.readexactly(FRAME_LENGTH.size)
+        except asyncio.IncompleteReadError as error:
+            if error.partial:
                 raise
             return None
-        (length,) = LENGTH.unpack(head)
-        if length > self._most_bytes:
-            self._counts["frame too long"] += 1
+        (length,) = FRAME_LENGTH.unpack(head)
+        if length > self._max_frame_bytes:
+            self._drops.add(DropReason.FRAME_TOO_LONG)
             raise EOFError
         return await reader.readexactly(length)
--- a/oxbowyard/membership/udp_transport.py
+++ b/oxbowyard/membership/udp_transport.py
@@ -1,91 +1,108 @@
-"""One UDP socket that reads no more than it may: a flood costs its share of the loop, and no more."""
+"""The UDP socket of a member. Its rate of reads is limited: a flood costs a bounded share of the loop."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import socket
-from collections import Counter
 from collections.abc import Callable
 
+from .drops import DropCounter, DropReason
+
 log = logging.getLogger("oxbowyard.membership")
 
-WINDOW = 0.05  # seconds: the allowance is counted in such steps
-AT_ONCE = 16  # read in one go, then the loop's other work has its turn
-MOST_READ = 2048  # bytes: a longer one is no message of ours
+RATE_WINDOW_S = 0.05
+MAX_READS_PER_WAKEUP = 16  # then the loop's other work has its turn
+MAX_DATAGRAM_READ_BYTES = 2048  # no member sends a longer one
+MAX_PORT = 65535
 
 
-def is_literal(address: str) -> bool:
-    """An IPv4 address and a port: nothing has to be looked up, which would hold the loop up."""
+def is_ipv4_endpoint(address: str) -> bool:
+    """Whether the address is an IPv4 address and a port, so that nothing must be resolved to use it."""
     host, _, port = address.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
         return False
-    return port.isascii() and port.isdigit() and int(port) < 65536
+    return port.isascii() and port.isdigit() and int(port) <= MAX_PORT
+
 
+class UdpTransport:
+    """Sends and receives datagrams; pauses reading past `max_datagrams_s` a second.
 
-class Datagrams:
-    """Reads and sends; past `most` a second it rests until the window is over."""
+    Raises OSError if the address can't be bound.
+    """
 
     def __init__(
-        self, address: tuple[str, int], most: int, take: Callable[[bytes, str], None], counts: Counter[str]
+        self,
+        address: tuple[str, int],
+        max_datagrams_s: int,
+        on_datagram: Callable[[bytes, str], None],
+        drops: DropCounter,
     ) -> None:
-        """Bind the socket; raises OSError."""
-        self._take = take
-        self._counts = counts
-        self._window_most = max(int(most * WINDOW), 1)
-        self._left = self._window_most
-        self._resting: asyncio.TimerHandle | None = None
-        self._window_ends = 0.0
+        self._on_datagram = on_datagram
+        self._drops = drops
+        self._reads_per_window = max(int(max_datagrams_s * RATE_WINDOW_S), 1)
+        self._reads_left = self._reads_per_window
+        self._window_ends_at = 0.0
+        self._resume_timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
-        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        try:
-            self._socket.setblocking(False)
-            self._socket.bind(address)
-        except OSError:
-            self._socket.close()
-            raise
+        self._socket = _bound_socket(address)
         self.address: tuple[str, int] = self._socket.getsockname()
-        self._loop.add_reader(self._socket, self._ready)
+        self._loop.add_reader(self._socket, self._on_readable)
 
-    def send(self, data: bytes, to: str) -> None:
-        """Send and forget: what can't be sent now is as good as lost on the way."""
-        host, _, port = to.rpartition(":")
+    def send(self, data: bytes, address: str) -> None:
+        """Send a datagram. One that can't be sent now is counted, and is as good as lost on the way."""
+        host, _, port = address.rpartition(":")
         try:
-            if is_literal(to):  # it is what another member says
+            if is_ipv4_endpoint(address):  # another member named it
                 self._socket.sendto(data, (host, int(port)))
                 return
         except OSError:  # its buffer is full, or nobody can be reached there
             pass
-        self._counts["not sent"] += 1
+        self._drops.add(DropReason.NOT_SENT)
 
     def close(self) -> None:
-        """Let go of the socket."""
-        if self._resting is not None:
-            self._resting.cancel()
+        """Close the socket."""
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
         self._loop.remove_reader(self._socket)
         self._socket.close()
 
-    def _ready(self) -> None:
+    def _on_readable(self) -> None:
         now = self._loop.time()
-        if now >= self._window_ends:
-            self._window_ends, self._left = now + WINDOW, self._window_most
-        for _ in range(min(AT_ONCE, self._left)):
+        if now >= self._window_ends_at:
+            self._window_ends_at = now + RATE_WINDOW_S
+            self._reads_left = self._reads_per_window
+        for _ in range(min(MAX_READS_PER_WAKEUP, self._reads_left)):
             try:
-                data, (host, port) = self._socket.recvfrom(MOST_READ)
+                data, (host, port) = self._socket.recvfrom(MAX_DATAGRAM_READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # an earlier one of ours reached nobody
-                self._counts["refused"] += 1
+            except OSError:  # an ICMP error for an earlier datagram of ours
+                self._drops.add(DropReason.UNREACHABLE)
                 continue
-            self._left -= 1
-            self._take(data, f"{host}:{port}")
-        if self._left <= 0:
-            self._counts["rests for a flood"] += 1
-            self._loop.remove_reader(self._socket)
-            self._resting = self._loop.call_at(self._window_ends, self._go_on)
-
-    def _go_on(self) -> None:
-        self._resting = None
-        self._loop.add_reader(self._socket, self._ready)
+            self._reads_left -= 1
+            self._on_datagram(data, f"{host}:{port}")
+        if self._reads_left <= 0:
+            self._pause()
+
+    def _pause(self) -> None:
+        self._drops.add(DropReason.RATE_LIMITED)
+        self._loop.remove_reader(self._socket)
+        self._resume_timer = self._loop.call_at(self._window_ends_at, self._resume)
+
+    def _resume(self) -> None:
+        self._resume_timer = None
+        self._loop.add_reader(self._socket, self._on_readable)
+
+
+def _bound_socket(address: tuple[str, int]) -> socket.socket:
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    try:
+        bound.setblocking(False)
+        bound.bind(address)
+    except OSError:
+        bound.close()
+        raise
+    return bound
--- a/oxbowyard/peers/drains.py
+++ b/oxbowyard/peers/drains.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ..membership.messages import Note
+from ..membership.messages import GossipEntry
 
 OUT = "out:"
 UNTIL_BACK = 1e9  # seconds
@@ -41,14 +41,14 @@
         for uid in sorted(uids):
             self.say(OUT + uid, 1.0, UNTIL_BACK, 0)
 
-    def hear(self, note: Note, now: float) -> bool:
+    def hear(self, note: GossipEntry, now: float) -> bool:
         """Take another scheduler's word; whether it is one of these. Told "out" here before this one had met
         the group, its word counts as an early one; a "back" that is older all the same does not hold."""
-        if not note.about.startswith(OUT) or not note.common:
+        if not note.key.startswith(OUT) or not note.is_shared:
             return False
-        uid, out = note.about.removeprefix(OUT), note.value > 0
+        uid, out = note.key.removeprefix(OUT), note.value > 0
         told_at = self._out_at.get(uid)
-        if not out and told_at is not None and now - told_at < note.age:
+        if not out and told_at is not None and now - told_at < note.age_s:
             self._say(uid, True)
             return True
         self._out_at.pop(uid, None)
--- a/oxbowyard/peers/part.py
+++ b/oxbowyard/peers/part.py
@@ -12,9 +12,11 @@
 from typing import Any
 
 from ..decision.facade import Trouble
-from ..membership.messages import Note, State
+from ..membership.drops import DropReason
+from ..membership.events import EntryWritten, FactsChanged
+from ..membership.instructions import MemberEventKind, NotifyMemberEvent
+from ..membership.messages import GossipEntry, MemberState
 from ..membership.node import Node
-from ..membership.protocol import Happened, Notice
 from ..membership.table import MembershipSettings
 from .count import LiveCount, Seen
 from .drains import Drains
@@ -100,7 +102,7 @@
     async def _join(self) -> None:
         await self.node.open()
         log.info("membership: %s of group %s listens on %s, reached at %s", self._offers.name,
-                 self._settings.group, self._settings.listen, self._settings.reached_at)  # fmt: skip
+                 self._settings.group, self._settings.listen, self._settings.advertised_address)  # fmt: skip
         self._facts = {}
         self._drains.began_with(self._offers.drained())
 
@@ -146,8 +148,10 @@
 
     def _reckon(self, now: float) -> None:
         before = self.count.count
-        seen = (Seen(m.claim.name, m.here, m.state is State.LEFT) for m in self.node.group.view)
-        count = self.count.take(now, seen, self.node.group.longest_suspicion())
+        seen = (
+            Seen(m.record.name, m.is_live, m.state is MemberState.LEFT) for m in self.node.protocol.members
+        )
+        count = self.count.take(now, seen, self.node.protocol.longest_suspicion_s())
         if count != before:
             log.info("membership: reckons with %d schedulers (%d live, %d in doubt)", count, self.count.live,
                      self.count.doubted)  # fmt: skip
@@ -169,17 +173,17 @@
         if same and not any(_far(facts[name], self._facts.get(name, 0.0)) for name in ("held", "slots")):
             return
         self._facts = facts
-        self.node.publish(facts)
+        self.node.handle(FactsChanged(facts))
 
     def _share(self, now: float) -> None:
         o, clock_now = self._offers, self._offers.clock()
         own = o.troubles()
         for say in self._sharing.to_say(now, own, o.workers(), clock_now):
-            self.node.say(say.about, say.value, say.lasts, at_once=True)
+            self.node.handle(EntryWritten(say.about, say.value, say.lasts, is_urgent=True))
         self._use(own, now, clock_now)
 
     def _say_common(self, about: str, value: float, lasts: float, count: int | None) -> None:
-        self.node.say(about, value, lasts, common=True, at_once=True, count=count)
+        self.node.handle(EntryWritten(about, value, lasts, True, True, count))
 
     def drained(self, uid: str, out: bool) -> None:
         """The operators put a backend out of rotation or back, here."""
@@ -189,16 +193,16 @@
 
     def names(self) -> list[str]:
         """Members that are there, this one left out."""
-        return [m.claim.name for m in self.node.group.view if m.here]
+        return [m.record.name for m in self.node.protocol.members.live()]
 
     def address(self, name: str) -> str:
         """Where a member can be asked."""
-        member = self.node.group.view.members.get(name)
-        return member.claim.address if member is not None else ""
+        member = self.node.protocol.members.get(name)
+        return member.record.address if member is not None else ""
 
     def ask(self, address: str, what: str, take: Callable[[bytes], None]) -> None:
         """Ask a member for something; an answer may come."""
-        self.node.ask(address, what, take)
+        self.node.pull(address, what, take)
 
     def offer(self, what: str, give: Callable[[], bytes | None]) -> None:
         """Answer such questions of others."""
@@ -206,7 +210,7 @@
 
     # ---- What it hears ----
 
-    def _hear(self, note: Note) -> None:
+    def _hear(self, note: GossipEntry) -> None:
         if self._drains.hear(note, self._loop.time()):
             return
         if self._settings.share_troubles and self._sharing.hear(note, self._loop.time()) and not self._news:
@@ -225,44 +229,42 @@
             self._told = heard
             self._offers.hear(heard)
 
-    def _noticed(self, notice: Notice) -> None:
-        if notice.what is Happened.CONFLICT:
-            log.error(
-                "membership: two schedulers are named %s; the other is at %s", notice.name, notice.detail
-            )
+    def _noticed(self, notice: NotifyMemberEvent) -> None:
+        if notice.kind is MemberEventKind.CONFLICT:
             if len(self._conflicts) < MOST_CONFLICTS:
-                self._conflicts[notice.name] = notice.detail
-        elif notice.what in (Happened.DIED, Happened.LEFT):
+                self._conflicts[notice.name] = notice.address
+        elif notice.kind in (MemberEventKind.DIED, MemberEventKind.LEFT):
             self._conflicts.pop(notice.name, None)
 
     # ---- What the door shows ----
 
     def view(self) -> Mapping[str, object]:
         """All that is known, for the operators. Times in seconds ago."""
-        group, now = self.node.group, self._loop.time()
+        group, now = self.node.protocol, self._loop.time()
         self._reckon(now)  # what is told here is told of one moment
         members = [
             {
-                "name": m.claim.name, "zone": m.claim.zone, "address": m.claim.address,
-                "state": m.state.name.lower(), "since_s": round(now - m.since, 1), "why": m.why,
-                "incarnation": m.claim.incarnation, **_shown(m.claim.facts),
+                "name": m.record.name, "zone": m.record.zone, "address": m.record.address,
+                "state": m.state.name.lower(), "since_s": round(now - m.changed_at, 1), "why": m.reason,
+                "incarnation": m.record.incarnation, **_shown(m.record.facts),
             }
-            for m in sorted(group.view, key=lambda m: m.claim.name)
+            for m in sorted(group.members, key=lambda m: m.record.name)
         ]  # fmt: skip
         me = {
             "name": group.me.name, "zone": group.me.zone, "address": group.me.address,
-            "incarnation": group.me.incarnation, "health": group.health, "bound": self.node.is_open,
+            "incarnation": group.me.incarnation, "health": group.health_score, "bound": self.node.is_open,
             **_shown(group.me.facts),
         }  # fmt: skip
+        dropped_entries = Counter({DropReason.ENTRY_LIMIT.value: group.entries.dropped_count})
         return {
             "group": self._settings.group, "me": me, "members": members,
             "count": {
                 "reckoned": self.count.count, "live": self.count.live, "in_doubt": self.count.doubted,
                 "configured": self._offers.configured,
             },
-            "conflicts": self._conflicts, "notes": len(group.notes),
+            "conflicts": self._conflicts, "notes": len(group.entries),
             "spared": [t.worker for t in self._told],
-            "dropped": self.node.counts | Counter({"notes": group.notes.dropped}),
+            "dropped": self.node.drops.by_reason() | dropped_entries,
         }  # fmt: skip
 
 
--- a/oxbowyard/peers/troubles.py
+++ b/oxbowyard/peers/troubles.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ..decision.facade import Trouble
-from ..membership.messages import Note
+from ..membership.messages import GossipEntry
 
 BAR, COLD = "bar:", "cold:"
 MOST_SAID = 64  # of one's own at once: with more, the trouble is rather one's own
@@ -37,7 +37,9 @@
     def __init__(self, ramp: float) -> None:
         self._ramp = ramp  # seconds that a worker is cold
         self._said: dict[str, float] = {}  # about, and when that is over
-        self._heard: dict[tuple[str, str], tuple[Note, float]] = {}  # by whom and about, with its beginning
+        self._heard: dict[
+            tuple[str, str], tuple[GossipEntry, float]
+        ] = {}  # by whom and about, with its beginning
 
     def to_say(self, now: float, own: list[Trouble], workers: int, clock_now: float) -> list[Say]:
         """What is new among own troubles; `clock_now` is the decisions' time, in milliseconds."""
@@ -61,11 +63,11 @@
         self._said[about] = now + lasts
         return [Say(about, value, lasts)]
 
-    def hear(self, note: Note, now: float) -> bool:
+    def hear(self, note: GossipEntry, now: float) -> bool:
         """Take a peer's note in; whether it is one of these."""
-        if not note.about.startswith((BAR, COLD)) or note.common:
+        if not note.key.startswith((BAR, COLD)) or note.is_shared:
             return False
-        self._heard[note.by, note.about] = note, now - note.age
+        self._heard[note.author, note.key] = note, now - note.age_s
         return True
 
     def heard(self, now: float, clock_now: float, own: Iterable[Trouble] = ()) -> tuple[Trouble, ...]:
@@ -75,8 +77,8 @@
         lasts: dict[str, float] = {}
         since: dict[str, float] = {}
         for place, (note, began) in list(self._heard.items()):
-            left = min(note.lasts, MOST_LASTS) - (now - began)
-            kind, _, worker = note.about.partition(":")
+            left = min(note.lifetime_s, MOST_LASTS) - (now - began)
+            kind, _, worker = note.key.partition(":")
             if left <= 0:
                 del self._heard[place]
             elif kind == "bar":
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -19,8 +19,8 @@
 from benchmarks.faults.loops import LoopThread
 from benchmarks.faults.processes import DOORS, ROOT, Fleet, Member, fleet, free_port, until
 from benchmarks.standin import Fleet as Workers
-from oxbowyard.membership.messages import Ack, Claim, Head, Ping, State, decode, encode
-from oxbowyard.membership.tcp_transport import LENGTH
+from oxbowyard.membership.messages import Ack, Header, MemberRecord, MemberState, Ping, decode, encode
+from oxbowyard.membership.tcp_transport import FRAME_LENGTH
 
 GROUP = "oxbowyard"
 CONFIG: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
@@ -66,7 +66,7 @@
         assert rest[0].view()["count"]["in_doubt"] == 0
         assert first.leave() == 0
         until(lambda: all_see(rest, "left", "m0"), "the leave is known")
-        assert "member m0: died" not in rest[0].log().rpartition("member m0: returned")[2]
+        assert "member died: name=m0" not in rest[0].log().rpartition("member returned: name=m0")[2]
         until(lambda: all(m.view()["count"]["reckoned"] == 4 for m in rest), "who left does not count")
         shown = command("--door", f"{DOORS}:{rest[0].door}")
         assert "reckons with 4 schedulers, 4 live, 0 in doubt" in shown.stdout
@@ -88,7 +88,7 @@
         until(lambda: all_see(rest, "dead", "m0"), "it is taken for dead")
         stopped.go_on()
         until(made.met, "it is back")
-        assert "member m0: refuted" in stopped.log() and "member m0: stood still" in stopped.log()
+        assert "member refuted: name=m0" in stopped.log() and "member stalled: name=m0" in stopped.log()
         assert "died" not in stopped.log(), logs(made)
 
 
@@ -103,7 +103,7 @@
             time.sleep(0.02)
         until(made.met, "all is as before")
         assert "died" not in slow.log(), logs(made)
-        assert all(f"member m{i}: died" not in m.log() for m in rest for i in range(1, 5)), logs(made)
+        assert all(f"member died: name=m{i}" not in m.log() for m in rest for i in range(1, 5)), logs(made)
 
 
 def test_with_a_third_lost_doubled_and_out_of_order_nobody_dies(tmp_path: Path) -> None:
@@ -188,7 +188,7 @@
         second.name = "m0"
         made.write(second, advertise=f"{second.host}:{second.port}")
         second.start()
-        said = "two schedulers are named m0"
+        said = "member name_conflict: name=m0"
         until(lambda: said in first.log() and said in second.log(), "both say so")
         assert all(m.states()["m0"] == "alive" for m in rest)
         address = first.view()["me"]["address"]
@@ -209,22 +209,22 @@
 def test_a_flood_and_nonsense_are_dropped_and_bounded_and_the_others_stay(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as made:
         first, *rest = started(made, 4)
-        head = Head(1, GROUP, "x", 1, "127.0.0.1:9")
+        header = Header(1, GROUP, "x", 1, "127.0.0.1:9")
         junk = [
-            b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Head(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
-            encode(Ping(Head(1, "other", "x", 1, "a:1"), 1, "m0")),
-            encode(Ping(head, 1, "nobody", [Claim("", 1, "a:1", "", 0, State.ALIVE)])),
+            b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
+            encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0")),
+            encode(Ping(header, 1, "nobody", [MemberRecord("", 1, "a:1", "", 0, MemberState.ALIVE)])),
         ]  # fmt: skip
-        for frame in (b"nonsense", encode(Ping(Head(1, "other", "x", 1, "a:1"), 1, "m0"))):
+        for frame in (b"nonsense", encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0"))):
             with socket.create_connection((first.host, first.port), 5) as stream:
-                stream.sendall(LENGTH.pack(len(frame)) + frame)
+                stream.sendall(FRAME_LENGTH.pack(len(frame)) + frame)
                 stream.shutdown(socket.SHUT_WR)
                 assert stream.recv(100) == b""
         with socket.create_connection((first.host, first.port), 5) as stream:  # of a later version
-            question = encode(Ping(Head(7, GROUP, "newer", 1, "127.0.0.1:9"), 5, "m0"))
-            stream.sendall(LENGTH.pack(len(question)) + question)
-            answer = stream.makefile("rb").read(LENGTH.unpack(stream.recv(4))[0])
-        assert isinstance(found := decode(answer, GROUP, 64), Ack) and found.number == 5
+            question = encode(Ping(Header(7, GROUP, "newer", 1, "127.0.0.1:9"), 5, "m0"))
+            stream.sendall(FRAME_LENGTH.pack(len(question)) + question)
+            answer = stream.makefile("rb").read(FRAME_LENGTH.unpack(stream.recv(4))[0])
+        assert isinstance(found := decode(answer, GROUP, 64), Ack) and found.sequence_number == 5
         before = rss(first)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as flood:
             end = time.monotonic() + 4.0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,10 +18,12 @@
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision.choice import Dispatcher
 from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
-from oxbowyard.membership.entries import Notes
-from oxbowyard.membership.messages import Head, Malformed, Note, Told, decode, encode
-from oxbowyard.membership.tcp_transport import LENGTH, Streams
-from oxbowyard.membership.udp_transport import Datagrams
+from oxbowyard.membership.drops import DropCounter, DropReason
+from oxbowyard.membership.entries import EntryStore
+from oxbowyard.membership.events import EntryWritten
+from oxbowyard.membership.messages import Gossip, GossipEntry, Header, MalformedMessageError, decode, encode
+from oxbowyard.membership.tcp_transport import FRAME_LENGTH, TcpTransport
+from oxbowyard.membership.udp_transport import UdpTransport
 from oxbowyard.peers.count import SETTLE, LiveCount, Seen
 from oxbowyard.peers.drains import OUT, Drains
 from oxbowyard.peers.troubles import Sharing
@@ -132,9 +134,16 @@
     assert not any(w.shunned for w in d.workers.values()), "of over a quarter nothing is believed"
 
 
-def note(about: str, by: str = "m1", count: int = 1, value: float = 0.0, age: float = 0.0, lasts: float = 1.0,
-         common: bool = False) -> Note:  # fmt: skip
-    return Note(about, by, count, value, age, lasts, common)
+def entry(
+    key: str,
+    author: str = "m1",
+    lamport_time: int = 1,
+    value: float = 0.0,
+    age_s: float = 0.0,
+    lifetime_s: float = 1.0,
+    is_shared: bool = False,
+) -> GossipEntry:
+    return GossipEntry(key, author, lamport_time, value, age_s, lifetime_s, is_shared)
 
 
 def test_own_troubles_are_told_once_and_again_when_they_last_longer() -> None:
@@ -152,15 +161,15 @@
     (say,) = sharing.to_say(50.0, [Trouble("w1", 0.0, 7000.0)], 12, 9000.0)
     assert (say.value, say.lasts) == (2.0, 8.0)
     other = Sharing(ramp=10.0)
-    assert other.hear(note(say.about, value=say.value, age=0.5, lasts=say.lasts), 100.0)
+    assert other.hear(entry(say.about, value=say.value, age_s=0.5, lifetime_s=say.lasts), 100.0)
     (heard,) = other.heard(101.0, 20000.0)
     assert heard.since == 20000.0 - 3500.0 and heard.lasts == 0.0
     known = [Trouble("w1", 0.0, 16500.0)]
     assert not other.heard(101.0, 20000.0, known), "it is known here already"
     assert not other.to_say(101.0, known, 12, 20000.0), "it was heard of, and is not told again"
     assert not other.heard(108.0, 27000.0)
-    sharing.hear(note("bar:w1", "m1", lasts=1.0), 100.0)
-    sharing.hear(note("bar:w1", "m2", lasts=1e9), 100.0)
+    sharing.hear(entry("bar:w1", "m1", lifetime_s=1.0), 100.0)
+    sharing.hear(entry("bar:w1", "m2", lifetime_s=1e9), 100.0)
     (heard,) = sharing.heard(100.5, 0.0)
     assert heard.lasts == 29500.0, "the longer word holds, and none for ever"
     assert not sharing.heard(131.0, 0.0)
@@ -199,12 +208,18 @@
     desk = Desk()
     desk.drains.changed("w1", True, 100.0)
     desk.said.clear()
-    assert desk.drains.hear(note(OUT + "w1", count=9, value=0.0, age=30.0, lasts=600.0, common=True), 101.0)
+    assert desk.drains.hear(
+        entry(OUT + "w1", lamport_time=9, value=0.0, age_s=30.0, lifetime_s=600.0, is_shared=True), 101.0
+    )
     assert desk.said == [(OUT + "w1", 1.0, 1e9, None)]
-    assert desk.drains.hear(note(OUT + "w1", count=12, value=0.0, age=0.1, lasts=600.0, common=True), 101.0)
+    assert desk.drains.hear(
+        entry(OUT + "w1", lamport_time=12, value=0.0, age_s=0.1, lifetime_s=600.0, is_shared=True), 101.0
+    )
     assert len(desk.said) == 1, "this one is later"
     desk.out.add("w2")  # out since before this process: its own call is none
-    assert desk.drains.hear(note(OUT + "w2", count=9, value=0.0, age=30.0, lasts=600.0, common=True), 101.0)
+    assert desk.drains.hear(
+        entry(OUT + "w2", lamport_time=9, value=0.0, age_s=30.0, lifetime_s=600.0, is_shared=True), 101.0
+    )
     assert len(desk.said) == 1 and not desk.out
 
 
@@ -221,11 +236,11 @@
         group.link.loss = 0.3
         for value in (1.0, 0.0):
             said = group.now
-            group.say("m3", OUT + "w1", value, 1000.0, common=True, at_once=True)
+            group.write("m3", EntryWritten(OUT + "w1", value, 1000.0, is_shared=True, is_urgent=True))
             group.run(said + 1.0)
             for node in group.nodes.values():
                 if node.name != "m3":
-                    when = [at for at, h in node.heard if h.note.value == value and at >= said]
+                    when = [at for at, d in node.delivered if d.entry.value == value and at >= said]
                     assert when and when[0] - said < 1.0, f"seed {seed}: {node.name}"
 
 
@@ -237,83 +252,85 @@
         for one in sides[0]:
             for other in sides[1]:
                 group.cut(one, other)
-        group.say("m0", OUT + "w1", 1.0, 1e6, common=True, at_once=True)
+        group.write("m0", EntryWritten(OUT + "w1", 1.0, 1e6, is_shared=True, is_urgent=True))
         group.run(25.0)
-        group.say("m1", OUT + "w1", 0.0, 1e6, common=True, at_once=True)
+        group.write("m1", EntryWritten(OUT + "w1", 0.0, 1e6, is_shared=True, is_urgent=True))
         group.run(60.0)
         group.cuts.clear()
         group.run(240.0)
-        held = {tuple(n.value for n in node.group.notes.all(group.now)) for node in group.nodes.values()}
+        held = {tuple(e.value for e in node.protocol.entries.all(group.now)) for node in group.nodes.values()}
         assert len(held) == 1, f"seed {seed}: {held}"
 
 
-def test_notes_are_bounded_over_in_time_and_told_so_often_within_their_room() -> None:
-    notes = Notes(40)
+def test_entries_are_bounded_expire_and_are_sent_so_often_within_their_room() -> None:
+    store = EntryStore(40)
     for i in range(42):
-        notes.say(0.0, "m0", f"bar:{'x' * 40}{i}", 0.0, 5.0 + i, False, None)
-    assert len(notes) == 40 and notes.dropped == 2
-    assert not notes.take(0.0, note("bar:x", age=5.0, lasts=5.0)), "over when it came"
-    told: Counter[str] = Counter()
+        store.write(0.0, "m0", f"bar:{'x' * 40}{i}", 0.0, 5.0 + i, False, None)
+    assert len(store) == 40 and store.dropped_count == 2
+    assert not store.merge(0.0, entry("bar:x", age_s=5.0, lifetime_s=5.0)), "it had expired when it came"
+    sent: Counter[str] = Counter()
     for _ in range(100):
-        batch = notes.to_tell(1.0, 600, 3)
-        assert len(encode(Told(Head(1, "g", "n", 1, "a:1"), batch))) < 700
-        assert all(n.age == 1.0 for n in batch)
-        told.update(n.about for n in batch)
-    assert set(told.values()) == {3} and len(told) == 40
-    assert len(notes.forget(6.5)) == 2 and len(notes) == 38
+        batch = store.select(1.0, 600, 3)
+        assert len(encode(Gossip(Header(1, "g", "n", 1, "a:1"), batch))) < 700
+        assert all(e.age_s == 1.0 for e in batch)
+        sent.update(e.key for e in batch)
+    assert set(sent.values()) == {3} and len(sent) == 40
+    assert len(store.expire(6.5)) == 2 and len(store) == 38
 
 
 @pytest.mark.parametrize("bad", [
-    note(""), note("x" * 301), note("bar:w", age=-1.0), note("bar:w", lasts=float("inf")),
-    note("bar:w", value=float("nan")), note("bar:w", count=-1), note("bar:w", count=1 << 60),
-    note("bar:w", by=""),
+    entry(""), entry("x" * 301), entry("bar:w", age_s=-1.0), entry("bar:w", lifetime_s=float("inf")),
+    entry("bar:w", value=float("nan")), entry("bar:w", lamport_time=-1), entry("bar:w", lamport_time=1 << 60),
+    entry("bar:w", author=""),
 ])  # fmt: skip
-def test_absurd_notes_are_refused(bad: Note) -> None:
-    head = Head(1, "g", "n", 1, "a:1")
-    assert decode(encode(Told(head, [note("bar:w")])), "g", 64)
-    with pytest.raises(Malformed, match="absurd note"):
-        decode(encode(Told(head, [bad])), "g", 64)
-    with pytest.raises(Malformed, match="too many notes"):
-        decode(encode(Told(head, [note("bar:w")] * 65)), "g", 64)
+def test_invalid_entries_are_refused(bad: GossipEntry) -> None:
+    header = Header(1, "g", "n", 1, "a:1")
+    assert decode(encode(Gossip(header, [entry("bar:w")])), "g", 64)
+    with pytest.raises(MalformedMessageError, match="absurd note"):
+        decode(encode(Gossip(header, [bad])), "g", 64)
+    with pytest.raises(MalformedMessageError, match="too many notes"):
+        decode(encode(Gossip(header, [entry("bar:w")] * 65)), "g", 64)
 
 
 # ---- Sockets ----
 
 
 def test_a_flood_rests_the_socket_and_is_over_with_its_end() -> None:
-    async def play() -> tuple[int, int, Counter[str]]:
+    async def play() -> tuple[int, int, DropCounter]:
         got: list[bytes] = []
-        counts: Counter[str] = Counter()
-        most = 200
-        datagrams = Datagrams(("127.0.0.1", 0), most, lambda data, source: got.append(data), counts)
+        drops = DropCounter()
+        max_datagrams_s = 200
+        transport = UdpTransport(
+            ("127.0.0.1", 0), max_datagrams_s, lambda data, source: got.append(data), drops
+        )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as flood:
             for _ in range(5):
                 for _ in range(300):
-                    flood.sendto(b"x", datagrams.address)
+                    flood.sendto(b"x", transport.address)
                 await asyncio.sleep(0.1)
             in_flood = len(got)
             await asyncio.sleep(0.3)  # the buffer is empty after a while, and what comes then is read
             while got[-1] != b"y":
-                flood.sendto(b"y", datagrams.address)
+                flood.sendto(b"y", transport.address)
                 await asyncio.sleep(0.05)
-        datagrams.close()
-        return in_flood, len(got), counts
+        transport.close()
+        return in_flood, len(got), drops
 
-    in_flood, _, counts = asyncio.run(play())
+    in_flood, _, drops = asyncio.run(play())
     assert 10 <= in_flood <= 400, "about 0.5 s at 200 a second"
-    assert counts["rests for a flood"] >= 3
+    assert drops[DropReason.RATE_LIMITED] >= 3
 
 
 def test_a_stream_that_says_too_much_or_nothing_is_ended() -> None:
-    async def play() -> tuple[list[bytes], Counter[str]]:
-        counts: Counter[str] = Counter()
-        streams = Streams("127.0.0.1", 2, 1000, 0.3, lambda question: question * 2, counts)
-        port = await streams.listen(0)
+    async def play() -> tuple[list[bytes], DropCounter]:
+        drops = DropCounter()
+        transport = TcpTransport("127.0.0.1", 2, 1000, 0.3, lambda request: request * 2, drops)
+        port = await transport.listen(0)
         answers: list[bytes] = []
-        streams.ask(f"127.0.0.1:{port}", b"abc", answers.append)
+        transport.request(f"127.0.0.1:{port}", b"abc", answers.append)
         while not answers:
             await asyncio.sleep(0.01)
-        for first in (LENGTH.pack(1 << 31), b"\0", LENGTH.pack(10) + b"xy"):
+        for first in (FRAME_LENGTH.pack(1 << 31), b"\0", FRAME_LENGTH.pack(10) + b"xy"):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(first)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -321,17 +338,17 @@
             writer.close()
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         await asyncio.sleep(0.1)
-        assert counts["stream turned away"] == 2
+        assert drops[DropReason.STREAM_LIMIT] == 2
         for _, writer in silent:
             writer.close()
-        streams.ask("127.0.0.1:1", b"abc", answers.append)
-        while not counts["question unanswered"]:
+        transport.request("127.0.0.1:1", b"abc", answers.append)
+        while not drops[DropReason.REQUEST_FAILED]:
             await asyncio.sleep(0.01)
-        await streams.close()
-        return answers, counts
+        await transport.close()
+        return answers, drops
 
-    answers, counts = asyncio.run(play())
-    assert answers == [b"abcabc"] and counts["frame too long"] == 1
+    answers, drops = asyncio.run(play())
+    assert answers == [b"abcabc"] and drops[DropReason.FRAME_TOO_LONG] == 1
 
 
 # ---- Parts ----
