--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -60,8 +60,9 @@
     tables = {"waiting": found.waiting, "durable": found.durable, "membership": found.membership,
               "start": found.start}  # fmt: skip
     return {name: msgspec.to_builtins(table) for name, table in tables.items()} | {
-        "gearman": astuple(found.gearman), "membership's group": astuple(found.membership.group_settings()),
-    }  # fmt: skip
+        "gearman": astuple(found.gearman),
+        "membership's group": astuple(found.membership.protocol_settings()),
+    }
 
 
 def stored_jobs(database: Database, ids: list[str]) -> list[Stored]:
