--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -23,7 +23,7 @@
 import oxbowyard.operator.file  # noqa: F401
 from oxbowyard.durable.ledger import DurableLedger
 from oxbowyard.durable.recover import Recovery
-from oxbowyard.store.sqlite import Database
+from oxbowyard.store.database import Database
 from oxbowyard.waiting.room import WaitingRoom
 
 from . import crash_worker
@@ -56,7 +56,7 @@
     apply(database, changes)
     for change in changes:
         kind, kept = type(change).__name__, getattr(change, "kept", None)
-        point("taken" if kind == "Taken" else "answered" if kind == "Ended" else "")
+        point("taken" if kind == "JobAccepted" else "answered" if kind == "Ended" else "")
         if kept is not None:
             point(kept.value)  # granted, started
 
--- a/benchmarks/durable_recovery.py
+++ b/benchmarks/durable_recovery.py
@@ -17,8 +17,8 @@
 
 import aiohttp
 
-from oxbowyard.store.record import Taken
-from oxbowyard.store.sqlite import Database
+from oxbowyard.store.database import Database
+from oxbowyard.store.record import JobAccepted
 
 from .standin import Fleet
 from .started import Daemon, daemon
@@ -33,16 +33,33 @@
 """
 
 
+def waiting_job(number: int, now: float) -> JobAccepted:
+    """A job that waits for an hour."""
+    return JobAccepted(
+        number + 1,
+        f"old.{number:x}",
+        "preview",
+        tenant="",
+        idempotency_key="",
+        fingerprint=b"",
+        accepted_at=now,
+        max_wait_s=80_000.0,
+        delay_s=3_600.0,
+        wait_for_idle=False,
+        priority=None,
+        dependencies=b"[]",
+        request=b'{"target":"/preview","key":null,"slots":1,"extras":{}}',
+        payload=b"x" * 200,
+    )
+
+
 def fill(path: Path, size: int) -> None:
     """So many jobs, due in an hour."""
     database = Database(path)
     now = time.time()
     for start in range(0, size, 5_000):
-        database.apply([
-            Taken(n + 1, f"old.{n:x}", "preview", "", "", b"", now, 80_000.0, 3_600.0, False, None, b"[]",
-                  b'{"target":"/preview","key":null,"slots":1,"extras":{}}', b"x" * 200)
-            for n in range(start, min(start + 5_000, size))
-        ])  # fmt: skip
+        jobs = [waiting_job(number, now) for number in range(start, min(start + 5_000, size))]
+        database.apply(jobs)
     database.close()
 
 
--- a/benchmarks/store_commits.py
+++ b/benchmarks/store_commits.py
@@ -20,19 +20,33 @@
 from functools import partial
 from pathlib import Path
 
-from oxbowyard.store.record import Taken
-from oxbowyard.store.sqlite import Database
+from oxbowyard.store.database import Database
+from oxbowyard.store.record import JobAccepted
 from oxbowyard.store.writer import Writer
 
 PAYLOAD = b"x" * 200
 GROUPS = (1, 16, 256)
-Commit = Callable[[list[Taken]], None]
+Commit = Callable[[list[JobAccepted]], None]
 
 
-def change(number: int) -> Taken:
+def change(number: int) -> JobAccepted:
     """A job as it is handed in."""
-    return Taken(number, f"n1.18c.{number:x}", "accession", "", "", b"", 1e9, 3600.0, 0.0, False, None, b"[]",
-                 b'{"target":"/accession?obj=7f"}', PAYLOAD)  # fmt: skip
+    return JobAccepted(
+        number,
+        f"n1.18c.{number:x}",
+        "accession",
+        tenant="",
+        idempotency_key="",
+        fingerprint=b"",
+        accepted_at=1e9,
+        max_wait_s=3600.0,
+        delay_s=0.0,
+        wait_for_idle=False,
+        priority=None,
+        dependencies=b"[]",
+        request=b'{"target":"/accession?obj=7f"}',
+        payload=PAYLOAD,
+    )
 
 
 def sqlite(folder: Path) -> Commit:
@@ -44,8 +58,8 @@
     """Lines appended to a file."""
     file = os.open(folder / "jobs.log", os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
-    def commit(changes: list[Taken]) -> None:
-        lines = (json.dumps([c.number, c.id, c.job_class, c.taken_at, c.payload.hex()]) for c in changes)
+    def commit(changes: list[JobAccepted]) -> None:
+        lines = (json.dumps([c.number, c.id, c.job_class, c.accepted_at, c.payload.hex()]) for c in changes)
         os.write(file, ("\n".join(lines) + "\n").encode())
         os.fsync(file)
 
@@ -58,7 +72,7 @@
     os.pwrite(file, b"\0" * 4096 * 64, 0)
     os.fsync(file)
 
-    def commit(changes: list[Taken]) -> None:
+    def commit(changes: list[JobAccepted]) -> None:
         os.pwrite(file, b"\1" * min(4096 * max(len(changes) // 8, 1), 4096 * 64), 0)
         os.fdatasync(file)
 
@@ -71,10 +85,10 @@
 
     environment = library.open(str(folder / "lmdb"), map_size=1 << 30)
 
-    def commit(changes: list[Taken]) -> None:
+    def commit(changes: list[JobAccepted]) -> None:
         with environment.begin(write=True) as transaction:
             for c in changes:
-                value = json.dumps([c.id, c.job_class, c.taken_at, c.payload.hex()]).encode()
+                value = json.dumps([c.id, c.job_class, c.accepted_at, c.payload.hex()]).encode()
                 transaction.put(c.number.to_bytes(8, "big"), value)
 
     return commit
@@ -102,7 +116,7 @@
             number += 1
             safe: asyncio.Future[None] = loop.create_future()
             writer.put(change(number))
-            writer.when_safe(partial(safe.set_result, None))
+            writer.when_durable(partial(safe.set_result, None))
             await safe
             times.append(loop.time() - begun)
 
--- a/oxbowyard/durable/keeping.py
+++ b/oxbowyard/durable/keeping.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from ..store.record import StoreFault
-from ..store.sqlite import Database
-from ..store.writer import LOST, Health, Writer
+from ..store.database import Database
+from ..store.record import StoreError
+from ..store.writer import LOST, Health, PruneLimits, Writer
 from ..waiting.room import WaitingRoom
 from .ledger import DurableLedger
 from .recover import Recovery
@@ -31,15 +31,19 @@
         try:
             database = Database(Path(settings.path), settings.max_store_bytes, take_over)
             self.last_number = database.last_number()
-        except StoreFault as fault:
+        except StoreError as fault:
             raise NotOpened(f"store: {fault}") from None
         self._room: WaitingRoom | None = None
-        self._writer = Writer(database, self._turned, self._prune)
+        self._writer = Writer(database, self._turned, self._prune_limits)
         self.ledger = DurableLedger(self._writer, f"{database.epoch}.", settings.lease_s, wall)
 
-    def _prune(self) -> tuple[float, int, int]:
-        s = self._settings
-        return self._wall() - s.keep_answers_s, s.max_answers, s.forget_at_once
+    def _prune_limits(self) -> PruneLimits:
+        settings = self._settings
+        return PruneLimits(
+            ended_before=self._wall() - settings.keep_answers_s,
+            max_results=settings.max_answers,
+            max_deletions=settings.forget_at_once,
+        )
 
     def _turned(self, health: Health) -> None:
         if health in LOST and self._room is not None:
@@ -53,7 +57,7 @@
     def summary(self) -> str:
         """The store's state and its commits so far, in a line."""
         writer = self._writer
-        return f"store {writer.health.value}, {writer.committed} changes in {writer.commits} commits"
+        return f"store {writer.health.value}, {writer.committed_changes} changes in {writer.commits} commits"
 
     async def close(self) -> None:
         """Commit what is left, and let go of the store."""
--- a/oxbowyard/durable/ledger.py
+++ b/oxbowyard/durable/ledger.py
@@ -8,8 +8,8 @@
 from typing import TypeVar
 
 from ..core.request import Request, RunState
-from ..store.record import Ended, Kept, Lease, Moved, Stored, StoreFault, Taken
-from ..store.sqlite import Database
+from ..store.database import Database
+from ..store.record import JobAccepted, JobEnded, JobState, JobStateChanged, Lease, StoredJob, StoreError
 from ..store.writer import LOST, Health, Writer
 from ..waiting.ledger import Leases as LeasesOf
 from ..waiting.ledger import Recalled
@@ -56,7 +56,7 @@
         assert isinstance(request, Request)
         parents = json.dumps([[parent.id, parent.when.value] for parent in order.after]).encode()
         self._writer.put(
-            Taken(
+            JobAccepted(
                 job.number, job.id, job.job_class, job.tenant, job.token, job.print, self._wall(),
                 order.patience / 1000, order.delay / 1000, job.quiet, job.lift, parents, pack(request),
                 request.payload,
@@ -70,33 +70,35 @@
             self._granted.discard(job.number)
             end, ran = final.end.value, final.ran.value
             wait, now = final.retry_after, self._wall()
-            self._writer.put(Ended(job.number, end, ran, final.reason, final.body, wait, now, final.by))
+            self._writer.put(JobEnded(job.number, end, ran, final.reason, final.body, wait, now, final.by))
         elif change.state is State.STARTED and job.number in self._granted:
-            self._writer.put(Moved(job.number, Kept.STARTED, job.asks))
+            self._writer.put(JobStateChanged(job.number, JobState.STARTED, job.asks))
         elif change.state is State.DOUBT:
-            self._writer.put(Moved(job.number, Kept.DOUBT, job.asks))
+            self._writer.put(JobStateChanged(job.number, JobState.INDETERMINATE, job.asks))
         elif job.number in self._granted and change.state in (State.TIMED, State.READY, State.QUIET):
             self._granted.discard(job.number)  # it surely never began
-            self._writer.put(Moved(job.number, Kept.WAITING, job.asks))
+            self._writer.put(JobStateChanged(job.number, JobState.WAITING, job.asks))
 
     def grant(self, job: Job, backend: str, lease: str) -> None:
         """A backend is about to have the job."""
         self._granted.add(job.number)
-        self._writer.put(Moved(job.number, Kept.GRANTED, job.asks, Lease(lease, backend, self._wall())))
+        self._writer.put(
+            JobStateChanged(job.number, JobState.GRANTED, job.asks, Lease(lease, backend, self._wall()))
+        )
 
     def when_safe(self, then: Callable[[], None]) -> None:
         """After the commit of all that was recorded so far; never, if there will be none."""
-        self._writer.when_safe(then)
+        self._writer.when_durable(then)
 
     # ---- From the store ----
 
     async def known(self, orders: Sequence[Order]) -> Sequence[Recalled | None]:
         """For each order the job with its key or its id; raises Rejected if the store can't be asked."""
 
-        def look(database: Database) -> list[tuple[Stored, bool] | None]:
-            found: list[tuple[Stored, bool] | None] = []
+        def look(database: Database) -> list[tuple[StoredJob, bool] | None]:
+            found: list[tuple[StoredJob, bool] | None] = []
             for order in orders:
-                stored = database.by_token(order.tenant, order.token) if order.token else None
+                stored = database.by_idempotency_key(order.tenant, order.token) if order.token else None
                 if stored is not None:
                     found.append((stored, True))
                 else:
@@ -115,7 +117,7 @@
     async def _read(self, query: Callable[[Database], T]) -> T:
         try:
             return await self._writer.read(query)
-        except StoreFault as fault:
+        except StoreError as fault:
             raise Rejected(Code.NOT_KEPT, str(fault), 1.0) from None
 
 
@@ -130,31 +132,34 @@
     return json.dumps(fields).encode()
 
 
-def unpack(stored: Stored, deadline: float) -> Request:
+def unpack(stored: StoredJob, deadline: float) -> Request:
     """The request of a stored job; `deadline` in seconds is for running it."""
-    fields, taken = json.loads(stored.taken.req), stored.taken
+    fields, taken = json.loads(stored.accepted.request), stored.accepted
     return Request(
         id=taken.id, job_class=taken.job_class, timeout_s=deadline, target=fields["target"],
         payload=taken.payload, key=fields["key"], tenant=taken.tenant or None, slots=fields["slots"],
-        extras=fields["extras"], idempotency_key=taken.token,
+        extras=fields["extras"], idempotency_key=taken.idempotency_key,
     )  # fmt: skip
 
 
-def parents_of(stored: Stored) -> list[Parent]:
+def parents_of(stored: StoredJob) -> list[Parent]:
     """What a stored job waits for."""
-    return [Parent(id_, When(when)) for id_, when in json.loads(stored.taken.parents)]
+    return [Parent(id_, When(when)) for id_, when in json.loads(stored.accepted.dependencies)]
 
 
-def recalled(stored: Stored, by_token: bool) -> Recalled:
+def recalled(stored: StoredJob, by_token: bool) -> Recalled:
     """A stored job in the room's words, to be told of."""
-    taken, end = stored.taken, stored.ended
+    taken, end = stored.accepted, stored.ended
     job = Job(
         taken.id, taken.job_class, taken.tenant, len(taken.payload), taken.number, 0.0, 0.0, 0.0, State.HELD,
-        taken.quiet, taken.lift, taken.token, taken.print, None, durable=True, asks=stored.asks,
+        taken.wait_for_idle, taken.priority, taken.idempotency_key, taken.fingerprint, None, durable=True,
+        asks=stored.submissions,
     )  # fmt: skip
     if end is None:
-        if stored.kept in GRANTED:
+        if stored.state in GRANTED:
             job.state, job.ran, job.reason = State.DOUBT, RunState.MAY_BE_RUNNING, in_doubt(stored.lease)
         return Recalled(job, None, by_token)
-    job.state, job.end, job.ran, job.reason = State.ENDED, End(end.end), RunState(end.ran), end.reason
-    return Recalled(job, Final(job.end, job.ran, end.result, end.reason, end.retry_after, end.by), by_token)
+    job.state, job.end, job.ran, job.reason = State.ENDED, End(end.outcome), RunState(end.ran), end.reason
+    return Recalled(
+        job, Final(job.end, job.ran, end.result, end.reason, end.retry_after_s, end.resolved_by), by_token
+    )
--- a/oxbowyard/durable/recover.py
+++ b/oxbowyard/durable/recover.py
@@ -7,8 +7,8 @@
 import time
 from collections.abc import Callable, Mapping
 
-from ..store.record import Ended, Stored, StoreFault
-from ..store.sqlite import Database
+from ..store.database import Database
+from ..store.record import JobEnded, StoredJob, StoreError
 from ..store.writer import Writer
 from ..waiting.order import Order
 from ..waiting.room import WaitingRoom
@@ -19,7 +19,7 @@
 
 ROOM_AGAIN = 0.1  # seconds before it is looked again whether there is room for more jobs in memory
 
-Page = list[tuple[Stored, Place]]
+Page = list[tuple[StoredJob, Place]]
 
 
 class Recovery:
@@ -46,7 +46,7 @@
         after, begun = 0, time.monotonic()
         last = await self._writer.read(lambda database: database.last_number())
         while page := await self._page(after, last):
-            after = page[-1][0].taken.number
+            after = page[-1][0].accepted.number
             for stored, where in page:
                 self._put_back(stored, where)
             await asyncio.sleep(0)
@@ -66,18 +66,18 @@
         def read(database: Database) -> Page:
             found = []
             for stored in database.open_jobs(after, self._at_once):
-                if stored.taken.number <= last:  # later ones are of this run
+                if stored.accepted.number <= last:  # later ones are of this run
                     found.append((stored, place(stored, parents_of(stored), _ends(database), now)))
             return found
 
         try:
             return await self._writer.read(read)
-        except StoreFault as fault:
+        except StoreError as fault:
             log.error("jobs of an earlier run are not read back any further: %s", fault)
             return []
 
-    def _put_back(self, stored: Stored, where: Place) -> None:
-        taken = stored.taken
+    def _put_back(self, stored: StoredJob, where: Place) -> None:
+        taken = stored.accepted
         deadline = self._deadlines.get(taken.job_class)
         if deadline is None:  # the settings have changed: it stays in the store, for the next ones
             self.strangers += 1
@@ -85,13 +85,13 @@
             return
         order = Order(
             taken.id, taken.job_class, where.patience * 1000, len(taken.payload), where.after,
-            where.delay * 1000, taken.quiet, taken.lift, taken.tenant, taken.token, taken.print, True,
-            unpack(stored, deadline),
+            where.delay * 1000, taken.wait_for_idle, taken.priority, taken.tenant, taken.idempotency_key,
+            taken.fingerprint, True, unpack(stored, deadline),
         )  # fmt: skip
         lease = stored.lease.token if stored.lease else ""
         lost = where.orphaned_by
         orphaned = f"{lost} has ended, or is no longer known" if lost else ""
-        self._room.restore(order, taken.number, stored.asks, lease, where.doubt, orphaned)
+        self._room.restore(order, taken.number, stored.submissions, lease, where.doubt, orphaned)
         if lost:
             self.orphans += 1
         elif where.doubt:
@@ -101,8 +101,8 @@
             self.back += 1
 
 
-def _ends(database: Database) -> Callable[[str], Ended | bool]:
-    def ended(id_: str) -> Ended | bool:
+def _ends(database: Database) -> Callable[[str], JobEnded | bool]:
+    def ended(id_: str) -> JobEnded | bool:
         found = database.find(id_)
         return False if found is None else found.ended or True
 
--- a/oxbowyard/durable/recovery.py
+++ b/oxbowyard/durable/recovery.py
@@ -11,11 +11,11 @@
 from datetime import UTC, datetime
 
 from ..core.request import RunState
-from ..store.record import Ended, Kept, Lease, Stored
+from ..store.record import JobEnded, JobState, Lease, StoredJob
 from ..waiting.kin import met
 from ..waiting.order import End, Parent
 
-GRANTED = (Kept.GRANTED, Kept.STARTED, Kept.DOUBT)
+GRANTED = (JobState.GRANTED, JobState.STARTED, JobState.INDETERMINATE)
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,23 +30,23 @@
 
 
 def place(
-    stored: Stored, parents: Sequence[Parent], ended: Callable[[str], Ended | bool], now: float
+    stored: StoredJob, parents: Sequence[Parent], ended: Callable[[str], JobEnded | bool], now: float
 ) -> Place:
     """A job's place. `ended` tells a parent's end, True if it has none yet, False if nothing is known of it.
 
     The clock may have stepped while nobody ran: what is left is never more than what there was.
     """
-    taken = stored.taken
-    passed = max(now - taken.taken_at, 0.0)
-    patience, delay = max(taken.patience - passed, 0.0), max(taken.delay - passed, 0.0)
-    if stored.kept in GRANTED:
+    accepted = stored.accepted
+    passed = max(now - accepted.accepted_at, 0.0)
+    patience, delay = max(accepted.max_wait_s - passed, 0.0), max(accepted.delay_s - passed, 0.0)
+    if stored.state in GRANTED:
         return Place(patience, 0.0, in_doubt(stored.lease))
     after = []
     for parent in parents:
         end = ended(parent.id)
         if end is True:
             after.append(parent)
-        elif end is False or not met(End(end.end), RunState(end.ran), parent.when):
+        elif end is False or not met(End(end.outcome), RunState(end.ran), parent.when):
             return Place(patience, delay, orphaned_by=parent.id)
     return Place(patience, delay, after=tuple(after))
 
@@ -55,5 +55,5 @@
     """Words by which a desk can act."""
     if lease is None:
         return "it may have run before this scheduler stopped"
-    at = datetime.fromtimestamp(lease.at, UTC).isoformat(timespec="seconds")
-    return f"it was granted to {lease.backend} at {at}, and its end is not known: look whether it was done"
+    at = datetime.fromtimestamp(lease.granted_at, UTC).isoformat(timespec="seconds")
+    return f"it was granted to {lease.worker} at {at}, and its end is not known: look whether it was done"
--- a/oxbowyard/store/__init__.py
+++ b/oxbowyard/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must outlive a crash: changes of jobs on disk, committed in groups on a thread of their own."""
+"""Jobs on disk: records, the SQLite file, and the thread that commits in groups."""
--- a/oxbowyard/store/__main__.py
+++ b/oxbowyard/store/__main__.py
@@ -6,12 +6,12 @@
 import sys
 from pathlib import Path
 
-from .record import StoreFault
-from .sqlite import check, restore, snapshot
+from .backup import check, restore, snapshot
+from .record import StoreError
 
 
 def main() -> int:
-    """Carry out one command; exit 1 with a line if the store is not as it should be."""
+    """Run one command; return 1, with one line on standard error, if the store is faulty."""
     parser = argparse.ArgumentParser(prog="python -m oxbowyard.store", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
     commands.add_parser("check", help="look at every page").add_argument("file", type=Path)
@@ -31,8 +31,8 @@
                 jobs = snapshot(options.file, options.target)
             case _:
                 jobs = restore(options.snapshot, options.file)
-    except StoreFault as fault:
-        print(f"store: {fault}", file=sys.stderr)
+    except StoreError as error:
+        print(f"store: {error}", file=sys.stderr)
         return 1
     print(f"{options.command}: whole, {jobs} jobs")
     return 0
--- /dev/null
+++ b/oxbowyard/store/database.py
@@ -0,0 +1,234 @@
+"""The store on SQLite: write-ahead log, every commit on disk before it counts.
+
+One thread uses a `Database`. Two programs never have one store open: a lock file is held, and each opening
+raises the store's epoch. A program that was stopped and presumed dead finds the epoch raised at its next
+transaction, and is fenced: nothing that it wants to write is written.
+"""
+
+from __future__ import annotations
+
+import math
+import sqlite3
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+from . import schema
+from .errors import store_errors
+from .lock import StoreLock, lock_path
+from .record import (
+    Change,
+    JobAccepted,
+    JobEnded,
+    JobState,
+    JobStateChanged,
+    StoredJob,
+    StoreError,
+    StoreFailure,
+)
+
+BUSY_TIMEOUT_MS = 2_000  # a snapshot or a reader holds no lock within the database for this long
+CHECKPOINT_PAGES = 1_000  # of the log before it is folded in: some 4 MiB
+MAX_BYTES_CHECKED_AT_OPEN = 32 << 20  # a larger file would take seconds, and is checked when it is copied
+MIN_PAGES = 64
+
+Connect = Callable[[Path], Any]  # returns a sqlite3.Connection, or one that fails as a test wants
+
+
+def connect(path: Path) -> sqlite3.Connection:
+    """The ordinary connection; used by one thread, which need not be the one that opened it."""
+    return sqlite3.connect(path, isolation_level=None, check_same_thread=False, cached_statements=64)
+
+
+class Database:
+    """One open store."""
+
+    def __init__(
+        self, path: Path, max_bytes: int = 0, take_over: bool = False, connect: Connect = connect
+    ) -> None:
+        """Open or create it; `max_bytes` 0 is no limit. Raises StoreError."""
+        self.path = path
+        self._max_bytes = max_bytes
+        self._connect = connect
+        self._lock = StoreLock(lock_path(path), take_over)
+        try:
+            self._db = self._open()
+            self.epoch = self._raise_epoch()
+        except BaseException:
+            self._lock.release()
+            raise
+
+    # ---- Opening ----
+
+    def _open(self) -> Any:
+        with store_errors():
+            db = self._connect(self.path)
+            try:
+                db.execute(f"PRAGMA busy_timeout = {BUSY_TIMEOUT_MS}")
+                self._prepare(db)
+            except BaseException:
+                db.close()
+                raise
+        return db
+
+    def _prepare(self, db: Any) -> None:
+        application_id = scalar(db, "PRAGMA application_id")
+        version = scalar(db, "PRAGMA user_version")
+        is_new = not scalar(db, "SELECT count(*) FROM sqlite_master")
+        if not is_new and application_id != schema.APPLICATION_ID:
+            raise StoreError(StoreFailure.FOREIGN, f"{self.path.name} is not a store of this program")
+        if version > schema.SCHEMA_VERSION:
+            text = f"{self.path.name} has version {version}, known is {schema.SCHEMA_VERSION}"
+            raise StoreError(StoreFailure.NEWER, text)
+        db.execute("PRAGMA journal_mode = WAL")
+        db.execute("PRAGMA synchronous = FULL")  # a commit is on disk when it returns
+        db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}")
+        if self._max_bytes:
+            page_bytes = scalar(db, "PRAGMA page_size")
+            db.execute(f"PRAGMA max_page_count = {max(self._max_bytes // page_bytes, MIN_PAGES)}")
+        if is_new:
+            self._create(db)
+        else:
+            self._check(db)
+            self._migrate(db, version)
+
+    def _create(self, db: Any) -> None:
+        db.execute("PRAGMA auto_vacuum = INCREMENTAL")
+        with _transaction(db):
+            for statement in schema.SCHEMA.split(";"):
+                if statement.strip():
+                    db.execute(statement)
+            db.execute(f"PRAGMA application_id = {schema.APPLICATION_ID}")
+            db.execute(f"PRAGMA user_version = {schema.SCHEMA_VERSION}")
+
+    def _check(self, db: Any) -> None:
+        if self.path.stat().st_size > MAX_BYTES_CHECKED_AT_OPEN:
+            return
+        found = db.execute("PRAGMA quick_check(1)").fetchone()[0]
+        if found != "ok":
+            raise StoreError(StoreFailure.DAMAGED, f"{self.path.name}: {found}")
+
+    def _migrate(self, db: Any, version: int) -> None:
+        while version < schema.SCHEMA_VERSION:
+            with _transaction(db):  # a step and its version go together: a crash between repeats nothing
+                for statement in schema.MIGRATIONS[version].split(";"):
+                    db.execute(statement)
+                db.execute(f"PRAGMA user_version = {version + 1}")
+            version += 1
+
+    def _raise_epoch(self) -> int:
+        with store_errors(), _transaction(self._db):
+            self._db.execute(schema.RAISE_EPOCH)
+            return scalar(self._db, schema.SELECT_EPOCH)
+
+    def reopen(self) -> None:
+        """After a disk error: read what is on disk, since what is in memory may not be there."""
+        with store_errors():
+            self._db.close()
+        self._db = self._open()
+
+    def close(self) -> None:
+        """Fold the log in, and release the store."""
+        try:
+            self._db.close()
+        finally:
+            self._lock.release()
+
+    # ---- Writing ----
+
+    def apply(self, changes: Sequence[Change]) -> None:
+        """Write all changes, or none: they are on disk when this returns. Raises StoreError."""
+        with store_errors(), _transaction(self._db):
+            if scalar(self._db, schema.SELECT_EPOCH) != self.epoch:
+                raise StoreError(StoreFailure.FENCED, "a successor has opened the store")
+            for change in changes:
+                self._write(change)
+
+    def _write(self, change: Change) -> None:
+        match change:
+            case JobAccepted():
+                self._db.execute(schema.INSERT_JOB, schema.accepted_row(change))
+            case JobStateChanged(lease=None, state=JobState.STARTED | JobState.INDETERMINATE):
+                values = (change.state.value, change.submissions, change.number)
+                self._db.execute(schema.UPDATE_STATE_KEEP_LEASE, values)
+            case JobStateChanged(lease=lease):
+                held = (lease.token, lease.worker, lease.granted_at) if lease else (None, None, None)
+                state = (change.state.value, change.submissions)
+                self._db.execute(schema.UPDATE_STATE, (*state, *held, change.number))
+            case JobEnded():
+                self._end(change)
+
+    def _end(self, change: JobEnded) -> None:
+        values = (
+            change.outcome,
+            change.ran,
+            change.reason,
+            change.result,
+            change.retry_after_s,
+            change.ended_at,
+            change.resolved_by or None,
+            change.number,
+        )
+        self._db.execute(schema.END_JOB, values)
+
+    def prune(self, ended_before: float, max_results: int, max_deletions: int) -> int:
+        """Delete results that are too old, or too many, up to a number; return how many were deleted."""
+        excess = scalar(self._db, schema.COUNT_ENDED) - max_results
+        with store_errors(), _transaction(self._db):
+            deleted = self._db.execute(schema.DELETE_OLD_RESULTS, (ended_before, max_deletions)).rowcount
+            remaining = min(excess - deleted, max_deletions - deleted)
+            if remaining > 0:
+                deleted += self._db.execute(schema.DELETE_OLD_RESULTS, (math.inf, remaining)).rowcount
+        if deleted:
+            with store_errors():  # the file shrinks by as much
+                self._db.execute(f"PRAGMA incremental_vacuum({max_deletions})")
+        return int(deleted)
+
+    # ---- Reading ----
+
+    def find(self, id_: str) -> StoredJob | None:
+        """A job by its id. Raises StoreError, as do the other queries."""
+        return self._one(schema.SELECT_BY_ID, (id_,))
+
+    def by_idempotency_key(self, tenant: str, key: str) -> StoredJob | None:
+        """A job by its idempotency key."""
+        return self._one(schema.SELECT_BY_IDEMPOTENCY_KEY, (tenant, key))
+
+    def _one(self, query: str, values: tuple[object, ...]) -> StoredJob | None:
+        with store_errors():
+            row = self._db.execute(query, values).fetchone()
+        return schema.stored_job(row) if row else None
+
+    def open_jobs(self, after: int, limit: int) -> list[StoredJob]:
+        """Jobs without a final result, in the order of acceptance, with numbers above `after`."""
+        with store_errors():
+            rows = self._db.execute(schema.SELECT_OPEN, (after, limit))
+            return [schema.stored_job(row) for row in rows]
+
+    def last_number(self) -> int:
+        """The highest number of a job; 0 if there is none."""
+        with store_errors():
+            return scalar(self._db, schema.LAST_NUMBER)
+
+    def counts(self) -> dict[JobState, int]:
+        """The number of jobs in each state."""
+        with store_errors():
+            return {JobState(state): count for state, count in self._db.execute(schema.COUNT_BY_STATE)}
+
+
+def scalar(db: Any, query: str) -> int:
+    """The one number that a query returns."""
+    return int(db.execute(query).fetchone()[0])
+
+
+@contextmanager
+def _transaction(db: Any) -> Iterator[None]:
+    db.execute("BEGIN IMMEDIATE")
+    try:
+        yield
+        db.execute("COMMIT")
+    except BaseException:
+        if db.in_transaction:  # after some errors it has been rolled back already
+            db.execute("ROLLBACK")
+        raise
--- /dev/null
+++ b/oxbowyard/store/lock.py
@@ -0,0 +1,39 @@
+"""The lock file that keeps a store open in one program at a time."""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from pathlib import Path
+
+from .record import StoreError, StoreFailure
+
+
+class StoreLock:
+    """Held as long as the program has the store open; the system releases it when the program dies.
+
+    With `take_over` the lock file of a program that is stopped or hangs is replaced: the store's epoch fences
+    that program. Raises StoreError if another program holds the lock.
+    """
+
+    def __init__(self, path: Path, take_over: bool) -> None:
+        if take_over:
+            path.unlink(missing_ok=True)
+        try:
+            self._file = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
+        except OSError as error:
+            raise StoreError(StoreFailure.READ_ONLY, f"{path.name}: {error.strerror}") from None
+        try:
+            fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(self._file)
+            raise StoreError(StoreFailure.LOCKED, f"another program has {path.name} open") from None
+
+    def release(self) -> None:
+        """Release the lock."""
+        os.close(self._file)
+
+
+def lock_path(store: Path) -> Path:
+    """The lock file of a store."""
+    return store.with_name(store.name + ".lock")
--- a/oxbowyard/store/record.py
+++ b/oxbowyard/store/record.py
@@ -1,4 +1,7 @@
-"""What is kept of a job, the changes to it, and how a store may fail. Times are Unix seconds."""
+"""What is stored of a job, the changes to it, and how a store may fail. Times are Unix seconds.
+
+The field names of these records are not stored; `schema` names the columns. The values of `JobState` are.
+"""
 
 from __future__ import annotations
 
@@ -6,100 +9,100 @@
 from enum import Enum
 
 
-class Kept(Enum):
+class JobState(Enum):
     """Where a stored job was last known to be."""
 
-    WAITING = "waiting"  # for its parents, its time or its turn: it never began
-    ASKED = "asked"  # with the core; without a grant it never began
+    WAITING = "waiting"  # for its dependencies, its time or its turn: it never began
+    SUBMITTED = "asked"  # with the core; without a grant it never began
     GRANTED = "granted"  # a worker may have it: from here on it may have run
-    STARTED = "started"  # a worker said that it began
-    DOUBT = "doubt"  # it may have run, and nobody knows how it ended
+    STARTED = "started"  # a worker reported its start
+    INDETERMINATE = "doubt"  # it may have run, and nobody knows how it ended
     ENDED = "ended"
 
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """A grant to a worker, by which the worker's end is known again."""
+    """A grant to a worker; a result that arrives late is matched by its token."""
 
     token: str
-    backend: str
-    at: float
+    worker: str
+    granted_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
-    """A job was handed in: all that is needed to go on with it after a crash."""
+class JobAccepted:
+    """A job was accepted: all that is needed to continue with it after a crash."""
 
-    number: int
+    number: int  # the order of acceptance
     id: str
     job_class: str
     tenant: str
-    token: str  # idempotency key
-    print: bytes
-    taken_at: float
-    patience: float  # seconds
-    delay: float
-    quiet: bool
-    lift: float | None
-    parents: bytes  # JSON
-    req: bytes  # JSON: what a front needs besides the payload
+    idempotency_key: str
+    fingerprint: bytes  # of the request: the same key with another request is an error
+    accepted_at: float
+    max_wait_s: float
+    delay_s: float
+    wait_for_idle: bool  # it runs only while the fleet is quiet
+    priority: float | None
+    dependencies: bytes  # JSON
+    request: bytes  # JSON: what a front needs besides the payload
     payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
-    """A job is somewhere else; with a lease if a worker has it now."""
+class JobStateChanged:
+    """A job is in another state; with a lease if a worker has it now."""
 
     number: int
-    kept: Kept
-    asks: int
+    state: JobState
+    submissions: int  # how often it was submitted to the core
     lease: Lease | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    """A job has its one end. `by` names the operator who said so, if one did."""
+class JobEnded:
+    """A job has its one final result. `resolved_by` names the operator who set it, if one did."""
 
     number: int
-    end: str
+    outcome: str
     ran: str
     reason: str
     result: bytes
-    retry_after: float
-    at: float
-    by: str = ""
+    retry_after_s: float
+    ended_at: float
+    resolved_by: str = ""
 
 
-Change = Taken | Moved | Ended
+Change = JobAccepted | JobStateChanged | JobEnded
 
 
 @dataclass(slots=True, frozen=True)
-class Stored:
+class StoredJob:
     """A job as the store has it."""
 
-    taken: Taken
-    kept: Kept
-    asks: int
+    accepted: JobAccepted
+    state: JobState
+    submissions: int
     lease: Lease | None
-    ended: Ended | None
+    ended: JobEnded | None
 
 
-class Trouble(Enum):
-    """Why a store can't do what was asked."""
+class StoreFailure(Enum):
+    """Why a store cannot do what was asked."""
 
     LOCKED = "locked"  # another program has it open
     NEWER = "newer"  # a later release wrote it
-    FOREIGN = "foreign"  # it is no store of ours
+    FOREIGN = "foreign"  # it is not a store of this program
     DAMAGED = "damaged"
     READ_ONLY = "read only"
     FULL = "full"  # the disk, or the size that the settings allow
-    FAILED = "failed"  # the disk did not do what it was told: what it holds is not known
+    FAILED = "failed"  # the disk reported an error: what it holds is not known
     FENCED = "fenced"  # a successor has opened it: nothing may be granted or ended here any more
 
 
-class StoreFault(Exception):
-    """A store's failure, in one line; nothing of what was asked is kept."""
+class StoreError(Exception):
+    """A store's failure, in one line; nothing of what was asked is stored."""
 
-    def __init__(self, trouble: Trouble, text: str) -> None:
-        super().__init__(f"{trouble.value}: {' '.join(text.split())}")
-        self.trouble = trouble
+    def __init__(self, failure: StoreFailure, text: str) -> None:
+        super().__init__(f"{failure.value}: {' '.join(text.split())}")
+        self.failure = failure
--- /dev/null
+++ b/oxbowyard/store/schema.py
@@ -0,0 +1,87 @@
+"""The schema of the store's SQLite file, its migrations and the mapping of rows to records."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+from .record import JobAccepted, JobEnded, JobState, Lease, StoredJob
+
+APPLICATION_ID = 0x6F786279  # "oxby": tells our files from others
+SCHEMA_VERSION = 2
+
+SCHEMA = """
+CREATE TABLE meta (key TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
+INSERT INTO meta VALUES ('epoch', 0);
+CREATE TABLE jobs (
+    number INTEGER PRIMARY KEY, id TEXT NOT NULL UNIQUE, job_class TEXT NOT NULL, tenant TEXT NOT NULL,
+    token TEXT NOT NULL, print BLOB NOT NULL, taken_at REAL NOT NULL, patience REAL NOT NULL,
+    delay REAL NOT NULL, quiet INTEGER NOT NULL, lift REAL, parents BLOB NOT NULL, req BLOB NOT NULL,
+    payload BLOB NOT NULL, kept TEXT NOT NULL, asks INTEGER NOT NULL,
+    lease TEXT, backend TEXT, granted_at REAL,
+    end TEXT, ran TEXT, reason TEXT, result BLOB, retry_after REAL, ended_at REAL, resolved_by TEXT
+);
+CREATE UNIQUE INDEX jobs_by_token ON jobs (tenant, token) WHERE token != '';
+CREATE INDEX jobs_open ON jobs (number) WHERE kept != 'ended';
+CREATE INDEX jobs_ended ON jobs (ended_at) WHERE kept = 'ended';
+"""
+# From a version to the next. Version 1 did not say who resolved an indeterminate job.
+MIGRATIONS = {1: "ALTER TABLE jobs ADD COLUMN resolved_by TEXT"}
+
+COLUMNS = (
+    "number, id, job_class, tenant, token, print, taken_at, patience, delay, quiet, lift, parents, req, "
+    "payload, kept, asks, lease, backend, granted_at, end, ran, reason, result, retry_after, ended_at, "
+    "resolved_by"
+)
+INSERT_JOB = f"INSERT INTO jobs ({COLUMNS}) VALUES ({', '.join('?' * 16)}{', NULL' * 10})"
+UPDATE_STATE = """UPDATE jobs SET kept = ?, asks = ?, lease = ?, backend = ?, granted_at = ?
+    WHERE number = ? AND kept != 'ended'"""
+UPDATE_STATE_KEEP_LEASE = "UPDATE jobs SET kept = ?, asks = ? WHERE number = ? AND kept != 'ended'"
+END_JOB = """UPDATE jobs SET kept = 'ended', end = ?, ran = ?, reason = ?, result = ?, retry_after = ?,
+    ended_at = ?, resolved_by = ?, payload = x'' WHERE number = ? AND kept != 'ended'"""
+DELETE_OLD_RESULTS = """DELETE FROM jobs WHERE number IN
+    (SELECT number FROM jobs WHERE kept = 'ended' AND ended_at < ? ORDER BY ended_at LIMIT ?)"""
+SELECT_OPEN = f"SELECT {COLUMNS} FROM jobs WHERE kept != 'ended' AND number > ? ORDER BY number LIMIT ?"
+SELECT_BY_ID = f"SELECT {COLUMNS} FROM jobs WHERE id = ?"
+SELECT_BY_IDEMPOTENCY_KEY = f"SELECT {COLUMNS} FROM jobs WHERE token != '' AND tenant = ? AND token = ?"
+COUNT_BY_STATE = "SELECT kept, count(*) FROM jobs GROUP BY kept"
+COUNT_ENDED = "SELECT count(*) FROM jobs WHERE kept = 'ended'"
+COUNT_JOBS = "SELECT count(*) FROM jobs"
+LAST_NUMBER = "SELECT coalesce(max(number), 0) FROM jobs"
+SELECT_EPOCH = "SELECT value FROM meta WHERE key = 'epoch'"
+RAISE_EPOCH = "UPDATE meta SET value = value + 1 WHERE key = 'epoch'"
+
+
+def accepted_row(job: JobAccepted) -> tuple[object, ...]:
+    """The values of `INSERT_JOB`: a new job waits, and was never submitted."""
+    return (
+        job.number,
+        job.id,
+        job.job_class,
+        job.tenant,
+        job.idempotency_key,
+        job.fingerprint,
+        job.accepted_at,
+        job.max_wait_s,
+        job.delay_s,
+        int(job.wait_for_idle),
+        job.priority,
+        job.dependencies,
+        job.request,
+        job.payload,
+        JobState.WAITING.value,
+        0,
+    )
+
+
+def stored_job(row: Sequence[Any]) -> StoredJob:
+    """The record of a row of `COLUMNS`."""
+    accepted_fields: tuple[Any, ...] = (*row[:9], bool(row[9]), *row[10:14])
+    accepted = JobAccepted(*accepted_fields)
+    state, submissions, token, worker, granted_at = row[14:19]
+    ended = None
+    if state == JobState.ENDED.value:
+        ended_fields: tuple[Any, ...] = (accepted.number, *row[19:25], row[25] or "")
+        ended = JobEnded(*ended_fields)
+    lease = Lease(token, worker, granted_at) if token is not None else None
+    return StoredJob(accepted, JobState(state), submissions, lease, ended)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -25,8 +25,8 @@
 from oxbowyard.durable.leases import Leases
 from oxbowyard.durable.recovery import place
 from oxbowyard.durable.settings import DurableSettings
-from oxbowyard.store.record import Ended, Kept, Lease, Stored, StoreFault, Taken, Trouble
-from oxbowyard.store.sqlite import Database
+from oxbowyard.store.database import Database
+from oxbowyard.store.record import JobAccepted, JobEnded, JobState, Lease, StoredJob, StoreError, StoreFailure
 from oxbowyard.waiting.order import Code, End, Parent, Rejected, State, Wait, When
 
 DEADLINES = {"free": 5.0, "once": 5.0}
@@ -314,7 +314,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def damaged(self: Database, changes: Any) -> None:
-        raise StoreFault(Trouble.DAMAGED, "injected")
+        raise StoreError(StoreFailure.DAMAGED, "injected")
 
     async def scene() -> None:
         kept = Kept_(tmp_path / "jobs.db", hangs)
@@ -378,10 +378,10 @@
     play(scene)
 
 
-def stored(kept: Kept, patience: float = 100.0, delay: float = 0.0) -> Stored:
-    taken = Taken(1, "j", "once", "", "", b"", 1000.0, patience, delay, False, None, b"[]", b"{}", b"")
-    lease = Lease("l", "w1", 1005.0) if kept is Kept.GRANTED else None
-    return Stored(taken, kept, 1, lease, None)
+def stored(kept: JobState, patience: float = 100.0, delay: float = 0.0) -> StoredJob:
+    taken = JobAccepted(1, "j", "once", "", "", b"", 1000.0, patience, delay, False, None, b"[]", b"{}", b"")
+    lease = Lease("l", "w1", 1005.0) if kept is JobState.GRANTED else None
+    return StoredJob(taken, kept, 1, lease, None)
 
 
 @pytest.mark.parametrize(
@@ -389,20 +389,20 @@
     [(1040.0, 60.0, 10.0), (1200.0, 0.0, 0.0), (-2600.0, 100.0, 50.0)],  # the clock stepped back an hour
 )
 def test_what_is_left_to_a_job_after_a_restart(now: float, patience: float, delay: float) -> None:
-    found = place(stored(Kept.WAITING, delay=50.0), [], lambda id_: False, now)
+    found = place(stored(JobState.WAITING, delay=50.0), [], lambda id_: False, now)
     assert (found.patience, found.delay, found.doubt) == (patience, delay, "")
 
 
 def test_parents_that_ended_while_nobody_ran() -> None:
-    ends: dict[str, Ended | bool] = {
-        "served": Ended(2, "served", "yes", "", b"", 0.0, 1.0),
-        "failed": Ended(3, "failed", "maybe", "", b"", 0.0, 1.0),
-        "open": Ended(4, "cancelled", "open", "", b"", 0.0, 1.0),
+    ends: dict[str, JobEnded | bool] = {
+        "served": JobEnded(2, "served", "yes", "", b"", 0.0, 1.0),
+        "failed": JobEnded(3, "failed", "maybe", "", b"", 0.0, 1.0),
+        "open": JobEnded(4, "cancelled", "open", "", b"", 0.0, 1.0),
         "going on": True,
     }
 
     def after(*parents: Parent) -> tuple[tuple[str, ...], str]:
-        found = place(stored(Kept.ASKED), parents, lambda id_: ends.get(id_, False), 1001.0)
+        found = place(stored(JobState.SUBMITTED), parents, lambda id_: ends.get(id_, False), 1001.0)
         return tuple(parent.id for parent in found.after), found.orphaned_by
 
     assert after(Parent("served"), Parent("going on")) == (("going on",), "")
@@ -410,6 +410,6 @@
     assert after(Parent("failed", When.ENDED)) == ((), "")
     assert after(Parent("open", When.ENDED)) == ((), "open")
     assert after(Parent("forgotten")) == ((), "forgotten")
-    doubt = place(stored(Kept.GRANTED), [], lambda id_: False, 1001.0).doubt
+    doubt = place(stored(JobState.GRANTED), [], lambda id_: False, 1001.0).doubt
     assert "w1" in doubt and "1970-01-01T00:16:45" in doubt
     assert RunState("open") is RunState.MAY_BE_RUNNING
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,29 +15,50 @@
 import pytest
 
 from oxbowyard.store.__main__ import main as command
-from oxbowyard.store.record import Change, Ended, Kept, Lease, Moved, StoreFault, Taken, Trouble
-from oxbowyard.store.sqlite import Database, check, connect, restore, snapshot
+from oxbowyard.store.backup import check, restore, snapshot
+from oxbowyard.store.database import Database, connect
+from oxbowyard.store.record import (
+    Change,
+    JobAccepted,
+    JobEnded,
+    JobState,
+    JobStateChanged,
+    Lease,
+    StoreError,
+    StoreFailure,
+)
 from oxbowyard.store.writer import Health, Writer
 
 FAULTS = {
-    "full": (sqlite3.SQLITE_FULL, Trouble.FULL),
-    "fsync": (sqlite3.SQLITE_IOERR_FSYNC, Trouble.FAILED),
-    "damaged": (sqlite3.SQLITE_CORRUPT, Trouble.DAMAGED),
-    "read only": (sqlite3.SQLITE_READONLY, Trouble.READ_ONLY),
+    "full": (sqlite3.SQLITE_FULL, StoreFailure.FULL),
+    "fsync": (sqlite3.SQLITE_IOERR_FSYNC, StoreFailure.FAILED),
+    "damaged": (sqlite3.SQLITE_CORRUPT, StoreFailure.DAMAGED),
+    "read only": (sqlite3.SQLITE_READONLY, StoreFailure.READ_ONLY),
 }
 
 
-def taken(number: int, **changes: Any) -> Taken:
+def taken(number: int, **changes: Any) -> JobAccepted:
     fields: dict[str, Any] = {
-        "number": number, "id": f"j{number}", "job_class": "once", "tenant": "", "token": "", "print": b"",
-        "taken_at": 1e9, "patience": 60.0, "delay": 0.0, "quiet": False, "lift": None, "parents": b"[]",
-        "req": b"{}", "payload": b"sheet",
-    }  # fmt: skip
-    return Taken(**(fields | changes))
-
-
-def ended(number: int, at: float = 1e9, by: str = "") -> Ended:
-    return Ended(number, "served", "yes", "", b"made", 0.0, at, by)
+        "number": number,
+        "id": f"j{number}",
+        "job_class": "once",
+        "tenant": "",
+        "idempotency_key": "",
+        "fingerprint": b"",
+        "accepted_at": 1e9,
+        "max_wait_s": 60.0,
+        "delay_s": 0.0,
+        "wait_for_idle": False,
+        "priority": None,
+        "dependencies": b"[]",
+        "request": b"{}",
+        "payload": b"sheet",
+    }
+    return JobAccepted(**(fields | changes))
+
+
+def ended(number: int, at: float = 1e9, by: str = "") -> JobEnded:
+    return JobEnded(number, "served", "yes", "", b"made", 0.0, at, by)
 
 
 def pragma(path: Path, text: str) -> None:
@@ -71,37 +92,54 @@
     path = tmp_path / "jobs.db"
     db = Database(path)
     lease = Lease("secret", "w1", 1e9)
-    db.apply([taken(1, token="k", payload=b"\0\xff", lift=0.5, quiet=True), taken(2), taken(3)])
-    db.apply([Moved(1, Kept.GRANTED, 1, lease), Moved(1, Kept.STARTED, 1), ended(2, by="Aiko")])
-    db.apply([Moved(1, Kept.DOUBT, 1), ended(2, at=5.0), Moved(2, Kept.WAITING, 9)])  # the first end stands
+    first_job = taken(1, idempotency_key="k", payload=b"\0\xff", priority=0.5, wait_for_idle=True)
+    db.apply([first_job, taken(2), taken(3)])
+    db.apply(
+        [
+            JobStateChanged(1, JobState.GRANTED, 1, lease),
+            JobStateChanged(1, JobState.STARTED, 1),
+            ended(2, by="Aiko"),
+        ]
+    )
+    db.apply(
+        [
+            JobStateChanged(1, JobState.INDETERMINATE, 1),
+            ended(2, at=5.0),
+            JobStateChanged(2, JobState.WAITING, 9),
+        ]
+    )  # the first end stands
     db.close()
     db = Database(path)
     first, second = db.find("j1"), db.find("j2")
     assert first is not None and second is not None
-    assert (first.kept, first.lease, first.taken.payload) == (Kept.DOUBT, lease, b"\0\xff")
-    assert first.taken.quiet is True and db.by_token("", "k") == first
-    assert second.ended == ended(2, by="Aiko") and second.taken.payload == b""
-    assert [job.taken.id for job in db.open_jobs(0, 9)] == ["j1", "j3"]
-    assert db.open_jobs(1, 9)[0].taken.id == "j3" and db.last_number() == 3
-    assert db.counts() == {Kept.DOUBT: 1, Kept.ENDED: 1, Kept.WAITING: 1}
+    assert (first.state, first.lease, first.accepted.payload) == (JobState.INDETERMINATE, lease, b"\0\xff")
+    assert first.accepted.wait_for_idle is True and db.by_idempotency_key("", "k") == first
+    assert second.ended == ended(2, by="Aiko") and second.accepted.payload == b""
+    assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j1", "j3"]
+    assert db.open_jobs(1, 9)[0].accepted.id == "j3" and db.last_number() == 3
+    assert db.counts() == {JobState.INDETERMINATE: 1, JobState.ENDED: 1, JobState.WAITING: 1}
     db.close()
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_fault_at_any_one_write_keeps_all_or_nothing(name: str, tmp_path: Path) -> None:
     code, trouble = FAULTS[name]
-    changes: list[Change] = [taken(2), Moved(1, Kept.GRANTED, 1, Lease("s", "w", 1.0)), ended(1)]
+    changes: list[Change] = [
+        taken(2),
+        JobStateChanged(1, JobState.GRANTED, 1, Lease("s", "w", 1.0)),
+        ended(1),
+    ]
     for at in range(1, 6):  # begin, three changes, commit
         path = tmp_path / f"{at}.db"
         db = Database(path, connect=lambda path: Failing(path, code, 1 << 30))
         db.apply([taken(1)])
         db._db.at = db._db.writes + at
-        with pytest.raises(StoreFault) as caught:
+        with pytest.raises(StoreError) as caught:
             db.apply(changes)
-        assert caught.value.trouble is trouble
-        assert [job.taken.id for job in db.open_jobs(0, 9)] == ["j1"]
+        assert caught.value.failure is trouble
+        assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j1"]
         db.apply(changes)  # the disk is well again
-        assert [job.taken.id for job in db.open_jobs(0, 9)] == ["j2"]
+        assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j2"]
         db.close()
         assert check(path) == 2
 
@@ -110,16 +148,16 @@
     path = tmp_path / "jobs.db"
     old = Database(path)
     old.apply([taken(1)])
-    with pytest.raises(StoreFault, match="another program") as caught:
+    with pytest.raises(StoreError, match="another program") as caught:
         Database(path)
-    assert caught.value.trouble is Trouble.LOCKED
+    assert caught.value.failure is StoreFailure.LOCKED
     new = Database(path, take_over=True)  # the old one was stopped, and is thought dead
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreError) as caught:
         old.apply([ended(1)])
-    assert caught.value.trouble is Trouble.FENCED
-    new.apply([Moved(1, Kept.DOUBT, 1)])
-    assert new.counts() == {Kept.DOUBT: 1}
-    with pytest.raises(StoreFault, match="another program"):
+    assert caught.value.failure is StoreFailure.FENCED
+    new.apply([JobStateChanged(1, JobState.INDETERMINATE, 1)])
+    assert new.counts() == {JobState.INDETERMINATE: 1}
+    with pytest.raises(StoreError, match="another program"):
         Database(path)  # it holds a lock of its own
     new.close()
     old.close()
@@ -128,25 +166,31 @@
 @pytest.mark.parametrize(
     ("spoil", "trouble"),
     [
-        (lambda p: p.write_bytes(b"no database at all, but long enough to look at" * 20), Trouble.FOREIGN),
-        (lambda p: pragma(p, "user_version = 99"), Trouble.NEWER),
-        (lambda p: pragma(p, "application_id = 7"), Trouble.FOREIGN),
-        (lambda p: p.write_bytes(p.read_bytes()[:4096] + b"x" * (p.stat().st_size - 4096)), Trouble.DAMAGED),
-        (lambda p: (p.unlink(), p.mkdir()), Trouble.READ_ONLY),
+        (
+            lambda p: p.write_bytes(b"no database at all, but long enough to look at" * 20),
+            StoreFailure.FOREIGN,
+        ),
+        (lambda p: pragma(p, "user_version = 99"), StoreFailure.NEWER),
+        (lambda p: pragma(p, "application_id = 7"), StoreFailure.FOREIGN),
+        (
+            lambda p: p.write_bytes(p.read_bytes()[:4096] + b"x" * (p.stat().st_size - 4096)),
+            StoreFailure.DAMAGED,
+        ),
+        (lambda p: (p.unlink(), p.mkdir()), StoreFailure.READ_ONLY),
     ],
-)  # fmt: skip
+)
 def test_a_store_that_can_not_be_used_is_said_so_at_the_start(
-    spoil: Any, trouble: Trouble, tmp_path: Path
+    spoil: Any, trouble: StoreFailure, tmp_path: Path
 ) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
     db.apply([taken(n) for n in range(1, 50)])
     db.close()
     spoil(path)
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreError) as caught:
         Database(path)
-    assert caught.value.trouble is trouble
-    assert isinstance(caught.value, StoreFault) and "\n" not in str(caught.value)
+    assert caught.value.failure is trouble
+    assert isinstance(caught.value, StoreError) and "\n" not in str(caught.value)
 
 
 def test_an_older_version_is_brought_up(tmp_path: Path) -> None:
@@ -161,7 +205,7 @@
     db = Database(path)
     db.apply([taken(2), ended(2, by="Aiko")])
     found = db.find("j2")
-    assert found is not None and found.ended is not None and found.ended.by == "Aiko"
+    assert found is not None and found.ended is not None and found.ended.resolved_by == "Aiko"
     db.close()
 
 
@@ -179,7 +223,7 @@
         copy.with_name("jobs.db-wal").write_bytes(wal[:size] + b"\0" * 100)
         copy.with_name("jobs.db-shm").unlink(missing_ok=True)
         torn = Database(copy)
-        assert [job.taken.id for job in torn.open_jobs(0, 9)] == ["j1"]
+        assert [job.accepted.id for job in torn.open_jobs(0, 9)] == ["j1"]
         torn._db.close()  # without folding in
         torn._lock.release()
         copy.write_bytes(path.read_bytes())
@@ -189,10 +233,10 @@
 def test_answers_are_forgotten_by_age_and_number_in_slices(tmp_path: Path) -> None:
     db = Database(tmp_path / "jobs.db")
     db.apply([taken(n) for n in range(1, 21)] + [ended(n, at=float(n)) for n in range(1, 20)])
-    assert db.prune(ended_before=6.0, most=100, at_once=3) == 3
-    assert db.prune(ended_before=6.0, most=100, at_once=30) == 2
-    assert db.prune(ended_before=0.0, most=10, at_once=30) == 4
-    assert db.counts() == {Kept.ENDED: 10, Kept.WAITING: 1} and db.find("j9") is None
+    assert db.prune(ended_before=6.0, max_results=100, max_deletions=3) == 3
+    assert db.prune(ended_before=6.0, max_results=100, max_deletions=30) == 2
+    assert db.prune(ended_before=0.0, max_results=10, max_deletions=30) == 4
+    assert db.counts() == {JobState.ENDED: 10, JobState.WAITING: 1} and db.find("j9") is None
     db.close()
 
 
@@ -204,17 +248,17 @@
     db.apply([taken(n) for n in range(1, 200)])
     assert snapshot(path, copy) == 199  # while it is in service
     db.apply([ended(1)])
-    with pytest.raises(StoreFault, match="another program"):
+    with pytest.raises(StoreError, match="another program"):
         restore(copy, path)
     db.close()
     assert restore(copy, path) == 199
     db = Database(path)
-    assert db.counts() == {Kept.WAITING: 199}
+    assert db.counts() == {JobState.WAITING: 199}
     db.close()
     copy.write_bytes(copy.read_bytes()[:8192] + b"\xff" * 20_000 + copy.read_bytes()[28_192:])
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreError) as caught:
         restore(copy, path)
-    assert caught.value.trouble is Trouble.DAMAGED and check(path) == 199
+    assert caught.value.failure is StoreFailure.DAMAGED and check(path) == 199
     monkeypatch.setattr("sys.argv", ["store", "check", str(copy)])
     assert command() == 1 and "damaged" in capsys.readouterr().err
     monkeypatch.setattr("sys.argv", ["store", "snapshot", str(path), str(tmp_path / "other.db")])
@@ -223,10 +267,10 @@
 
 def test_the_size_that_the_settings_allow_is_a_full_store(tmp_path: Path) -> None:
     db = Database(tmp_path / "jobs.db", max_bytes=64 * 4096)
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreError) as caught:
         for n in range(1, 1000):
             db.apply([taken(n, payload=b"x" * 4000)])
-    assert caught.value.trouble is Trouble.FULL
+    assert caught.value.failure is StoreFailure.FULL
     db.close()
 
 
@@ -245,13 +289,13 @@
         told: list[int] = []
         for n in range(1, 501):
             writer.put(taken(n))
-            writer.when_safe(lambda n=n: told.append(n))  # type: ignore[misc]
+            writer.when_durable(lambda n=n: told.append(n))  # type: ignore[misc]
         assert told == []
         await until(lambda: len(told) == 500)
         assert told == list(range(1, 501)) and writer.commits < 100
         assert (await writer.read(lambda db: db.last_number())) == 500
         await writer.close()
-        with pytest.raises(StoreFault):
+        with pytest.raises(StoreError):
             await writer.read(lambda db: db.last_number())
 
     asyncio.run(scene())
@@ -265,7 +309,7 @@
 def test_a_failing_disk_stalls_the_store_and_acknowledges_nothing(
     name: str, lasting: bool, last: Health, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("oxbowyard.store.writer.AGAIN_AFTER", 0.02)
+    monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.02)
     opened: list[Failing] = []
 
     def open_(path: Path) -> Failing:
@@ -280,7 +324,7 @@
         told: list[str] = []
         opened[0].at = opened[0].writes + 2
         writer.put(taken(1))
-        writer.when_safe(lambda: told.append("safe"))
+        writer.when_durable(lambda: told.append("safe"))
         await until(lambda: last in states if last is Health.BROKEN else "safe" in told)
         assert bool(told) == (last is Health.SERVING)
         if last is Health.SERVING:
@@ -297,13 +341,13 @@
     code = f"""
 import sys; sys.path.insert(0, {str(Path(__file__).parent)!r})
 from pathlib import Path
-from test_store import Database, StoreFault, taken, time
+from test_store import Database, StoreError, taken, time
 db = Database(Path({str(path)!r}))
 for n in range(1, 1_000_000):
     try:
         db.apply([taken(n)])
-    except StoreFault as fault:
-        print(n, fault.trouble.value, flush=True)
+    except StoreError as fault:
+        print(n, fault.failure.value, flush=True)
         break
     print(n, flush=True)
     time.sleep(0.02)  # most of its time it is between transactions
@@ -322,8 +366,8 @@
             try:
                 successor = Database(path, take_over=True)
                 break
-            except StoreFault as fault:
-                assert fault.trouble is Trouble.LOCKED
+            except StoreError as fault:
+                assert fault.failure is StoreFailure.LOCKED
                 process.send_signal(signal.SIGCONT)
                 time.sleep(0.01)
                 process.send_signal(signal.SIGSTOP)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -30,8 +30,8 @@
 from oxbowyard.handover.learned import decode, encode
 from oxbowyard.operator.file import Faulty, OperatorConfig, load
 from oxbowyard.start import disk
-from oxbowyard.store.record import Change, Kept, Moved, Stored
-from oxbowyard.store.sqlite import Database
+from oxbowyard.store.database import Database
+from oxbowyard.store.record import Change, JobState, JobStateChanged, StoredJob
 
 FIXTURES = Path(__file__).parent / "fixtures"
 WALL_S = 4_000_000_000.0
@@ -65,35 +65,35 @@
     }
 
 
-def stored_jobs(database: Database, ids: list[str]) -> list[Stored]:
+def stored_jobs(database: Database, ids: list[str]) -> list[StoredJob]:
     """These jobs as the program reads them."""
     return [job for id_ in ids if (job := database.find(id_)) is not None]
 
 
-def store_again(database: Database, jobs: list[Stored]) -> None:
+def store_again(database: Database, jobs: list[StoredJob]) -> None:
     """Write them anew, change by change."""
     changes: list[Change] = []
     for job in jobs:
-        number = job.taken.number
-        changes.append(job.taken)
+        number = job.accepted.number
+        changes.append(job.accepted)
         if job.lease is not None:
-            changes.append(Moved(number, Kept.GRANTED, job.asks, job.lease))
+            changes.append(JobStateChanged(number, JobState.GRANTED, job.submissions, job.lease))
         if job.ended is not None:
             changes.append(job.ended)
-        elif job.kept is not Kept.GRANTED:
-            changes.append(Moved(number, job.kept, job.asks))
+        elif job.state is not JobState.GRANTED:
+            changes.append(JobStateChanged(number, job.state, job.submissions))
     database.apply(changes)
 
 
-def packed_again(job: Stored) -> tuple[bytes, bytes]:
+def packed_again(job: StoredJob) -> tuple[bytes, bytes]:
     """A stored request and its parents, read and written again."""
     parents = [[parent.id, parent.when.value] for parent in parents_of(job)]
     return pack(unpack(job, 5.0)), json.dumps(parents).encode()
 
 
-def stored_as(job: Stored) -> tuple[bytes, bytes]:
+def stored_as(job: StoredJob) -> tuple[bytes, bytes]:
     """The same as the store has it."""
-    return job.taken.req, job.taken.parents
+    return job.accepted.request, job.accepted.dependencies
 
 
 def read_list(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
