--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:  # its libraries are there, and taken in, only where the operator's file has its table
     from ..durable.keeping import Keeping
     from ..membership.table import MembershipSettings
-    from ..peers.part import MembershipPart
+    from ..peers.component import MembershipPart
     from ..start.part import StartPart
     from ..start.table import StartSettings
     from ..waiting.room import WaitingRoom
@@ -151,7 +151,7 @@
 ) -> MembershipPart:
     """The group of schedulers as a part of the program."""
     from ..gearman.admin import VERSION
-    from ..peers.part import MembershipPart, Offers
+    from ..peers.component import MembershipPart, Offers
 
     config, scheduler = parts.config, parts.scheduler
     own = config.settings
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -35,7 +35,7 @@
     from ..durable.keeping import Keeping
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
-    from ..peers.part import MembershipPart
+    from ..peers.component import MembershipPart
     from ..start.table import StartSettings
     from ..waiting.settings import WaitingSettings
 
--- a/oxbowyard/peers/part.py
+++ b/oxbowyard/peers/component.py
@@ -18,9 +18,9 @@
 from ..membership.messages import GossipEntry, MemberState
 from ..membership.node import Node
 from ..membership.table import MembershipSettings
-from .count import LiveCount, Seen
-from .drains import Drains
-from .troubles import Sharing
+from .cluster_size import LiveCount, Seen
+from .drain_propagation import Drains
+from .fault_reports import Sharing
 
 log = logging.getLogger("oxbowyard.membership")
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -24,9 +24,9 @@
 from oxbowyard.membership.messages import Gossip, GossipEntry, Header, MalformedMessageError, decode, encode
 from oxbowyard.membership.tcp_transport import FRAME_LENGTH, TcpTransport
 from oxbowyard.membership.udp_transport import UdpTransport
-from oxbowyard.peers.count import SETTLE, LiveCount, Seen
-from oxbowyard.peers.drains import OUT, Drains
-from oxbowyard.peers.troubles import Sharing
+from oxbowyard.peers.cluster_size import SETTLE, LiveCount, Seen
+from oxbowyard.peers.drain_propagation import OUT, Drains
+from oxbowyard.peers.fault_reports import Sharing
 
 DOUBT, SPLIT = 60.0, 600.0
 
