--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:  # its libraries are there, and taken in, only where the operator's file has its table
     from ..durable.keeping import Keeping
     from ..membership.table import MembershipSettings
-    from ..peers.component import MembershipPart
+    from ..peers.component import MembershipComponent
     from ..start.part import StartPart
     from ..start.table import StartSettings
     from ..waiting.room import WaitingRoom
@@ -148,10 +148,11 @@
 
 def membership(
     settings: MembershipSettings, parts: Assembly, maintenance: Maintenance, state: Callable[[], str]
-) -> MembershipPart:
+) -> MembershipComponent:
     """The group of schedulers as a part of the program."""
     from ..gearman.admin import VERSION
-    from ..peers.component import MembershipPart, Offers
+    from ..peers.component import MembershipComponent
+    from ..peers.services import ProgramServices
 
     config, scheduler = parts.config, parts.scheduler
     own = config.settings
@@ -160,19 +161,20 @@
         scheduler.reckon(schedulers)
         parts.discovery.reckon(schedulers)
 
-    return MembershipPart(
+    return MembershipComponent(
         settings,
-        Offers(
-            name=config.name, zone=own.zone, configured=own.siblings, ramp=own.ramp / 1000,
-            version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock=parts.clock, state=state,
-            held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed,
-            troubles=scheduler.troubles, hear=scheduler.hear, reckon=reckon,
-            drained=lambda: maintenance.by_hand, drain=maintenance.take,
+        ProgramServices(
+            name=config.name, zone=own.zone, configured_size=own.siblings, ramp_s=own.ramp / 1000,
+            version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock_ms=parts.clock, state=state,
+            open_request_count=lambda: scheduler.open_count, slots=parts.slots,
+            worker_count=lambda: parts.registry.listed, own_faults=scheduler.troubles,
+            apply_peer_faults=scheduler.hear, set_scheduler_count=reckon,
+            drained_workers=lambda: maintenance.by_hand, set_drained=maintenance.take,
         ),
     )  # fmt: skip
 
 
-def first_list(settings: StartSettings, parts: Assembly, group: MembershipPart | None) -> StartPart:
+def first_list(settings: StartSettings, parts: Assembly, group: MembershipComponent | None) -> StartPart:
     """Where the first list comes from, as a part of the program."""
     from ..start.part import Offers, StartPart
 
@@ -186,7 +188,8 @@
 
     offers = Offers(
         name=config.name, configured=config.settings.siblings, common=config.settings.must_subscribe,
-        random=SystemRandom(), known=config.known, adopt=adopt, told=told, peers=group,
+        random=SystemRandom(), known=config.known, adopt=adopt, told=told,
+        peers=group.documents if group else None,
     )  # fmt: skip
     part = StartPart(settings, offers)
     discovery.turn, discovery.on_told = part.turn, part.service_spoke
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -35,7 +35,7 @@
     from ..durable.keeping import Keeping
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
-    from ..peers.component import MembershipPart
+    from ..peers.component import MembershipComponent
     from ..start.table import StartSettings
     from ..waiting.settings import WaitingSettings
 
@@ -109,7 +109,7 @@
         self._learned = LearnedFile(folder, config.name, os.getpid(), self._parts.clock)
         hand = MaintenanceFile(Path(tempfile.gettempdir()) / f"oxbowyard-{config.name}-out-by-hand.json")
         self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.learn, hand)
-        self._membership: MembershipPart | None = None
+        self._membership: MembershipComponent | None = None
         if self._started.membership is not None:
             self._membership = membership(
                 self._started.membership, self._parts, self._maintenance, lambda: DOES[self.state]
@@ -258,7 +258,7 @@
             self._parts.gearman.listen()
         self._maintenance.follow()  # before the first list: one put out before a replacement stays out
         if self._membership is not None:
-            self._maintenance.on_change = self._membership.drained
+            self._maintenance.on_change = self._membership.on_drain_changed
         await self._further.open()
         self._parts.start()
         self._parts.add_chore(self._follow_hand())
--- a/oxbowyard/membership/dissemination.py
+++ b/oxbowyard/membership/dissemination.py
@@ -106,7 +106,7 @@
         return [due_at for due_at, _ in self._resends]
 
     def _send_urgent(self, entry: GossipEntry, sender: str) -> None:
-        """Send to some members; those that all of them miss hear of it with the probes."""
+        """Send to some members; those that it does not reach receive it with probes."""
         state = self._state
         informed = (sender, entry.author)
         candidates = [member for member in state.members.live() if member.record.name not in informed]
--- a/oxbowyard/membership/protocol.py
+++ b/oxbowyard/membership/protocol.py
@@ -6,8 +6,8 @@
 
 The concerns are separate: `probing` and `probe_relay` (who answers), `suspicion` (how long a silent member
 has to refute), `records` (what holds of each member), `dissemination` (what is sent on) and `push_pull`
-(exchanges of the complete state). A process that was stopped or starved of CPU time could hear nobody
-meanwhile; it lengthens every timeout by the time that it lost.
+(exchanges of the complete state). A process that was stopped or starved of CPU time could receive
+nothing meanwhile; it lengthens every timeout by the time that it lost.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from .probe_relay import PendingAck, ProbeRelay
 from .probing import Probing
 from .push_pull import PushPullSync
-from .records import RecordHandler
+from .records import RECEIVED_FROM, RecordHandler
 from .settings import ProtocolSettings
 from .state import ProtocolState
 from .suspicion import Suspicions
@@ -137,7 +137,7 @@
         self._schedule()
 
     def _leave(self) -> None:
-        """Tell some members; the others hear of it from them."""
+        """Send a leave record to some members, which send it on."""
         state = self._state
         self._records.leave()
         live = state.members.live()
@@ -156,7 +156,7 @@
             self._on_stall(late_s)
 
     def _on_stall(self, stalled_s: float) -> None:
-        """Nobody could be heard meanwhile, which says nothing about the others: every wait begins again."""
+        """Extend every wait: that nothing was received meanwhile says nothing about the other members."""
         state = self._state
         state.notify(MemberEventKind.STALLED, state.me.name, stalled_s=stalled_s)
         self._suspicions.extend(stalled_s)
@@ -198,7 +198,7 @@
         ack = self._answer(event)
         ack_position = len(state.instructions)
         for record in records_of(message):
-            self._records.apply(record, f"told by {header.name}")
+            self._records.apply(record, f"{RECEIVED_FROM} {header.name}")
         for entry in entries_of(message):
             self._dissemination.receive_entry(entry, header.name, isinstance(message, Gossip))
         if ack is not None:
--- a/oxbowyard/membership/records.py
+++ b/oxbowyard/membership/records.py
@@ -15,8 +15,10 @@
 
 MAX_REPORTED_PROCESSES = 1000  # conflicts and rejections that are remembered, so that each is reported once
 
+# Why a record holds, in the words of the admin API.
 PROBE_FAILED = "did not answer"
 SUSPICION_EXPIRED = "silent too long"
+RECEIVED_FROM = "told by"
 
 
 class RecordHandler:
@@ -72,7 +74,7 @@
                 self._correct_stale_suspicion(record, member)
             case MergeResult.CONFLICT if member is not None:
                 self._report_once(MemberEventKind.CONFLICT, record)
-                self._probing.ping_with(record, member.record.address)  # it should hear of the other process
+                self._probing.ping_with(record, member.record.address)  # it reports the conflict too
             case MergeResult.FULL:
                 self._report_once(MemberEventKind.REJECTED, record)
 
--- a/oxbowyard/membership/suspicion.py
+++ b/oxbowyard/membership/suspicion.py
@@ -29,7 +29,7 @@
         return [member for member in found if member is not None]
 
     def extend(self, stalled_s: float) -> None:
-        """Lengthen every timeout by the time in which this process could hear no refutation."""
+        """Lengthen every timeout by the time in which this process could receive no refutation."""
         self._began_at = {name: began_at + stalled_s for name, began_at in self._began_at.items()}
 
     def longest_timeout_s(self) -> float:
--- a/oxbowyard/peers/__init__.py
+++ b/oxbowyard/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What schedulers that know each other make of it: their number, and workers' troubles that they share."""
+"""What schedulers that know each other share: the size of their cluster, worker faults and drains."""
--- a/oxbowyard/peers/cluster_size.py
+++ b/oxbowyard/peers/cluster_size.py
@@ -1,94 +1,109 @@
-"""How many schedulers to reckon with, from a view that may be wrong. Without I/O or clock.
-
-The count stands where the configured number of schedulers stood: in the budget of cold workers, in the pauses
-between calls to discovery, in what peers are taken to load. Too small, and all together push a cold worker
-over; too large costs a little time. So in doubt it is the larger number:
-
-- whoever is suspected counts, and whoever was found dead goes on counting for `doubt` seconds;
-- where more than a quarter died within `doubt` seconds it may be a cut, behind which they go on working: they
-  count for `split` seconds. The deaths of one cut are found apart, by up to the longest suspicion of the
-  group: `doubt` is never taken to be shorter than that;
-- whoever said goodbye does not count any more;
-- until this scheduler has met another one, and a while after, the configured number is the least.
-
-So it is never under the number of schedulers that this one has known to live within the last `doubt` seconds;
-those it has not heard of yet are what it may lack, and a new one is heard of within the time that news takes.
+"""The number of schedulers to plan with, from a member list that may be wrong. Without I/O or clock.
+
+It takes the place of the configured number of schedulers: in the budget of workers that are warming up, in
+the pauses between calls to discovery, in the load that peers are assumed to cause. A number that is too small
+overloads a worker that is warming up; one that is too large costs a little time. So in doubt it is the larger
+number:
+
+- a suspect member counts, and a dead one goes on counting for `dead_count_s` seconds;
+- where more than a quarter of the members died within that time it may be a network split, behind which they
+  go on working: they count for `split_count_s` seconds. The deaths of one split are found apart by up to the
+  longest suspicion of the group, so `dead_count_s` is never taken to be shorter than that;
+- a member that left does not count;
+- until this scheduler has met another one, and `SETTLE_S` after the last one joined, the configured number is
+  the least.
+
+So the size is never under the number of schedulers that this one has known to live within the last
+`dead_count_s`. It may lack members that this scheduler has not heard of yet.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SETTLE = 10.0  # seconds after the last new member was met until the view holds
-CUT_SHARE = 0.25  # of those that counted before: more deaths than that at once may be a cut
+SETTLE_S = 10.0  # after the last member joined until the member list is trusted
+SPLIT_SHARE = 0.25  # of the members that counted before: more deaths at once may be a split
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """What the view says of one other member."""
+class ObservedMember:
+    """What the member list says of one other scheduler."""
 
     name: str
-    here: bool  # alive or suspected
-    left: bool = False
+    is_live: bool  # alive or suspect
+    has_left: bool = False
 
 
-class LiveCount:
-    """Follows the view; `take` is called with all of it again and again."""
+class ClusterSize:
+    """Follows the member list, all of which is passed to `update` again and again."""
 
-    def __init__(self, configured: int, doubt: float, split: float) -> None:
+    def __init__(self, configured: int, dead_count_s: float, split_count_s: float) -> None:
         self._configured = max(configured, 1)
-        self._doubt = doubt
-        self._split = split
-        self._here: set[str] = set()
-        self._died: dict[str, float] = {}  # of those that still may count, since when
-        self._in_cut: set[str] = set()  # of these, the ones that may be behind a cut
-        self._joined: deque[float] = deque(maxlen=1)
+        self._dead_count_s = dead_count_s
+        self._split_count_s = split_count_s
+        self._live_names: set[str] = set()
+        self._died_at: dict[str, float] = {}  # dead members that may still count, by name
+        self._maybe_split: set[str] = set()  # those of them that may be behind a split
+        self._last_joined_at: float | None = None
         self.live = 1
-        self.count = self._configured
+        self.size = self._configured
 
     @property
-    def doubted(self) -> int:
-        """Members found dead that still count."""
-        return len(self._died)
+    def counted_dead(self) -> int:
+        """The dead members that still count."""
+        return len(self._died_at)
 
-    def take(self, now: float, seen: Iterable[Seen], longest_suspicion: float = 0.0) -> int:
-        """The view as it is now; returns how many to reckon with, this one included.
+    def update(self, now: float, members: Iterable[ObservedMember], longest_suspicion_s: float = 0.0) -> int:
+        """Take the member list as it is at `now` (seconds); returns the size, this scheduler included.
 
-        `longest_suspicion`: seconds by which the deaths of one cut may be found apart at this moment.
+        `longest_suspicion_s` bounds the time between the deaths of one split, as the group's health is now.
         """
-        doubt = max(self._doubt, longest_suspicion)
-        here, left = set[str](), set[str]()
-        for member in seen:
-            if member.here:
-                here.add(member.name)
-            elif member.left:
-                left.add(member.name)
-        if here - self._here:
-            self._joined.append(now)
-        for name in self._here - here - left:  # dead, or forgotten before it was seen dead
-            self._died[name] = now
-        for name in (here | left) & self._died.keys():
+        dead_count_s = max(self._dead_count_s, longest_suspicion_s)
+        live, left = _live_and_left(members)
+        if live - self._live_names:
+            self._last_joined_at = now
+        self._note_deaths(now, live, left)
+        self._live_names = live
+        self._find_splits(now, dead_count_s)
+        self._drop_expired(now, dead_count_s)
+        self.live = len(live) + 1
+        self.size = self.live + len(self._died_at)
+        if not self._is_settled(now):
+            self.size = max(self.size, self._configured)
+        return self.size
+
+    def _note_deaths(self, now: float, live: set[str], left: set[str]) -> None:
+        for name in self._live_names - live - left:  # dead, or forgotten before it was seen dead
+            self._died_at[name] = now
+        for name in (live | left) & self._died_at.keys():
             self._drop(name)
-        self._here = here
-        self._find_cuts(now, doubt)
-        for name, since in list(self._died.items()):
-            if now - since >= (self._split if name in self._in_cut else doubt):
+
+    def _find_splits(self, now: float, dead_count_s: float) -> None:
+        """If so many died at once, all of them may be behind a split until they are dropped."""
+        recent = [name for name, died_at in self._died_at.items() if now - died_at < dead_count_s]
+        if len(recent) > SPLIT_SHARE * (len(self._live_names) + 1 + len(self._died_at)):
+            self._maybe_split.update(recent)
+
+    def _drop_expired(self, now: float, dead_count_s: float) -> None:
+        for name, died_at in list(self._died_at.items()):
+            retention_s = self._split_count_s if name in self._maybe_split else dead_count_s
+            if now - died_at >= retention_s:
                 self._drop(name)
-        self.live = len(here) + 1
-        counted = self.live + len(self._died)
-        if not self._joined or now - self._joined[0] < SETTLE:
-            counted = max(counted, self._configured)
-        self.count = counted
-        return counted
-
-    def _find_cuts(self, now: float, doubt: float) -> None:
-        """Once so many died at once all of them are in doubt, and stay so."""
-        lately = [name for name, since in self._died.items() if now - since < doubt]
-        if len(lately) > CUT_SHARE * (len(self._here) + 1 + len(self._died)):
-            self._in_cut.update(lately)
 
     def _drop(self, name: str) -> None:
-        self._died.pop(name, None)
-        self._in_cut.discard(name)
+        self._died_at.pop(name, None)
+        self._maybe_split.discard(name)
+
+    def _is_settled(self, now: float) -> bool:
+        return self._last_joined_at is not None and now - self._last_joined_at >= SETTLE_S
+
+
+def _live_and_left(members: Iterable[ObservedMember]) -> tuple[set[str], set[str]]:
+    live, left = set[str](), set[str]()
+    for member in members:
+        if member.is_live:
+            live.add(member.name)
+        elif member.has_left:
+            left.add(member.name)
+    return live, left
--- a/oxbowyard/peers/component.py
+++ b/oxbowyard/peers/component.py
@@ -1,287 +1,184 @@
-"""Membership as a part of the program: the group hears of this scheduler, and this scheduler of the group."""
+"""Membership as a component of the program: what the group and this scheduler tell each other."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
 import logging
-from collections import Counter
-from collections.abc import Callable, Coroutine, Mapping
-from dataclasses import dataclass
-from random import Random
+from collections.abc import Coroutine, Mapping
 from typing import Any
 
-from ..decision.facade import Trouble
-from ..membership.drops import DropReason
-from ..membership.events import EntryWritten, FactsChanged
+from ..membership.events import FactsChanged
 from ..membership.instructions import MemberEventKind, NotifyMemberEvent
 from ..membership.messages import GossipEntry, MemberState
 from ..membership.node import Node
 from ..membership.table import MembershipSettings
-from .cluster_size import LiveCount, Seen
-from .drain_propagation import Drains
-from .fault_reports import Sharing
+from .cluster_size import ClusterSize, ObservedMember
+from .documents import PeerDocuments
+from .drain_propagation import DrainPropagation
+from .facts import FactsPublisher
+from .fault_sharing import FaultSharing
+from .services import ProgramServices
+from .status import GroupStatus, status_document
 
-log = logging.getLogger("oxbowyard.membership")
+log = logging.getLogger("oxbowyard.peers")
 
-LOOK_EVERY = 0.25  # seconds between looks at what there is to tell
-PUBLISH_EVERY = 5.0  # seconds between two tellings of figures that merely moved
-BIND_EVERY = 0.2  # seconds between tries, while the process that this one replaces has the address
-MOST_CONFLICTS = 16  # names told at the door
+UPDATE_INTERVAL_S = 0.25
+BIND_RETRY_INTERVAL_S = 0.2  # while the process that this one replaces has the address
+MAX_SHOWN_CONFLICTS = 16
 
-STATES = ("joining", "serving", "draining", "left")
 
-
-@dataclass(slots=True, frozen=True)
-class Offers:
-    """What the program offers to this part."""
-
-    name: str
-    zone: str
-    configured: int  # schedulers, as the settings say
-    ramp: float  # seconds that a worker is cold
-    version: str
-    random: Random
-    clock: Callable[[], float]  # the decisions', in milliseconds
-    state: Callable[[], str]  # one of STATES
-    held: Callable[[], int]  # reqs that are open
-    slots: Callable[[], float]  # jobs that the listed backends can run at once
-    workers: Callable[[], int]
-    troubles: Callable[[], list[Trouble]]
-    hear: Callable[[tuple[Trouble, ...]], None]
-    reckon: Callable[[int], None]  # with so many schedulers
-    drained: Callable[[], frozenset[str]]
-    drain: Callable[[str, bool], None]
-
-
-class MembershipPart:
+class MembershipComponent:
     """One scheduler's place in the group."""
 
     name = "membership"
 
-    def __init__(self, settings: MembershipSettings, offers: Offers) -> None:
-        self._settings, self._offers = settings, offers
+    def __init__(self, settings: MembershipSettings, services: ProgramServices) -> None:
+        self._settings = settings
+        self._services = services
         self._loop = asyncio.get_running_loop()
-        self.node = Node(offers.name, offers.zone, settings, offers.random, self._noticed, self._hear)
-        self.count = LiveCount(offers.configured, settings.doubt_s, settings.split_s)
-        self._sharing = Sharing(offers.ramp)
-        self._drains = Drains(self._say_common, offers.drain, settings.forget_s)
-        self._told: tuple[Trouble, ...] = ()
-        self._news = False  # heard of, and not told to the decisions yet
-        self._facts: dict[str, float] = {}
-        self._published_at = -PUBLISH_EVERY
-        self._conflicts: dict[str, str] = {}  # name and where the other process is
+        self._node = Node(
+            services.name, services.zone, settings, services.random, self._on_event, self._on_entry
+        )
+        self.documents = PeerDocuments(self._node)
+        self._cluster_size = ClusterSize(services.configured_size, settings.doubt_s, settings.split_s)
+        self._facts = FactsPublisher(services)
+        self._fault_sharing = FaultSharing(services, self._node)
+        self._drains = DrainPropagation(self._node.handle, services.set_drained, settings.forget_s)
+        self._conflicts: dict[str, str] = {}  # names, with the address of the other process
         self._tasks: list[asyncio.Task[None]] = []
 
-    # ---- The part's life ----
+    # ---- Lifecycle ----
 
     async def open(self) -> None:
-        """Bind, or go on trying if the address is still taken; raises OSError if it can't be ours at all."""
+        """Bind the sockets, or go on trying while the address is in use.
+
+        Raises OSError if the address can't be bound for another reason.
+        """
         try:
             await self._join()
-        except OSError as fault:
-            if fault.errno != errno.EADDRINUSE:
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE:
                 raise
-            log.warning("membership: %s is taken, perhaps by the process that this one replaces; trying on",
-                        self._settings.listen)  # fmt: skip
+            log.warning("membership address in use, retrying: address=%s", self._settings.listen)
             self._spawn(self._join_later())
 
     def start(self) -> None:
-        """Begin to tell and to listen."""
+        """Begin to share what this scheduler knows."""
         self._spawn(self._run())
 
     async def hand_over(self) -> None:
-        """Another process with this name takes the place."""
-        await self._stop()
-        await self.node.close()
+        """Leave the group, so that another process takes the place under this name."""
+        await self._cancel_tasks()
+        await self._node.close()
 
     async def close(self) -> None:
-        """Say goodbye."""
+        """Leave the group."""
         await self.hand_over()
 
     async def _join(self) -> None:
-        await self.node.open()
-        log.info("membership: %s of group %s listens on %s, reached at %s", self._offers.name,
-                 self._settings.group, self._settings.listen, self._settings.advertised_address)  # fmt: skip
-        self._facts = {}
-        self._drains.began_with(self._offers.drained())
+        settings = self._settings
+        await self._node.open()
+        log.info(
+            "membership listening: name=%s group=%s listen=%s advertise=%s",
+            self._services.name,
+            settings.group,
+            settings.listen,
+            settings.advertised_address,
+        )
+        self._facts.forget_published()
+        self._drains.announce_restored(self._services.drained_workers())
 
     async def _join_later(self) -> None:
-        while not self.node.is_open:
-            await asyncio.sleep(BIND_EVERY)
+        while not self._node.is_open:
+            await asyncio.sleep(BIND_RETRY_INTERVAL_S)
             try:
                 await self._join()
-            except OSError as fault:
-                if fault.errno != errno.EADDRINUSE:
-                    log.error("membership: %s can't be used: %s", self._settings.listen, fault)
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE:
+                    log.error(
+                        "membership address unusable: address=%s error=%s", self._settings.listen, error
+                    )
                     return
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(self._loop.create_task(work))
 
-    async def _stop(self) -> None:
+    async def _cancel_tasks(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for fault in await asyncio.gather(*self._tasks, return_exceptions=True):
-            if isinstance(fault, Exception):
-                log.error("membership: a task ended: %r", fault)
+        for error in await asyncio.gather(*self._tasks, return_exceptions=True):
+            if isinstance(error, Exception):
+                log.error("membership task failed: error=%r", error)
         self._tasks.clear()
 
-    # ---- What it tells ----
+    # ---- What this scheduler tells ----
 
     async def _run(self) -> None:
         while True:
             try:
-                self._look()
-            except Exception:  # guards the group: a fault in one look is no reason to fall silent
-                log.exception("membership: fault in a look")
-            await asyncio.sleep(LOOK_EVERY)
+                self._update()
+            except Exception:  # one failed update is no reason to fall silent in the group
+                log.exception("membership update failed")
+            await asyncio.sleep(UPDATE_INTERVAL_S)
 
-    def _look(self) -> None:
+    def _update(self) -> None:
         now = self._loop.time()
-        self._reckon(now)
-        if not self.node.is_open:
+        self._update_cluster_size(now)
+        if not self._node.is_open:
             return
-        self._publish(now)
+        facts = self._facts.changed_facts(now)
+        if facts is not None:
+            self._node.handle(FactsChanged(facts))
         if self._settings.share_troubles:
-            self._share(now)
-
-    def _reckon(self, now: float) -> None:
-        before = self.count.count
-        seen = (
-            Seen(m.record.name, m.is_live, m.state is MemberState.LEFT) for m in self.node.protocol.members
-        )
-        count = self.count.take(now, seen, self.node.protocol.longest_suspicion_s())
-        if count != before:
-            log.info("membership: reckons with %d schedulers (%d live, %d in doubt)", count, self.count.live,
-                     self.count.doubted)  # fmt: skip
-            self._offers.reckon(count)
-
-    def _publish(self, now: float) -> None:
-        """Another state at once, figures that moved much now and then: each telling goes to everybody."""
-        o = self._offers
-        state = float(STATES.index(o.state()))
-        same = state == self._facts.get("state")
-        if same and now - self._published_at < PUBLISH_EVERY:
-            return
-        self._published_at = now
-        major, minor, *_ = (*o.version.split("."), "", "")
-        facts = {
-            "state": state, "held": float(o.held()), "slots": round(o.slots(), 1),
-            "major": _number(major), "minor": _number(minor),
-        }  # fmt: skip
-        if same and not any(_far(facts[name], self._facts.get(name, 0.0)) for name in ("held", "slots")):
-            return
-        self._facts = facts
-        self.node.handle(FactsChanged(facts))
-
-    def _share(self, now: float) -> None:
-        o, clock_now = self._offers, self._offers.clock()
-        own = o.troubles()
-        for say in self._sharing.to_say(now, own, o.workers(), clock_now):
-            self.node.handle(EntryWritten(say.about, say.value, say.lasts, is_urgent=True))
-        self._use(own, now, clock_now)
-
-    def _say_common(self, about: str, value: float, lasts: float, count: int | None) -> None:
-        self.node.handle(EntryWritten(about, value, lasts, True, True, count))
-
-    def drained(self, uid: str, out: bool) -> None:
-        """The operators put a backend out of rotation or back, here."""
-        self._drains.changed(uid, out, self._loop.time())
-
-    # ---- What other parts ask of the group ----
-
-    def names(self) -> list[str]:
-        """Members that are there, this one left out."""
-        return [m.record.name for m in self.node.protocol.members.live()]
-
-    def address(self, name: str) -> str:
-        """Where a member can be asked."""
-        member = self.node.protocol.members.get(name)
-        return member.record.address if member is not None else ""
-
-    def ask(self, address: str, what: str, take: Callable[[bytes], None]) -> None:
-        """Ask a member for something; an answer may come."""
-        self.node.pull(address, what, take)
-
-    def offer(self, what: str, give: Callable[[], bytes | None]) -> None:
-        """Answer such questions of others."""
-        self.node.offer(what, give)
-
-    # ---- What it hears ----
-
-    def _hear(self, note: GossipEntry) -> None:
-        if self._drains.hear(note, self._loop.time()):
-            return
-        if self._settings.share_troubles and self._sharing.hear(note, self._loop.time()) and not self._news:
-            self._news = True  # more of them may come in the same message
-            self._loop.call_soon(self._take_troubles)
-
-    def _take_troubles(self) -> None:
-        """All that holds now goes to the decisions, once for all that came together."""
-        o = self._offers
-        self._use(o.troubles(), self._loop.time(), o.clock())
-
-    def _use(self, own: list[Trouble], now: float, clock_now: float) -> None:
-        self._news = False
-        heard = self._sharing.heard(now, clock_now, own)
-        if heard or self._told:
-            self._told = heard
-            self._offers.hear(heard)
-
-    def _noticed(self, notice: NotifyMemberEvent) -> None:
-        if notice.kind is MemberEventKind.CONFLICT:
-            if len(self._conflicts) < MOST_CONFLICTS:
-                self._conflicts[notice.name] = notice.address
-        elif notice.kind in (MemberEventKind.DIED, MemberEventKind.LEFT):
-            self._conflicts.pop(notice.name, None)
-
-    # ---- What the door shows ----
+            self._fault_sharing.share(now)
+
+    def _update_cluster_size(self, now: float) -> None:
+        protocol, cluster = self._node.protocol, self._cluster_size
+        previous = cluster.size
+        observed = [
+            ObservedMember(member.record.name, member.is_live, member.state is MemberState.LEFT)
+            for member in protocol.members
+        ]
+        size = cluster.update(now, observed, protocol.longest_suspicion_s())
+        if size != previous:
+            log.info(
+                "cluster size changed: size=%d live=%d counted_dead=%d",
+                size,
+                cluster.live,
+                cluster.counted_dead,
+            )
+            self._services.set_scheduler_count(size)
+
+    def on_drain_changed(self, worker: str, is_drained: bool) -> None:
+        """The operators drained a worker at this scheduler, or put it back."""
+        self._drains.on_local_change(worker, is_drained, self._loop.time())
+
+    # ---- What this scheduler hears ----
+
+    def _on_entry(self, entry: GossipEntry) -> None:
+        is_drain = self._drains.receive(entry, self._loop.time())
+        if not is_drain and self._settings.share_troubles:
+            self._fault_sharing.receive(entry)
+
+    def _on_event(self, event: NotifyMemberEvent) -> None:
+        if event.kind is MemberEventKind.CONFLICT:
+            if len(self._conflicts) < MAX_SHOWN_CONFLICTS:
+                self._conflicts[event.name] = event.address
+        elif event.kind in (MemberEventKind.DIED, MemberEventKind.LEFT):
+            self._conflicts.pop(event.name, None)
+
+    # ---- What the operators see ----
 
     def view(self) -> Mapping[str, object]:
-        """All that is known, for the operators. Times in seconds ago."""
-        group, now = self.node.protocol, self._loop.time()
-        self._reckon(now)  # what is told here is told of one moment
-        members = [
-            {
-                "name": m.record.name, "zone": m.record.zone, "address": m.record.address,
-                "state": m.state.name.lower(), "since_s": round(now - m.changed_at, 1), "why": m.reason,
-                "incarnation": m.record.incarnation, **_shown(m.record.facts),
-            }
-            for m in sorted(group.members, key=lambda m: m.record.name)
-        ]  # fmt: skip
-        me = {
-            "name": group.me.name, "zone": group.me.zone, "address": group.me.address,
-            "incarnation": group.me.incarnation, "health": group.health_score, "bound": self.node.is_open,
-            **_shown(group.me.facts),
-        }  # fmt: skip
-        dropped_entries = Counter({DropReason.ENTRY_LIMIT.value: group.entries.dropped_count})
-        return {
-            "group": self._settings.group, "me": me, "members": members,
-            "count": {
-                "reckoned": self.count.count, "live": self.count.live, "in_doubt": self.count.doubted,
-                "configured": self._offers.configured,
-            },
-            "conflicts": self._conflicts, "notes": len(group.entries),
-            "spared": [t.worker for t in self._told],
-            "dropped": self.node.drops.by_reason() | dropped_entries,
-        }  # fmt: skip
-
-
-def _shown(facts: Mapping[str, float]) -> dict[str, object]:
-    """A member's facts by name; what another version tells beside them is left out."""
-    if not facts:
-        return {}
-    state = int(facts.get("state", 0))
-    shown: dict[str, object] = {"does": STATES[state] if 0 <= state < len(STATES) else "unknown"}
-    shown |= {name: facts[name] for name in ("held", "slots") if name in facts}
-    shown["version"] = f"{facts.get('major', 0):g}.{facts.get('minor', 0):g}"
-    return shown
-
-
-def _far(one: float, other: float) -> bool:
-    return abs(one - other) > max(0.25 * max(one, other), 1.0)
-
-
-def _number(text: str) -> float:
-    return float(text) if text.isdigit() else 0.0
+        """The group as the admin API shows it."""
+        now = self._loop.time()
+        self._update_cluster_size(now)  # what is shown is of one moment
+        status = GroupStatus(
+            self._settings.group,
+            self._services.configured_size,
+            self._cluster_size,
+            self._conflicts,
+            self._fault_sharing.avoided_workers,
+        )
+        return status_document(self._node, status, now)
--- /dev/null
+++ b/oxbowyard/peers/facts.py
@@ -0,0 +1,84 @@
+"""The facts that a scheduler tells about itself in its member record, and how operators see them."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from .services import ProgramServices
+
+# Keys of a member record, and of its facts in the admin API.
+STATE = "state"
+OPEN_REQUESTS = "held"
+SLOTS = "slots"
+MAJOR_VERSION = "major"
+MINOR_VERSION = "minor"
+SHOWN_STATE = "does"
+SHOWN_VERSION = "version"
+
+STATES = ("joining", "serving", "draining", "left")  # a member record has the position in it
+UNKNOWN_STATE = "unknown"
+
+PUBLISH_INTERVAL_S = 5.0  # at least, between facts of which only the figures have changed
+SIGNIFICANT_SHARE = 0.25  # by which a figure has to change to be published
+SIGNIFICANT_DIFFERENCE = 1.0
+
+
+class FactsPublisher:
+    """Decides when the facts are to be published, since each time they go to every member."""
+
+    def __init__(self, services: ProgramServices) -> None:
+        self._services = services
+        self._published: dict[str, float] = {}
+        self._checked_at = -PUBLISH_INTERVAL_S
+
+    def forget_published(self) -> None:
+        """The member begins again as another process, whose record has no facts yet."""
+        self._published = {}
+
+    def changed_facts(self, now: float) -> dict[str, float] | None:
+        """The facts to publish at `now` (seconds): at once for another state, rarely for other figures."""
+        state = float(STATES.index(self._services.state()))
+        is_same_state = state == self._published.get(STATE)
+        if is_same_state and now - self._checked_at < PUBLISH_INTERVAL_S:
+            return None
+        self._checked_at = now
+        facts = self._facts(state)
+        if is_same_state and not self._differ_significantly(facts):
+            return None
+        self._published = facts
+        return facts
+
+    def _facts(self, state: float) -> dict[str, float]:
+        services = self._services
+        major, minor, *_ = (*services.version.split("."), "", "")
+        return {
+            STATE: state,
+            OPEN_REQUESTS: float(services.open_request_count()),
+            SLOTS: round(services.slots(), 1),
+            MAJOR_VERSION: _number(major),
+            MINOR_VERSION: _number(minor),
+        }
+
+    def _differ_significantly(self, facts: Mapping[str, float]) -> bool:
+        return any(
+            _is_significant(facts[key], self._published.get(key, 0.0)) for key in (OPEN_REQUESTS, SLOTS)
+        )
+
+
+def shown_facts(facts: Mapping[str, float]) -> dict[str, object]:
+    """A member's facts as the admin API shows them; those of later versions are left out."""
+    if not facts:
+        return {}
+    state = int(facts.get(STATE, 0))
+    shown: dict[str, object] = {SHOWN_STATE: STATES[state] if 0 <= state < len(STATES) else UNKNOWN_STATE}
+    shown |= {key: facts[key] for key in (OPEN_REQUESTS, SLOTS) if key in facts}
+    shown[SHOWN_VERSION] = f"{facts.get(MAJOR_VERSION, 0):g}.{facts.get(MINOR_VERSION, 0):g}"
+    return shown
+
+
+def _is_significant(one: float, other: float) -> bool:
+    return abs(one - other) > max(SIGNIFICANT_SHARE * max(one, other), SIGNIFICANT_DIFFERENCE)
+
+
+def _number(text: str) -> float:
+    return float(text) if text.isdigit() else 0.0
--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -1,8 +1,8 @@
-"""Workers' troubles as notes among schedulers: what to say of one's own, and what to make of the others'.
+"""Worker faults as entries among schedulers: which of one's own to report, and what the peers' reports mean.
 
-A trouble that is heard of may spare a worker for a while, never bring it work sooner: it says at most how
-long to keep off and how cold to take it. Without I/O or clock; times here are in seconds, the decisions' in
-milliseconds.
+A report may keep a worker from being used for a while; it never causes it to be used sooner. It says at most
+for how long to avoid the worker, and since when it has been warming up. Without I/O or clock: times here are
+in seconds, those of the decisions in milliseconds.
 """
 
 from __future__ import annotations
@@ -14,80 +14,118 @@
 from ..decision.facade import Trouble
 from ..membership.messages import GossipEntry
 
-BAR, COLD = "bar:", "cold:"
-MOST_SAID = 64  # of one's own at once: with more, the trouble is rather one's own
-LEAST_LEFT = 0.1  # seconds: what is over sooner is not worth a note
-CHANGED = 0.3  # seconds by which a trouble has to end later to be told again
-APART = 1.0  # seconds by which a start that is heard of has to be later than what is known of the worker
-MOST_LASTS = 30.0  # seconds that a note of trouble holds at most, whatever it says
+EJECTED_PREFIX = "bar:"  # of an entry's key; the worker's id follows
+WARMING_UP_PREFIX = "cold:"
+PREFIXES = (EJECTED_PREFIX, WARMING_UP_PREFIX)
+
+MAX_REPORTED_FAULTS = 64
+MAX_REPORTED_SHARE = 0.25  # of the workers: with more, this scheduler is rather at fault itself
+MIN_LIFETIME_S = 0.1  # a fault that is over sooner is not reported
+MIN_EXTENSION_S = 0.3  # by which a fault has to end later to be reported again
+MIN_START_DIFFERENCE_MS = 1000.0  # by which two schedulers' starts of one worker differ at least
+MAX_LIFETIME_S = 30.0  # of a peer's report, whatever it says
+MS_PER_S = 1000
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
-    """A note to say."""
+class FaultReport:
+    """An entry to write."""
+
+    key: str
+    value: float  # of a worker that is warming up: for how long already, in seconds
+    lifetime_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class _ReceivedReport:
+    entry: GossipEntry
+    began_at: float
+
+    def remaining_s(self, now: float) -> float:
+        return min(self.entry.lifetime_s, MAX_LIFETIME_S) - (now - self.began_at)
+
 
-    about: str
-    value: float
-    lasts: float
+class FaultReports:
+    """The reports that one scheduler has made and received. `ramp_s`: how long a worker warms up."""
 
+    def __init__(self, ramp_s: float) -> None:
+        self._ramp_s = ramp_s
+        self._reported_until: dict[str, float] = {}  # by key
+        self._received: dict[tuple[str, str], _ReceivedReport] = {}  # by author and key
 
-class Sharing:
-    """One scheduler's part in it."""
+    # ---- Own faults ----
 
-    def __init__(self, ramp: float) -> None:
-        self._ramp = ramp  # seconds that a worker is cold
-        self._said: dict[str, float] = {}  # about, and when that is over
-        self._heard: dict[
-            tuple[str, str], tuple[GossipEntry, float]
-        ] = {}  # by whom and about, with its beginning
+    def new_reports(
+        self, now: float, own_faults: list[Trouble], worker_count: int, clock_ms: float
+    ) -> list[FaultReport]:
+        """What is to be reported of this scheduler's own faults; `clock_ms` is the decisions' time.
 
-    def to_say(self, now: float, own: list[Trouble], workers: int, clock_now: float) -> list[Say]:
-        """What is new among own troubles; `clock_now` is the decisions' time, in milliseconds."""
-        self._said = {about: until for about, until in self._said.items() if until > now}
-        if len(own) > max(min(MOST_SAID, workers / 4), 1):
+        A start that a peer reported is left out: it would go to and fro.
+        """
+        self._reported_until = {key: until for key, until in self._reported_until.items() if until > now}
+        if len(own_faults) > max(min(MAX_REPORTED_FAULTS, worker_count * MAX_REPORTED_SHARE), 1):
             return []
-        says = []
-        heard = {t.worker: t.since for t in self.heard(now, clock_now)}  # not told to and fro
-        for trouble in own:
-            left = trouble.lasts / 1000
-            if left >= LEAST_LEFT:
-                says += self._new(BAR + trouble.worker, 0.0, left, now)
-            if trouble.since and abs(trouble.since - heard.get(trouble.worker, -math.inf)) > APART * 1000:
-                age = max(clock_now - trouble.since, 0.0) / 1000
-                says += self._new(COLD + trouble.worker, age, self._ramp - age, now)
-        return says
-
-    def _new(self, about: str, value: float, lasts: float, now: float) -> list[Say]:
-        if lasts < LEAST_LEFT or self._said.get(about, 0.0) + CHANGED > now + lasts:
+        peer_starts = {fault.worker: fault.since for fault in self.peer_faults(now, clock_ms)}
+        reports: list[FaultReport] = []
+        for fault in own_faults:
+            reports += self._ejection(fault, now)
+            peer_start = peer_starts.get(fault.worker, -math.inf)
+            if fault.since and abs(fault.since - peer_start) > MIN_START_DIFFERENCE_MS:
+                reports += self._warm_up(fault, now, clock_ms)
+        return reports
+
+    def _ejection(self, fault: Trouble, now: float) -> list[FaultReport]:
+        return self._if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.lasts / MS_PER_S, now)
+
+    def _warm_up(self, fault: Trouble, now: float, clock_ms: float) -> list[FaultReport]:
+        age_s = max(clock_ms - fault.since, 0.0) / MS_PER_S
+        return self._if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
+
+    def _if_new(self, key: str, value: float, lifetime_s: float, now: float) -> list[FaultReport]:
+        """The report, unless it is over soon or was made already with about the same end."""
+        is_reported = self._reported_until.get(key, 0.0) + MIN_EXTENSION_S > now + lifetime_s
+        if lifetime_s < MIN_LIFETIME_S or is_reported:
             return []
-        self._said[about] = now + lasts
-        return [Say(about, value, lasts)]
+        self._reported_until[key] = now + lifetime_s
+        return [FaultReport(key, value, lifetime_s)]
 
-    def hear(self, note: GossipEntry, now: float) -> bool:
-        """Take a peer's note in; whether it is one of these."""
-        if not note.key.startswith((BAR, COLD)) or note.is_shared:
+    # ---- Peers' faults ----
+
+    def receive(self, entry: GossipEntry, now: float) -> bool:
+        """Take a peer's entry; returns whether it is a fault report."""
+        if not entry.key.startswith(PREFIXES) or entry.is_shared:
             return False
-        self._heard[note.author, note.key] = note, now - note.age_s
+        self._received[entry.author, entry.key] = _ReceivedReport(entry, now - entry.age_s)
         return True
 
-    def heard(self, now: float, clock_now: float, own: Iterable[Trouble] = ()) -> tuple[Trouble, ...]:
-        """All that holds now of what peers told, one for each worker. A start that hardly differs from one's
-        own knowledge is left out: told to and fro, it would come later each time."""
-        known = {t.worker: t.since for t in own if t.since}
-        lasts: dict[str, float] = {}
-        since: dict[str, float] = {}
-        for place, (note, began) in list(self._heard.items()):
-            left = min(note.lifetime_s, MOST_LASTS) - (now - began)
-            kind, _, worker = note.key.partition(":")
-            if left <= 0:
-                del self._heard[place]
-            elif kind == "bar":
-                lasts[worker] = max(lasts.get(worker, 0.0), left * 1000)
-            else:
-                at = clock_now - (now - began + note.value) * 1000
-                if at - known.get(worker, -1e18) > APART * 1000:
-                    since[worker] = max(since.get(worker, 0.0), at)
+    def peer_faults(
+        self, now: float, clock_ms: float, own_faults: Iterable[Trouble] = ()
+    ) -> tuple[Trouble, ...]:
+        """What the peers' reports come to at this time, one fault for each worker, sorted by its id.
+
+        A start that hardly differs from what `own_faults` say is left out: reported to and fro, it would come
+        later each time.
+        """
+        self._drop_expired(now)
+        own_starts = {fault.worker: fault.since for fault in own_faults if fault.since}
+        avoid_ms: dict[str, float] = {}
+        starts: dict[str, float] = {}
+        for report in self._received.values():
+            key = report.entry.key
+            if key.startswith(EJECTED_PREFIX):
+                worker = key.removeprefix(EJECTED_PREFIX)
+                avoid_ms[worker] = max(avoid_ms.get(worker, 0.0), report.remaining_s(now) * MS_PER_S)
+                continue
+            worker = key.removeprefix(WARMING_UP_PREFIX)
+            start = clock_ms - (now - report.began_at + report.entry.value) * MS_PER_S
+            if start - own_starts.get(worker, -math.inf) > MIN_START_DIFFERENCE_MS:
+                starts[worker] = max(starts.get(worker, 0.0), start)
         return tuple(
-            Trouble(worker, lasts.get(worker, 0.0), since.get(worker, 0.0))
-            for worker in sorted(lasts.keys() | since.keys())
+            Trouble(worker, avoid_ms.get(worker, 0.0), starts.get(worker, 0.0))
+            for worker in sorted(avoid_ms.keys() | starts.keys())
         )
+
+    def _drop_expired(self, now: float) -> None:
+        expired = [place for place, report in self._received.items() if report.remaining_s(now) <= 0]
+        for place in expired:
+            del self._received[place]
--- /dev/null
+++ b/oxbowyard/peers/fault_sharing.py
@@ -0,0 +1,57 @@
+"""Sharing of worker faults: this scheduler's own go to the peers, the peers' go to the decisions."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ..decision.facade import Trouble
+from ..membership.events import EntryWritten
+from ..membership.messages import GossipEntry
+from ..membership.node import Node
+from .fault_reports import FaultReports
+from .services import ProgramServices
+
+
+class FaultSharing:
+    """Carries fault reports between one scheduler's decisions and the group."""
+
+    def __init__(self, services: ProgramServices, node: Node) -> None:
+        self._services = services
+        self._node = node
+        self._loop = asyncio.get_running_loop()
+        self._reports = FaultReports(services.ramp_s)
+        self._applied: tuple[Trouble, ...] = ()
+        self._is_apply_scheduled = False
+
+    @property
+    def avoided_workers(self) -> list[str]:
+        """The workers about which the decisions have a peer's report."""
+        return [fault.worker for fault in self._applied]
+
+    def share(self, now: float) -> None:
+        """Report this scheduler's own new faults, and apply the peers' as they are at `now` (seconds)."""
+        services, clock_ms = self._services, self._services.clock_ms()
+        own_faults = services.own_faults()
+        worker_count = services.worker_count()
+        for report in self._reports.new_reports(now, own_faults, worker_count, clock_ms):
+            entry = EntryWritten(report.key, report.value, report.lifetime_s, is_urgent=True)
+            self._node.handle(entry)
+        self._apply(own_faults, now, clock_ms)
+
+    def receive(self, entry: GossipEntry) -> None:
+        """Take a peer's entry. Those that came in one message are applied together."""
+        is_report = self._reports.receive(entry, self._loop.time())
+        if is_report and not self._is_apply_scheduled:
+            self._is_apply_scheduled = True
+            self._loop.call_soon(self._apply_received)
+
+    def _apply_received(self) -> None:
+        services = self._services
+        self._apply(services.own_faults(), self._loop.time(), services.clock_ms())
+
+    def _apply(self, own_faults: list[Trouble], now: float, clock_ms: float) -> None:
+        self._is_apply_scheduled = False
+        faults = self._reports.peer_faults(now, clock_ms, own_faults)
+        if faults or self._applied:
+            self._applied = faults
+            self._services.apply_peer_faults(faults)
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -201,7 +201,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind((rest[0].host, rest[0].port))
             rest[0].start()
-            until(lambda: "is taken" in rest[0].log(), "it says so")
+            until(lambda: "membership address in use" in rest[0].log(), "it says so")
             until(lambda: rest[0].view().get("me", {}).get("bound") is False, "and serves without")
         until(lambda: {"m0", "m2", "m3"} <= rest[0].sees("alive"), "it has joined")
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,10 +1,13 @@
-"""What schedulers make of the group: their number, troubles and drains as notes; and the order of parts."""
+"""What schedulers share in a group: the cluster's size, worker faults and drains; and the order of parts."""
 
 from __future__ import annotations
 
 import asyncio
+import json
 import socket
 from collections import Counter
+from pathlib import Path
+from random import Random
 
 import pytest
 from hypothesis import given
@@ -20,49 +23,56 @@
 from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
 from oxbowyard.membership.drops import DropCounter, DropReason
 from oxbowyard.membership.entries import EntryStore
-from oxbowyard.membership.events import EntryWritten
+from oxbowyard.membership.events import EntryWritten, FactsChanged
 from oxbowyard.membership.messages import Gossip, GossipEntry, Header, MalformedMessageError, decode, encode
+from oxbowyard.membership.table import MembershipSettings
 from oxbowyard.membership.tcp_transport import FRAME_LENGTH, TcpTransport
 from oxbowyard.membership.udp_transport import UdpTransport
-from oxbowyard.peers.cluster_size import SETTLE, LiveCount, Seen
-from oxbowyard.peers.drain_propagation import OUT, Drains
-from oxbowyard.peers.fault_reports import Sharing
+from oxbowyard.peers.cluster_size import SETTLE_S, ClusterSize, ObservedMember
+from oxbowyard.peers.component import MembershipComponent
+from oxbowyard.peers.drain_propagation import DRAIN_PREFIX, DrainPropagation
+from oxbowyard.peers.fault_reports import FaultReport, FaultReports
+from oxbowyard.peers.services import ProgramServices
 
-DOUBT, SPLIT = 60.0, 600.0
+MEMBERS_VIEW = json.loads((Path(__file__).parent / "fixtures/members_view.json").read_text())
 
+DEAD_COUNT_S = 60.0
+SPLIT_COUNT_S = 600.0
 
-def others(count: int, dead: int = 0, left: int = 0) -> list[Seen]:
-    """The first are dead, the next have left, the rest are here."""
-    return [Seen(f"m{i}", i >= dead + left, dead <= i < dead + left) for i in range(count)]
 
+def others(count: int, dead: int = 0, left: int = 0) -> list[ObservedMember]:
+    """The first are dead, the next have left, the rest are live."""
+    return [ObservedMember(f"m{i}", i >= dead + left, dead <= i < dead + left) for i in range(count)]
 
-# ---- How many ----
+
+# ---- The cluster's size ----
 
 
 @pytest.mark.parametrize("steps", [
     # Alone, then with three: the configured number is the least until the view has settled.
-    [(0, 0, 0, 0, 8), (100, 0, 0, 0, 8), (101, 3, 0, 0, 8), (101 + SETTLE, 3, 0, 0, 4), (200, 11, 0, 0, 12)],
+    [(0, 0, 0, 0, 8), (100, 0, 0, 0, 8), (101, 3, 0, 0, 8), (101 + SETTLE_S, 3, 0, 0, 4),
+     (200, 11, 0, 0, 12)],
     # A dead one counts while in doubt; those that left do not.
     [(0, 9, 0, 0, 10), (20, 9, 1, 0, 10), (79, 9, 1, 0, 10), (80, 9, 1, 0, 9), (81, 9, 1, 2, 7)],
     # Half of them dead, one after the other, may be a cut: they count for longer.
     [(0, 9, 0, 0, 10), *((20 + i, 9, i + 1, 0, 10) for i in range(5)), (90, 9, 5, 0, 10), (625, 9, 5, 0, 5)],
 ])  # fmt: skip
-def test_how_many_to_reckon_with(steps: list[tuple[float, int, int, int, int]]) -> None:
+def test_the_cluster_size_follows_the_member_list(steps: list[tuple[float, int, int, int, int]]) -> None:
     """Each step: the time, others known, dead and left among them, and the count."""
-    count = LiveCount(8, DOUBT, SPLIT)
+    cluster = ClusterSize(8, DEAD_COUNT_S, SPLIT_COUNT_S)
     for now, known, dead, left, counted in steps:
-        assert count.take(now, others(known, dead, left)) == counted, f"at {now}"
+        assert cluster.update(now, others(known, dead, left)) == counted, f"at {now}"
 
 
 @pytest.mark.parametrize(("longest_suspicion", "counted"), [(0.0, 5), (7.5, 6)])
 def test_the_deaths_of_one_cut_are_found_apart(longest_suspicion: float, counted: int) -> None:
     """Three of six are cut off; a loaded member finds the first 3.2 s before the others, and its time of
     doubt is 3 s. It used to drop the first one as a lone death: 5 for 6."""
-    count = LiveCount(1, 3.0, SPLIT)
-    count.take(0.0, others(5))
+    cluster = ClusterSize(1, 3.0, SPLIT_COUNT_S)
+    cluster.update(0.0, others(5))
     for now, dead in ((20.0, 1), (23.2, 3), (27.0, 3)):
-        reckoned = count.take(now, others(5, dead), longest_suspicion)
-    assert reckoned == counted
+        size = cluster.update(now, others(5, dead), longest_suspicion)
+    assert size == counted
 
 
 @given(st.lists(st.tuples(st.floats(0.1, 30), st.sets(st.integers(0, 7))), max_size=40), st.integers(1, 12))
@@ -70,12 +80,13 @@
     steps: list[tuple[float, set[int]]], configured: int
 ) -> None:
     """Whatever the view says: whoever was seen alive within that time, and did not say goodbye, counts."""
-    count, now, seen_at = LiveCount(configured, DOUBT, SPLIT), 0.0, dict[int, float]()
+    cluster = ClusterSize(configured, DEAD_COUNT_S, SPLIT_COUNT_S)
+    now, seen_at = 0.0, dict[int, float]()
     for wait, here in steps:
         now += wait
         seen_at |= dict.fromkeys(here, now)
-        counted = count.take(now, [Seen(f"m{i}", i in here) for i in seen_at])
-        assert counted >= 1 + sum(now - at < DOUBT for at in seen_at.values())
+        counted = cluster.update(now, [ObservedMember(f"m{i}", i in here) for i in seen_at])
+        assert counted >= 1 + sum(now - at < DEAD_COUNT_S for at in seen_at.values())
         assert counted <= max(1 + len(seen_at), configured)
 
 
@@ -95,7 +106,7 @@
     assert allowed(2) >= 4 * max(allowed(20), 1)
 
 
-# ---- Workers' troubles ----
+# ---- Worker faults ----
 
 
 class Nowhere:
@@ -146,33 +157,33 @@
     return GossipEntry(key, author, lamport_time, value, age_s, lifetime_s, is_shared)
 
 
-def test_own_troubles_are_told_once_and_again_when_they_last_longer() -> None:
-    sharing = Sharing(ramp=10.0)
-    (say,) = sharing.to_say(0.0, [Trouble("w1", 800.0)], 12, 0.0)
-    assert (say.about, say.lasts) == ("bar:w1", 0.8)
-    assert not sharing.to_say(0.1, [Trouble("w1", 700.0)], 12, 100.0)
-    assert sharing.to_say(0.2, [Trouble("w1", 4000.0)], 12, 200.0)
+def test_own_faults_are_reported_once_and_again_when_they_last_longer() -> None:
+    reports = FaultReports(ramp_s=10.0)
+    assert reports.new_reports(0.0, [Trouble("w1", 800.0)], 12, 0.0) == [FaultReport("bar:w1", 0.0, 0.8)]
+    assert not reports.new_reports(0.1, [Trouble("w1", 700.0)], 12, 100.0)
+    assert reports.new_reports(0.2, [Trouble("w1", 4000.0)], 12, 200.0)
     many = [Trouble(f"w{i}", 800.0) for i in range(4)]
-    assert not Sharing(10.0).to_say(0.0, many, 12, 0.0), "a third of all: the trouble is rather ours"
-
-
-def test_what_is_heard_keeps_its_time_and_is_not_told_to_and_fro() -> None:
-    sharing = Sharing(ramp=10.0)
-    (say,) = sharing.to_say(50.0, [Trouble("w1", 0.0, 7000.0)], 12, 9000.0)
-    assert (say.value, say.lasts) == (2.0, 8.0)
-    other = Sharing(ramp=10.0)
-    assert other.hear(entry(say.about, value=say.value, age_s=0.5, lifetime_s=say.lasts), 100.0)
-    (heard,) = other.heard(101.0, 20000.0)
-    assert heard.since == 20000.0 - 3500.0 and heard.lasts == 0.0
+    assert not FaultReports(10.0).new_reports(0.0, many, 12, 0.0), "a third of all: the fault is rather ours"
+
+
+def test_a_received_report_keeps_its_time_and_does_not_go_to_and_fro() -> None:
+    reports = FaultReports(ramp_s=10.0)
+    (report,) = reports.new_reports(50.0, [Trouble("w1", 0.0, 7000.0)], 12, 9000.0)
+    assert (report.value, report.lifetime_s) == (2.0, 8.0)
+    other = FaultReports(ramp_s=10.0)
+    received = entry(report.key, value=report.value, age_s=0.5, lifetime_s=report.lifetime_s)
+    assert other.receive(received, 100.0)
+    (fault,) = other.peer_faults(101.0, 20000.0)
+    assert fault.since == 20000.0 - 3500.0 and fault.lasts == 0.0
     known = [Trouble("w1", 0.0, 16500.0)]
-    assert not other.heard(101.0, 20000.0, known), "it is known here already"
-    assert not other.to_say(101.0, known, 12, 20000.0), "it was heard of, and is not told again"
-    assert not other.heard(108.0, 27000.0)
-    sharing.hear(entry("bar:w1", "m1", lifetime_s=1.0), 100.0)
-    sharing.hear(entry("bar:w1", "m2", lifetime_s=1e9), 100.0)
-    (heard,) = sharing.heard(100.5, 0.0)
-    assert heard.lasts == 29500.0, "the longer word holds, and none for ever"
-    assert not sharing.heard(131.0, 0.0)
+    assert not other.peer_faults(101.0, 20000.0, known), "it is known here already"
+    assert not other.new_reports(101.0, known, 12, 20000.0), "it was received, and is not reported again"
+    assert not other.peer_faults(108.0, 27000.0)
+    reports.receive(entry("bar:w1", "m1", lifetime_s=1.0), 100.0)
+    reports.receive(entry("bar:w1", "m2", lifetime_s=1e9), 100.0)
+    (fault,) = reports.peer_faults(100.5, 0.0)
+    assert fault.lasts == 29500.0, "the longer report holds, and none for ever"
+    assert not reports.peer_faults(131.0, 0.0)
 
 
 def test_a_cold_start_that_the_list_tells_is_no_news() -> None:
@@ -191,42 +202,48 @@
 # ---- Drains ----
 
 
-class Desk:
+class LocalDrains:
     """One scheduler's drains without a group."""
 
     def __init__(self) -> None:
-        self.said: list[tuple[str, float, float, int | None]] = []
-        self.out: set[str] = set()
-        self.drains = Drains(lambda *say: self.said.append(say), self._take, 600.0)
+        self.written: list[EntryWritten] = []
+        self.drained: set[str] = set()
+        self.propagation = DrainPropagation(self.written.append, self._set_drained, 600.0)
 
-    def _take(self, uid: str, out: bool) -> None:
-        (self.out.add if out else self.out.discard)(uid)
+    def _set_drained(self, worker: str, is_drained: bool) -> None:
+        (self.drained.add if is_drained else self.drained.discard)(worker)
 
 
-def test_a_word_back_from_before_ones_own_word_out_does_not_hold() -> None:
-    """A scheduler that has just begun counts from one: its word would lose against a far older one."""
-    desk = Desk()
-    desk.drains.changed("w1", True, 100.0)
-    desk.said.clear()
-    assert desk.drains.hear(
-        entry(OUT + "w1", lamport_time=9, value=0.0, age_s=30.0, lifetime_s=600.0, is_shared=True), 101.0
-    )
-    assert desk.said == [(OUT + "w1", 1.0, 1e9, None)]
-    assert desk.drains.hear(
-        entry(OUT + "w1", lamport_time=12, value=0.0, age_s=0.1, lifetime_s=600.0, is_shared=True), 101.0
-    )
-    assert len(desk.said) == 1, "this one is later"
-    desk.out.add("w2")  # out since before this process: its own call is none
-    assert desk.drains.hear(
-        entry(OUT + "w2", lamport_time=9, value=0.0, age_s=30.0, lifetime_s=600.0, is_shared=True), 101.0
-    )
-    assert len(desk.said) == 1 and not desk.out
+def written(worker: str, lamport_time: int | None) -> EntryWritten:
+    """The entry that drains a worker."""
+    key = DRAIN_PREFIX + worker
+    return EntryWritten(key, 1.0, 1e9, is_shared=True, is_urgent=True, lamport_time=lamport_time)
+
 
+def undrained(worker: str, lamport_time: int, age_s: float) -> GossipEntry:
+    """Another scheduler's entry that puts a worker back."""
+    key = DRAIN_PREFIX + worker
+    return entry(key, lamport_time=lamport_time, age_s=age_s, lifetime_s=600.0, is_shared=True)
 
-def test_what_was_out_before_a_restart_is_said_as_no_last_word() -> None:
-    desk = Desk()
-    desk.drains.began_with({"w2", "w1"})
-    assert [(about, count) for about, _, _, count in desk.said] == [(OUT + "w1", 0), (OUT + "w2", 0)]
+
+def test_an_undrain_from_before_ones_own_drain_does_not_hold() -> None:
+    """A scheduler that has just begun counts from one: its entry would lose against a far older one."""
+    local = LocalDrains()
+    local.propagation.on_local_change("w1", True, 100.0)
+    local.written.clear()
+    assert local.propagation.receive(undrained("w1", 9, age_s=30.0), 101.0)
+    assert local.written == [written("w1", None)]
+    assert local.propagation.receive(undrained("w1", 12, age_s=0.1), 101.0)
+    assert len(local.written) == 1, "this one is later"
+    local.drained.add("w2")  # drained since before this process began: not asked for here
+    assert local.propagation.receive(undrained("w2", 9, age_s=30.0), 101.0)
+    assert len(local.written) == 1 and not local.drained
+
+
+def test_a_drain_from_before_a_restart_yields_to_any_other_entry() -> None:
+    local = LocalDrains()
+    local.propagation.announce_restored({"w2", "w1"})
+    assert local.written == [written("w1", 0), written("w2", 0)]
 
 
 def test_a_drain_reaches_all_within_a_second_and_its_end_too() -> None:
@@ -236,7 +253,9 @@
         group.link.loss = 0.3
         for value in (1.0, 0.0):
             said = group.now
-            group.write("m3", EntryWritten(OUT + "w1", value, 1000.0, is_shared=True, is_urgent=True))
+            group.write(
+                "m3", EntryWritten(DRAIN_PREFIX + "w1", value, 1000.0, is_shared=True, is_urgent=True)
+            )
             group.run(said + 1.0)
             for node in group.nodes.values():
                 if node.name != "m3":
@@ -252,9 +271,9 @@
         for one in sides[0]:
             for other in sides[1]:
                 group.cut(one, other)
-        group.write("m0", EntryWritten(OUT + "w1", 1.0, 1e6, is_shared=True, is_urgent=True))
+        group.write("m0", EntryWritten(DRAIN_PREFIX + "w1", 1.0, 1e6, is_shared=True, is_urgent=True))
         group.run(25.0)
-        group.write("m1", EntryWritten(OUT + "w1", 0.0, 1e6, is_shared=True, is_urgent=True))
+        group.write("m1", EntryWritten(DRAIN_PREFIX + "w1", 0.0, 1e6, is_shared=True, is_urgent=True))
         group.run(60.0)
         group.cuts.clear()
         group.run(240.0)
@@ -292,6 +311,52 @@
         decode(encode(Gossip(header, [entry("bar:w")] * 65)), "g", 64)
 
 
+# ---- The admin API ----
+
+
+def component() -> MembershipComponent:
+    """A component without sockets and without a program."""
+    services = ProgramServices(
+        name="m0",
+        zone="z0",
+        configured_size=3,
+        ramp_s=10.0,
+        version="0.1.0",
+        random=Random(1),
+        clock_ms=lambda: 50_000.0,
+        state=lambda: "serving",
+        open_request_count=lambda: 4,
+        slots=lambda: 64.0,
+        worker_count=lambda: 12,
+        own_faults=lambda: [],
+        apply_peer_faults=lambda faults: None,
+        set_scheduler_count=lambda count: None,
+        drained_workers=frozenset,
+        set_drained=lambda worker, is_drained: None,
+    )
+    return MembershipComponent(MembershipSettings(listen="127.0.0.1:7000"), services)
+
+
+def test_the_members_view_is_the_same_as_before_the_renaming() -> None:
+    async def play() -> dict[str, object]:
+        made = component()
+        facts = made._facts.changed_facts(asyncio.get_running_loop().time())
+        assert facts is not None
+        made._node.handle(FactsChanged(facts))
+        for data in MEMBERS_VIEW["datagrams"]:
+            made._node._on_datagram(bytes.fromhex(data), "127.0.0.1:7002")
+        await asyncio.sleep(0)  # what came together is applied together
+        return dict(made.view())
+
+    view = asyncio.run(play())
+    members = view["members"]
+    assert isinstance(members, list)
+    for member in members:
+        assert 0.0 <= member["since_s"] < 30.0
+        member["since_s"] = 0.0  # the time that this test takes
+    assert json.dumps(view) == json.dumps(MEMBERS_VIEW["view"])
+
+
 # ---- Sockets ----
 
 
