--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..decision.facade import Trouble
+from ..decision.facade import WorkerFault
 from ..membership.messages import GossipEntry
 
 EJECTED_PREFIX = "bar:"  # of an entry's key; the worker's id follows
@@ -56,7 +56,7 @@
     # ---- Own faults ----
 
     def new_reports(
-        self, now: float, own_faults: list[Trouble], worker_count: int, clock_ms: float
+        self, now: float, own_faults: list[WorkerFault], worker_count: int, clock_ms: float
     ) -> list[FaultReport]:
         """What is to be reported of this scheduler's own faults; `clock_ms` is the decisions' time.
 
@@ -74,10 +74,10 @@
                 reports += self._warm_up(fault, now, clock_ms)
         return reports
 
-    def _ejection(self, fault: Trouble, now: float) -> list[FaultReport]:
+    def _ejection(self, fault: WorkerFault, now: float) -> list[FaultReport]:
         return self._if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.lasts / MS_PER_S, now)
 
-    def _warm_up(self, fault: Trouble, now: float, clock_ms: float) -> list[FaultReport]:
+    def _warm_up(self, fault: WorkerFault, now: float, clock_ms: float) -> list[FaultReport]:
         age_s = max(clock_ms - fault.since, 0.0) / MS_PER_S
         return self._if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
 
@@ -99,8 +99,8 @@
         return True
 
     def peer_faults(
-        self, now: float, clock_ms: float, own_faults: Iterable[Trouble] = ()
-    ) -> tuple[Trouble, ...]:
+        self, now: float, clock_ms: float, own_faults: Iterable[WorkerFault] = ()
+    ) -> tuple[WorkerFault, ...]:
         """What the peers' reports come to at this time, one fault for each worker, sorted by its id.
 
         A start that hardly differs from what `own_faults` say is left out: reported to and fro, it would come
@@ -121,7 +121,7 @@
             if start - own_starts.get(worker, -math.inf) > MIN_START_DIFFERENCE_MS:
                 starts[worker] = max(starts.get(worker, 0.0), start)
         return tuple(
-            Trouble(worker, avoid_ms.get(worker, 0.0), starts.get(worker, 0.0))
+            WorkerFault(worker, avoid_ms.get(worker, 0.0), starts.get(worker, 0.0))
             for worker in sorted(avoid_ms.keys() | starts.keys())
         )
 
--- a/oxbowyard/peers/fault_sharing.py
+++ b/oxbowyard/peers/fault_sharing.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..decision.facade import Trouble
+from ..decision.facade import WorkerFault
 from ..membership.events import EntryWritten
 from ..membership.messages import GossipEntry
 from ..membership.node import Node
@@ -20,7 +20,7 @@
         self._node = node
         self._loop = asyncio.get_running_loop()
         self._reports = FaultReports(services.ramp_s)
-        self._applied: tuple[Trouble, ...] = ()
+        self._applied: tuple[WorkerFault, ...] = ()
         self._is_apply_scheduled = False
 
     @property
@@ -49,7 +49,7 @@
         services = self._services
         self._apply(services.own_faults(), self._loop.time(), services.clock_ms())
 
-    def _apply(self, own_faults: list[Trouble], now: float, clock_ms: float) -> None:
+    def _apply(self, own_faults: list[WorkerFault], now: float, clock_ms: float) -> None:
         self._is_apply_scheduled = False
         faults = self._reports.peer_faults(now, clock_ms, own_faults)
         if faults or self._applied:
--- a/oxbowyard/peers/services.py
+++ b/oxbowyard/peers/services.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from ..decision.facade import Trouble
+from ..decision.facade import WorkerFault
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,8 +24,8 @@
     open_request_count: Callable[[], int]
     slots: Callable[[], float]  # jobs that the listed workers can run at once
     worker_count: Callable[[], int]
-    own_faults: Callable[[], list[Trouble]]
-    apply_peer_faults: Callable[[tuple[Trouble, ...]], None]
+    own_faults: Callable[[], list[WorkerFault]]
+    apply_peer_faults: Callable[[tuple[WorkerFault, ...]], None]
     set_scheduler_count: Callable[[int], None]
     drained_workers: Callable[[], frozenset[str]]
     set_drained: Callable[[str, bool], None]  # by worker id
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,13 +14,25 @@
 from hypothesis import strategies as st
 
 from benchmarks.faults.virtual_group import VirtualGroup
-from oxbowyard.core.measure import ServiceMeasure
-from oxbowyard.core.req import Ending, FetchNotes, Req
+from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
+from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.parts import Parts
-from oxbowyard.decision import interface as fw
-from oxbowyard.decision.choice import Dispatcher
-from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
+from oxbowyard.decision import slow_start
+from oxbowyard.decision.actions import StartAttempt
+from oxbowyard.decision.dispatcher import Dispatcher
+from oxbowyard.decision.events import (
+    AttemptEnded,
+    EndpointsChanged,
+    PeerFaultsChanged,
+    RequestReceived,
+    Result,
+    Scope,
+    WorkerFault,
+    WorkerInfo,
+)
+from oxbowyard.decision.facade import Facade
+from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.membership.drops import DropCounter, DropReason
 from oxbowyard.membership.entries import EntryStore
 from oxbowyard.membership.events import EntryWritten, FactsChanged
@@ -92,16 +104,16 @@
 
 def test_the_decisions_go_by_the_new_number() -> None:
     """A cold worker's budget is shared among the living."""
-    classes = (fw.JobClass("c", 1000.0, 10000.0),)
-    settings = fw.Settings(classes, siblings=20, cold_from=0.2, ramp=10000.0)
+    classes = (JobClass("c", 1000.0, 10000.0),)
+    settings = Settings(classes, siblings=20, cold_from=0.2, ramp=10000.0)
 
     def allowed(siblings: int) -> int:
         facade = Facade(settings, 1, lambda: 1000.0)
-        facade.reckon(siblings)
-        facade.learn(Scope.FULL, (WorkerInfo("w", online_since=500.0, slots=64),))
-        worker = facade._dispatcher.workers["w"]
-        facade._dispatcher._cold_room(worker, 1000.0)
-        return worker.allowed
+        facade.set_scheduler_count(siblings)
+        facade.update_endpoints(Scope.FULL, (WorkerInfo("w", online_since=500.0, slots=64),))
+        worker = facade._dispatcher.state.workers["w"]
+        slow_start.budget_allows_send(facade._dispatcher.state, worker, 1000.0)
+        return worker.budget_sends
 
     assert allowed(2) >= 4 * max(allowed(20), 1)
 
@@ -112,37 +124,44 @@
 class Nowhere:
     """A transport that is not used."""
 
-    async def fetch(self, backend: str, req: Req, notes: FetchNotes) -> Ending:
+    async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         raise NotImplementedError
 
 
 def dispatcher(workers: int) -> Dispatcher:
-    d = Dispatcher(fw.Settings((fw.JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1), 1)
-    d.handle(0, fw.WorkerList(fw.Scope.FULL, tuple(fw.WorkerInfo(f"w{i}") for i in range(workers))))
+    d = Dispatcher(Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1), 1)
+    d.handle(0, EndpointsChanged(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers))))
     return d
 
 
 def sent_to(d: Dispatcher, now: float, number: int) -> str:
-    actions = d.handle(now, fw.Request(f"r{number}-{now}", "c", 10000.0, key=f"k{number}"))
-    worker = next(a.worker for a in actions if isinstance(a, fw.Send))
-    d.handle(now, fw.Outcome(f"r{number}-{now}", 0, worker, fw.Result.OK, 1.0, True))
+    actions = d.handle(now, RequestReceived(f"r{number}-{now}", "c", 10000.0, key=f"k{number}"))
+    worker = next(a.worker for a in actions if isinstance(a, StartAttempt))
+    d.handle(now, AttemptEnded(f"r{number}-{now}", 0, worker, Result.OK, 1.0, True))
     return worker
 
 
 def test_a_heard_trouble_spares_a_worker_for_a_while_and_never_the_other_way_round() -> None:
     d = dispatcher(8)
     home = sent_to(d, 0, 1)
-    d.handle(1, fw.Troubles((fw.Trouble(home, 1000.0),)))
+    d.handle(1, PeerFaultsChanged((WorkerFault(home, 1000.0),)))
     assert home not in {sent_to(d, 2, i) for i in range(200)}
     assert sent_to(d, 1500, 1) == home
-    w = d.workers["w0"]
-    w.shunned, w.since, w.strikes, w.barred_until = 3000.0, 1400.0, 1.0, 2500.0
-    d.handle(1500, fw.Troubles((fw.Trouble("w0", 5.0, 100.0),)))
-    d.handle(1500, fw.Troubles())
-    assert (w.shunned, w.since, w.strikes, w.barred_until) == (3000.0, 1400.0, 1.0, 2500.0)
+    w = d.state.workers["w0"]
+    w.avoided_until_ms, w.started_at_ms, w.failure_count, w.ejected_until_ms = 3000.0, 1400.0, 1.0, 2500.0
+    d.handle(1500, PeerFaultsChanged((WorkerFault("w0", 5.0, 100.0),)))
+    d.handle(1500, PeerFaultsChanged())
+    assert (w.avoided_until_ms, w.started_at_ms, w.failure_count, w.ejected_until_ms) == (
+        3000.0,
+        1400.0,
+        1.0,
+        2500.0,
+    )
     d = dispatcher(8)
-    d.handle(1, fw.Troubles(tuple(fw.Trouble(f"w{i}", 4000.0) for i in range(3))))
-    assert not any(w.shunned for w in d.workers.values()), "of over a quarter nothing is believed"
+    d.handle(1, PeerFaultsChanged(tuple(WorkerFault(f"w{i}", 4000.0) for i in range(3))))
+    assert not any(w.avoided_until_ms for w in d.state.workers.values()), (
+        "of over a quarter nothing is believed"
+    )
 
 
 def entry(
@@ -159,23 +178,23 @@
 
 def test_own_faults_are_reported_once_and_again_when_they_last_longer() -> None:
     reports = FaultReports(ramp_s=10.0)
-    assert reports.new_reports(0.0, [Trouble("w1", 800.0)], 12, 0.0) == [FaultReport("bar:w1", 0.0, 0.8)]
-    assert not reports.new_reports(0.1, [Trouble("w1", 700.0)], 12, 100.0)
-    assert reports.new_reports(0.2, [Trouble("w1", 4000.0)], 12, 200.0)
-    many = [Trouble(f"w{i}", 800.0) for i in range(4)]
+    assert reports.new_reports(0.0, [WorkerFault("w1", 800.0)], 12, 0.0) == [FaultReport("bar:w1", 0.0, 0.8)]
+    assert not reports.new_reports(0.1, [WorkerFault("w1", 700.0)], 12, 100.0)
+    assert reports.new_reports(0.2, [WorkerFault("w1", 4000.0)], 12, 200.0)
+    many = [WorkerFault(f"w{i}", 800.0) for i in range(4)]
     assert not FaultReports(10.0).new_reports(0.0, many, 12, 0.0), "a third of all: the fault is rather ours"
 
 
 def test_a_received_report_keeps_its_time_and_does_not_go_to_and_fro() -> None:
     reports = FaultReports(ramp_s=10.0)
-    (report,) = reports.new_reports(50.0, [Trouble("w1", 0.0, 7000.0)], 12, 9000.0)
+    (report,) = reports.new_reports(50.0, [WorkerFault("w1", 0.0, 7000.0)], 12, 9000.0)
     assert (report.value, report.lifetime_s) == (2.0, 8.0)
     other = FaultReports(ramp_s=10.0)
     received = entry(report.key, value=report.value, age_s=0.5, lifetime_s=report.lifetime_s)
     assert other.receive(received, 100.0)
     (fault,) = other.peer_faults(101.0, 20000.0)
     assert fault.since == 20000.0 - 3500.0 and fault.lasts == 0.0
-    known = [Trouble("w1", 0.0, 16500.0)]
+    known = [WorkerFault("w1", 0.0, 16500.0)]
     assert not other.peer_faults(101.0, 20000.0, known), "it is known here already"
     assert not other.new_reports(101.0, known, 12, 20000.0), "it was received, and is not reported again"
     assert not other.peer_faults(108.0, 27000.0)
@@ -187,16 +206,18 @@
 
 
 def test_a_cold_start_that_the_list_tells_is_no_news() -> None:
-    async def play() -> list[Trouble]:
-        settings = fw.Settings((fw.JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1)
+    async def play() -> list[WorkerFault]:
+        settings = Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1)
         classes, clock = settings.classes, lambda: 5000.0
         facade = Facade(settings, 1, clock)
         scheduler = Scheduler(settings, facade, Nowhere(), clock, ServiceMeasure(classes), Limits())
-        scheduler.learn(Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed")))
-        facade._dispatcher.workers["guessed"].since = 4500.0
-        return scheduler.troubles()
+        scheduler.update_endpoints(
+            Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed"))
+        )
+        facade._dispatcher.state.workers["guessed"].started_at_ms = 4500.0
+        return scheduler.worker_faults()
 
-    assert asyncio.run(play()) == [Trouble("guessed", 0.0, 4500.0)]
+    assert asyncio.run(play()) == [WorkerFault("guessed", 0.0, 4500.0)]
 
 
 # ---- Drains ----
