--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -16,7 +16,7 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.collector import spare_full_passes
+from oxbowyard.daemon.garbage_collection import spare_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Settings
 from oxbowyard.waiting.order import Final, Parent, State, Wait
--- a/examples/app.py
+++ b/examples/app.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from oxbowyard.daemon.assembly import Assembly
+from oxbowyard.daemon.composition import Assembly
 from oxbowyard.daemon.config import load
 from oxbowyard.middleware import scheduling
 
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -26,10 +26,10 @@
 from ..handover.learned import LearnedFile
 from ..handover.steps import Handover, Step
 from ..listeners.acceptor import Acceptor
-from .assembly import Assembly, first_list, membership
-from .collector import collect_when_few, spare_full_passes
+from .composition import Assembly, first_list, membership
 from .config import BadConfig, Config, lacks, needs_restart
-from .parts import Part, Parts
+from .garbage_collection import collect_when_few, spare_full_passes
+from .lifecycle import Part, Parts
 
 if TYPE_CHECKING:  # only where the operator's file has its table
     from ..durable.keeping import Keeping
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -17,7 +17,7 @@
 from virtual import VirtualLoop
 
 from oxbowyard.clients.session import ClientSessions
-from oxbowyard.daemon.assembly import Assembly
+from oxbowyard.daemon.composition import Assembly
 from oxbowyard.daemon.config import load
 from oxbowyard.discovery.registry import parse_list
 from oxbowyard.gearman import config as gearman
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,7 @@
 
 from oxbowyard.clients.connection import Connection, Phase
 from oxbowyard.core.req import Ending, FetchNotes, Req
-from oxbowyard.daemon import assembly
+from oxbowyard.daemon import composition
 from oxbowyard.daemon.program import SETTLE, Program, Read
 from oxbowyard.decision.facade import Result
 from oxbowyard.decision.interface import Repeat
@@ -446,7 +446,7 @@
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        monkeypatch.setattr(assembly, "steady_unix_ms", lambda: lambda: loop.time() * 1000)
+        monkeypatch.setattr(composition, "steady_unix_ms", lambda: lambda: loop.time() * 1000)
         stage = Stage(tmp_path, lanes=_guarded(1000.0))
         await stage.begin()
         stage.worker.answer = False
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 
 from oxbowyard.clients.session import Bodies
 from oxbowyard.clients.wording import Fault
-from oxbowyard.daemon.assembly import Assembly
+from oxbowyard.daemon.composition import Assembly
 from oxbowyard.daemon.config import Config
 from oxbowyard.daemon.descriptors import Descriptors
 from oxbowyard.decision.interface import JobClass, Settings
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.parts import Parts
+from oxbowyard.daemon.lifecycle import Parts
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision.choice import Dispatcher
 from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
--- a/tests/test_waiting_room.py
+++ b/tests/test_waiting_room.py
@@ -15,7 +15,7 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Answer, Ending, FetchNotes, Kind, Ran, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.collector import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
+from oxbowyard.daemon.garbage_collection import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat, Settings
 from oxbowyard.waiting.ledger import Memory
