--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -16,7 +16,7 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.garbage_collection import spare_full_passes
+from oxbowyard.daemon.garbage_collection import disable_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Settings
 from oxbowyard.waiting.order import Final, Parent, State, Wait
@@ -86,7 +86,7 @@
     parser.add_argument("--jobs", type=int, default=10_000)
     parser.add_argument("--rounds", type=int, default=5)
     options = parser.parse_args()
-    spare_full_passes()  # as the daemon does with waiting jobs
+    disable_full_passes()  # as the daemon does with waiting jobs
     cases = (("chain", "fails"), ("fan-out", "fails"), ("fan-out", "is served"), ("fan-out", "stops"))
     for shape, how in cases:
         rounds = [asyncio.run(one(shape, how, options.jobs)) for _ in range(options.rounds)]
--- a/examples/app.py
+++ b/examples/app.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from oxbowyard.daemon.composition import Assembly
+from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import load
 from oxbowyard.middleware import scheduling
 
@@ -23,14 +23,14 @@
 
 async def make_app() -> web.Application:
     """The application, with a scheduler that lives as long as it does."""
-    parts = Assembly(load(os.environ))
+    subsystems = compose(load(os.environ))
 
     async def scheduler_lives(app: web.Application) -> AsyncIterator[None]:
-        parts.start()
+        subsystems.start()
         yield
-        await parts.close()
+        await subsystems.close()
 
-    app = web.Application(middlewares=[scheduling(parts.scheduler, parts.classes)])
+    app = web.Application(middlewares=[scheduling(subsystems.scheduler, subsystems.classes)])
     app.cleanup_ctx.append(scheduler_lives)
     app.add_routes([web.get("/", hello)])
     return app
--- a/oxbowyard/daemon/__init__.py
+++ b/oxbowyard/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, logging, and its life from start to exit."""
+"""The program: its configuration, the composition of its subsystems, and its states from start to exit."""
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -1,16 +1,21 @@
-"""Puts the parts of a scheduler together, for the daemon and for applications with the middleware."""
+"""The composition root: builds a scheduler's subsystems, for the daemon and for applications with middleware.
+
+`compose` builds in this order, each subsystem from those before it: service measure, registry of workers,
+file descriptor budget, HTTP transport, Gearman workers, scheduler, discovery client, deferred jobs, Gearman
+front. `Subsystems.start` starts the discovery client. `Subsystems.close` stops in this order: deferred jobs,
+scheduler (both finish what was taken), Gearman front, background tasks, HTTP transport.
+
+Components of the operator's file that only the daemon has are built in `operator_components`.
+"""
 
 from __future__ import annotations
 
-import asyncio
-import logging
-from collections.abc import Callable, Coroutine, Iterable, Mapping
-from dataclasses import replace
-from random import Random, SystemRandom
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field, replace
+from random import Random
+from typing import TYPE_CHECKING
 
 from ..backends.http import HttpBackends
-from ..control.maintenance import Maintenance
 from ..core.clock import steady_unix_ms
 from ..core.measure import ServiceMeasure
 from ..core.req import BackendTransport, RoutedTransport
@@ -24,119 +29,64 @@
 from ..gearman.front import GearmanFront
 from ..gearman.jobs import Jobs
 from ..gearman.workers import Workers
+from .background_tasks import BackgroundTasks
 from .config import Config
 from .descriptors import Descriptors
+from .units import MS_PER_S
 
-if TYPE_CHECKING:  # its libraries are there, and taken in, only where the operator's file has its table
+if TYPE_CHECKING:  # their libraries may be absent: imported only where the operator's file has the table
     from ..durable.keeping import Keeping
-    from ..membership.table import MembershipSettings
-    from ..peers.part import MembershipPart
-    from ..start.part import StartPart
-    from ..start.table import StartSettings
     from ..waiting.room import WaitingRoom
     from ..waiting.settings import WaitingSettings
 
-log = logging.getLogger("oxbowyard.daemon")
-
-
-class Assembly:
-    """A scheduler with its discovery client, its backends and, where asked for, its Gearman front."""
-
-    def __init__(
-        self,
-        config: Config,
-        gearman: GearmanConfig | None = None,
-        on_settled: Callable[[], None] = lambda: None,
-        waiting: WaitingSettings | None = None,
-        kept: Keeping | None = None,
-        clock: Callable[[], float] | None = None,
-    ) -> None:
-        """`clock` gives Unix time in milliseconds that only advances; None: the system's."""
-        if gearman:
-            most = min(gearman.max_connections, config.sockets // 4)
-            gearman = replace(gearman, max_connections=most)
-        clock = clock or steady_unix_ms()
-        self.config, self.clock = config, clock
-        self.classes = frozenset(c.name for c in config.settings.classes)
-        settings = _with_functions(config.settings, gearman)
-        plain = measured = settings.classes
-        if waiting is not None:
-            from ..waiting.room import with_aged
-
-            measured = with_aged(plain, waiting, times=0.0)  # in time is what is so for its own class
-            settings = replace(settings, classes=with_aged(plain, waiting))
-        self.measure = ServiceMeasure(measured, config.by_work)
-        self.registry = Registry(clock, settings.drain_grace)
-        self.descriptors = Descriptors.share_out(
-            config.sockets, config.most_held, gearman.max_connections if gearman else 0,
-            admin=config.admin is not None,
-        )  # fmt: skip
-        self.backends = HttpBackends(
-            self.registry,
-            config.load_names,
-            settings.connect_timeout,
-            frozenset(c.name for c in settings.classes if c.repeat is not Repeat.FREE),
-            self.descriptors.tails,
-        )
-        workers = Workers(gearman) if gearman else None
-        transport: BackendTransport = self.backends
-        if workers:
-            transport = RoutedTransport(self.backends, {KIND: workers})
-        # The discovery client asks for the list, whichever way it comes: the decisions need not.
-        facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
-        limits = Limits(open_reqs=self.descriptors.requests)
-        self.scheduler = Scheduler(settings, facade, transport, clock, self.measure, limits)
-        self.discovery = DiscoveryClient(
-            config.discovery, self.registry, self.scheduler.learn, on_settled,
-            CallSchedule(settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every),
-        )  # fmt: skip
-        self.waiting: WaitingRoom | None = None
-        if waiting is not None:
-            self.waiting = _room(
-                waiting, plain, self.scheduler, clock, config.name, self.descriptors.requests, kept
-            )
-        self.deadlines = {c.name: c.deadline / 1000 for c in plain}
-        self.gearman: GearmanFront | None = None
-        if gearman and workers:
-            workers.tell_to(self.scheduler.learn)
-            jobs = Jobs(gearman, self.scheduler, config.name, self.waiting)
-            self.gearman = GearmanFront(gearman, jobs, workers)
-        self._gearman_config = gearman
-        self._chores: list[asyncio.Task[None]] = []
+MAX_GEARMAN_DESCRIPTORS_SHARE = 1 / 4  # of all: the HTTP front needs the others
 
-    def retune(self, settings: Settings) -> None:
-        """The classes and fetches of these settings for reqs from now on; Gearman's functions stay."""
-        settings = _with_functions(settings, self._gearman_config)
-        self.scheduler.retune(settings)
-        self.backends.once = frozenset(c.name for c in settings.classes if c.repeat is not Repeat.FREE)
-        self.deadlines |= {c.name: c.deadline / 1000 for c in settings.classes}
+
+@dataclass(slots=True)
+class Subsystems:
+    """A scheduler with its discovery client, its workers and, where configured, deferred jobs and Gearman."""
+
+    config: Config
+    clock: Callable[[], float]  # Unix time in ms that only advances
+    classes: frozenset[str]  # the names that HTTP clients may use
+    measure: ServiceMeasure
+    registry: Registry
+    descriptors: Descriptors
+    backends: HttpBackends
+    scheduler: Scheduler
+    discovery: DiscoveryClient
+    deadlines: dict[str, float]  # by class, in seconds
+    waiting: WaitingRoom | None = None
+    gearman: GearmanFront | None = None
+    background: BackgroundTasks = field(default_factory=BackgroundTasks)
 
     def start(self) -> None:
-        """Begin to watch the list of backends."""
+        """Begin to watch the list of workers."""
         self.discovery.restore(self.config.known)
-        self.add_chore(self.discovery.run())
+        self.background.start(self.discovery.run())
 
-    def add_chore(self, chore: Coroutine[Any, Any, None]) -> None:
-        """Run something until the end."""
-        task = asyncio.get_running_loop().create_task(chore)
-        task.add_done_callback(_chore_ended)
-        self._chores.append(task)
+    def retune(self, settings: Settings) -> None:
+        """Use the classes and the number of attempts of these settings for requests from now on. The classes
+        of Gearman's functions stay."""
+        settings = _with_functions(settings, self.gearman.config if self.gearman else None)
+        self.scheduler.retune(settings)
+        self.backends.once = _not_idempotent(settings.classes)
+        self.deadlines |= _deadlines_s(settings.classes)
 
     def slots(self) -> float:
-        """Jobs that the listed backends are reckoned to run at once, of the class that most of them run."""
+        """The estimated number of jobs that the listed workers run at once, of the class that most of them
+        run."""
         return max((self.scheduler.capacity(name).slots for name in self.classes), default=0.0)
 
     async def close(self) -> None:
-        """Finish every req and job that was taken, then end all."""
+        """Finish all requests and jobs that were taken, then stop everything."""
         if self.waiting is not None:
             self.waiting.wind_down()
             await self.waiting.idle()
         await self.scheduler.idle()
         if self.gearman:
             await self.gearman.close()
-        for chore in self._chores:
-            chore.cancel()
-        await asyncio.gather(*self._chores, return_exceptions=True)
+        await self.background.stop()
         await self.backends.close()
 
     def summary(self) -> str:
@@ -146,80 +96,166 @@
         return f"service {self.measure.share:.3f}, open {open_count}, answers: {answers or 'none'}"
 
 
-def membership(
-    settings: MembershipSettings, parts: Assembly, maintenance: Maintenance, state: Callable[[], str]
-) -> MembershipPart:
-    """The group of schedulers as a part of the program."""
-    from ..gearman.admin import VERSION
-    from ..peers.part import MembershipPart, Offers
+@dataclass(slots=True, frozen=True)
+class _Classes:
+    """The classes of requests as the different subsystems see them, functions of Gearman among them."""
+
+    requested: tuple[JobClass, ...]  # those that a client may ask for
+    measured: tuple[JobClass, ...]  # with the latency objectives that count as in time
+    scheduled: tuple[JobClass, ...]  # with the classes of jobs that have waited
+
+
+def compose(
+    config: Config,
+    gearman: GearmanConfig | None = None,
+    on_settled: Callable[[], None] = lambda: None,
+    waiting: WaitingSettings | None = None,
+    durable: Keeping | None = None,
+    clock: Callable[[], float] | None = None,
+) -> Subsystems:
+    """Build all subsystems; none of them works yet.
+
+    `on_settled` is called when discovery has answered at the address asked for last. `waiting` switches on
+    deferred jobs, and `durable` is the open store that they are kept in. `clock` gives Unix time in
+    milliseconds that only advances; None: the system's.
+    """
+    clock = clock or steady_unix_ms()
+    gearman = _within_descriptors(gearman, config.sockets)
+    settings = _with_functions(config.settings, gearman)
+    classes = _classes(settings.classes, waiting)
+    settings = replace(settings, classes=classes.scheduled)
+
+    measure = ServiceMeasure(classes.measured, config.by_work)
+    registry = Registry(clock, settings.drain_grace)
+    descriptors = Descriptors.share_out(
+        config.sockets,
+        config.most_held,
+        gearman.max_connections if gearman else 0,
+        admin=config.admin is not None,
+    )
+    backends = HttpBackends(
+        registry,
+        config.load_names,
+        settings.connect_timeout,
+        _not_idempotent(settings.classes),
+        descriptors.tails,
+    )
+    workers = Workers(gearman) if gearman else None
+    scheduler = _scheduler(config, settings, _transport(backends, workers), clock, measure, descriptors)
+    discovery = _discovery(config, settings, registry, scheduler, on_settled)
+    jobs = None
+    if waiting is not None:
+        jobs = _deferred_jobs(waiting, classes.requested, scheduler, config.name, descriptors, durable, clock)
+    front = None
+    if gearman and workers:
+        front = _gearman_front(gearman, workers, scheduler, config.name, jobs)
+    return Subsystems(
+        config=config,
+        clock=clock,
+        classes=frozenset(c.name for c in config.settings.classes),
+        measure=measure,
+        registry=registry,
+        descriptors=descriptors,
+        backends=backends,
+        scheduler=scheduler,
+        discovery=discovery,
+        deadlines=_deadlines_s(classes.requested),
+        waiting=jobs,
+        gearman=front,
+    )
+
+
+def _within_descriptors(gearman: GearmanConfig | None, sockets: int) -> GearmanConfig | None:
+    """Gearman's settings with no more connections than its share of the descriptors."""
+    if gearman is None:
+        return None
+    share = int(sockets * MAX_GEARMAN_DESCRIPTORS_SHARE)
+    return replace(gearman, max_connections=min(gearman.max_connections, share))
 
-    config, scheduler = parts.config, parts.scheduler
-    own = config.settings
 
-    def reckon(schedulers: int) -> None:
-        scheduler.reckon(schedulers)
-        parts.discovery.reckon(schedulers)
+def _with_functions(settings: Settings, gearman: GearmanConfig | None) -> Settings:
+    """The settings with one more class for each Gearman function."""
+    if gearman is None:
+        return settings
+    functions = tuple(f.job_class for f in gearman.functions.values())
+    return replace(settings, classes=settings.classes + functions)
 
-    return MembershipPart(
-        settings,
-        Offers(
-            name=config.name, zone=own.zone, configured=own.siblings, ramp=own.ramp / 1000,
-            version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock=parts.clock, state=state,
-            held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed,
-            troubles=scheduler.troubles, hear=scheduler.hear, reckon=reckon,
-            drained=lambda: maintenance.by_hand, drain=maintenance.take,
-        ),
-    )  # fmt: skip
 
+def _classes(requested: tuple[JobClass, ...], waiting: WaitingSettings | None) -> _Classes:
+    if waiting is None:
+        return _Classes(requested, requested, requested)
+    from ..waiting.room import with_aged
 
-def first_list(settings: StartSettings, parts: Assembly, group: MembershipPart | None) -> StartPart:
-    """Where the first list comes from, as a part of the program."""
-    from ..start.part import Offers, StartPart
+    return _Classes(
+        requested,
+        measured=with_aged(requested, waiting, times=0.0),  # the objective of the job's own class counts
+        scheduled=with_aged(requested, waiting),
+    )
 
-    discovery, registry, config = parts.discovery, parts.registry, parts.config
 
-    def adopt(document: Mapping[str, Any], cold: bool, newer: bool) -> bool:
-        return discovery.adopt(document, parts.clock() if cold else None, newer)
+def _transport(backends: HttpBackends, workers: Workers | None) -> BackendTransport:
+    """Attempts go to the worker by its kind: HTTP, or Gearman where that is on."""
+    return backends if workers is None else RoutedTransport(backends, {KIND: workers})
 
-    def told() -> tuple[int, list[dict[str, Any]]] | None:
-        return None if discovery.told is None else (discovery.told, registry.document())
 
-    offers = Offers(
-        name=config.name, configured=config.settings.siblings, common=config.settings.must_subscribe,
-        random=SystemRandom(), known=config.known, adopt=adopt, told=told, peers=group,
-    )  # fmt: skip
-    part = StartPart(settings, offers)
-    discovery.turn, discovery.on_told = part.turn, part.service_spoke
-    return part
+def _scheduler(
+    config: Config,
+    settings: Settings,
+    transport: BackendTransport,
+    clock: Callable[[], float],
+    measure: ServiceMeasure,
+    descriptors: Descriptors,
+) -> Scheduler:
+    # The discovery client polls for the list where it must; the decisions never need to.
+    facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
+    limits = Limits(open_reqs=descriptors.requests)
+    return Scheduler(settings, facade, transport, clock, measure, limits)
+
+
+def _discovery(
+    config: Config,
+    settings: Settings,
+    registry: Registry,
+    scheduler: Scheduler,
+    on_settled: Callable[[], None],
+) -> DiscoveryClient:
+    schedule = CallSchedule(
+        settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every
+    )
+    return DiscoveryClient(config.discovery, registry, scheduler.learn, on_settled, schedule)
 
 
-def _room(
-    waiting: WaitingSettings,
+def _deferred_jobs(
+    settings: WaitingSettings,
     classes: Iterable[JobClass],
     scheduler: Scheduler,
-    clock: Callable[[], float],
     name: str,
-    reqs: int,
-    kept: Keeping | None,
+    descriptors: Descriptors,
+    durable: Keeping | None,
+    clock: Callable[[], float],
 ) -> WaitingRoom:
     from ..waiting.room import WaitingRoom, bounded
 
-    ledger = kept.ledger if kept else None
-    room = WaitingRoom(bounded(waiting, reqs), classes, scheduler, clock, name, ledger=ledger)
-    if kept is not None:
-        room.number_from(kept.last_number)
-        room.recovering = True
-    return room
+    ledger = durable.ledger if durable else None
+    settings = bounded(settings, descriptors.requests)
+    jobs = WaitingRoom(settings, classes, scheduler, clock, name, ledger=ledger)
+    if durable is not None:
+        jobs.number_from(durable.last_number)
+        jobs.recovering = True
+    return jobs
 
 
-def _with_functions(settings: Settings, gearman: GearmanConfig | None) -> Settings:
-    """The settings with a class more for each Gearman function."""
-    if gearman is None:
-        return settings
-    functions = tuple(f.job_class for f in gearman.functions.values())
-    return replace(settings, classes=settings.classes + functions)
+def _gearman_front(
+    config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: WaitingRoom | None
+) -> GearmanFront:
+    workers.tell_to(scheduler.learn)
+    return GearmanFront(config, Jobs(config, scheduler, name, waiting), workers)
+
+
+def _not_idempotent(classes: Iterable[JobClass]) -> frozenset[str]:
+    """The names of the classes whose requests must not simply be repeated."""
+    return frozenset(c.name for c in classes if c.repeat is not Repeat.FREE)
 
 
-def _chore_ended(task: asyncio.Task[None]) -> None:
-    if not task.cancelled() and (fault := task.exception()):
-        log.critical("a chore ended: %r", fault, exc_info=fault)
+def _deadlines_s(classes: Iterable[JobClass]) -> dict[str, float]:
+    return {c.name: c.deadline / MS_PER_S for c in classes}
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands to a scheduler."""
+"""The platform's configuration of a scheduler: its file, and the environment for what that leaves out."""
 
 from __future__ import annotations
 
@@ -12,46 +12,58 @@
 from ..decision.facts import load_names, settings_of
 from ..decision.interface import Settings
 
+DEFAULT_NAME = "oxbowyard"
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_MAX_HELD = 20_000  # requests
+MAX_PORT = 65_535
 
-class BadConfig(Exception):
+
+class ConfigurationError(Exception):
     """The configuration can't be used; its text is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a scheduler is told."""
+    """The platform's configuration of one scheduler."""
 
     name: str
     host: str
     port: int
-    discovery: str
+    discovery: str  # HOST:PORT
     seed: int
-    sockets: int
+    sockets: int  # file descriptors that the process may use
     memory_mb: float
-    most_held: int
+    most_held: int  # requests at once
     settings: Settings
-    by_work: bool
-    known: object = None
-    admin: tuple[str, int] | None = None  # the operators' door, if it is asked for
+    by_work: bool  # a class's worth is for each unit of work, not for each request
+    known: object = None  # the endpoint list that the file brings, if any
+    admin: tuple[str, int] | None = None  # the admin API's address, if it is asked for
     load_names: Mapping[str, str] = field(default_factory=dict)
     shape: frozenset[str] = frozenset()  # the keys that the file has, as paths
 
 
-# Keys of a file's shape that one read again need not have: they are for a start.
-FOR_A_START = ("known", "seed")
-
+# Keys that a file read again need not have: they matter at a start only.
+START_ONLY_KEYS = ("known", "seed")
 
-# What a running program can't change about itself; `discovery` moves without a restart, and the settings
-# change live as far as `core.retune` says. The seed is new with
-# each start, and `known` is for one that begins with no list.
-NEED_RESTART = (
-    "name", "host", "port", "admin", "sockets", "memory_mb", "most_held", "by_work", "load_names",
-)  # fmt: skip
+# Fields that a running program can't change. `discovery` moves without a restart, and the settings change
+# live as far as `core.retune` says; the seed and the known list are for a start.
+RESTART_FIELDS = (
+    "name",
+    "host",
+    "port",
+    "admin",
+    "sockets",
+    "memory_mb",
+    "most_held",
+    "by_work",
+    "load_names",
+)
 
 
 def needs_restart(old: Config, new: Config) -> tuple[str, ...]:
     """The names of the fields that differ and can't be changed live."""
-    return tuple(name for name in NEED_RESTART if getattr(old, name) != getattr(new, name))
+    return tuple(name for name in RESTART_FIELDS if getattr(old, name) != getattr(new, name))
 
 
 def lacks(old: Config, new: Config) -> str | None:
@@ -60,47 +72,55 @@
 
 
 def shape_of(document: dict[str, Any]) -> frozenset[str]:
-    """The keys of a file: of the top, of the settings and their tables, and those all classes have."""
-    paths = {key for key in document if key not in FOR_A_START}
-    facts = document.get("settings")
-    if not isinstance(facts, dict):
+    """The keys of a file: of the top, of the settings and their tables, and those that all classes have."""
+    paths = {key for key in document if key not in START_ONLY_KEYS}
+    settings = document.get("settings")
+    if not isinstance(settings, dict):
         return frozenset(paths)
-    for key, value in facts.items():
+    for key, value in settings.items():
         paths.add(f"settings.{key}")
         if isinstance(value, dict):
             paths |= {f"settings.{key}.{inner}" for inner in value}
-    lanes = [lane for lane in facts.get("lanes") or () if isinstance(lane, dict)]
-    if lanes:
-        common = set(lanes[0]).intersection(*lanes[1:])
-        paths |= {f"settings.lanes.{key}" for key in common}
+    paths |= {f"settings.lanes.{key}" for key in _keys_of_all_lanes(settings)}
     return frozenset(paths)
 
 
+def _keys_of_all_lanes(settings: dict[str, Any]) -> set[str]:
+    lanes = [lane for lane in settings.get("lanes") or () if isinstance(lane, dict)]
+    return set(lanes[0]).intersection(*lanes[1:]) if lanes else set()
+
+
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that LB_CONFIG names; the other variables stand in for what it leaves out."""
+    """Read the file that LB_CONFIG names; the other variables replace what it leaves out. Raises
+    ConfigurationError."""
     path = environ.get("LB_CONFIG")
     if not path:
-        raise BadConfig("LB_CONFIG is not set")
+        raise ConfigurationError("LB_CONFIG is not set")
+    document = _read(Path(path))
+    try:
+        return _config(document, environ)
+    except (ValueError, TypeError, LookupError, AttributeError) as error:
+        raise ConfigurationError(f"bad configuration: {' '.join(str(error).split())}") from None
+
+
+def _read(path: Path) -> dict[str, Any]:
     try:
-        text = Path(path).read_bytes()
+        text = path.read_bytes()
         if not text.strip():  # a file being written, or emptied by mistake
-            raise BadConfig("the configuration is empty")
+            raise ConfigurationError("the configuration is empty")
         document = orjson.loads(text)
-    except OSError as fault:
-        raise BadConfig(f"cannot read the configuration: {fault}") from None
-    except ValueError as fault:
-        raise BadConfig(f"the configuration is not JSON: {fault}") from None
+    except OSError as error:
+        raise ConfigurationError(f"cannot read the configuration: {error}") from None
+    except ValueError as error:
+        raise ConfigurationError(f"the configuration is not JSON: {error}") from None
     if not isinstance(document, dict):
-        raise BadConfig("the configuration is not a JSON object")
-    try:
-        return _config(document, environ)
-    except (ValueError, TypeError, LookupError, AttributeError) as fault:
-        raise BadConfig(f"bad configuration: {' '.join(str(fault).split())}") from None
+        raise ConfigurationError("the configuration is not a JSON object")
+    return document
 
 
 def _config(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    facts = document.get("settings")
-    if not isinstance(facts, dict):
+    settings = document.get("settings")
+    if not isinstance(settings, dict):
         raise ValueError("settings are missing")
     host, port = address(document.get("listen") or environ.get("LB_LISTEN"), "listen")
     discovery = document.get("discovery") or environ.get("LB_DISCOVERY")
@@ -108,26 +128,26 @@
     limits = document.get("limits") or {}
     admin = document.get("admin") or environ.get("LB_ADMIN")
     return Config(
-        name=str(document.get("name") or environ.get("LB_NAME") or "oxbowyard"),
+        name=str(document.get("name") or environ.get("LB_NAME") or DEFAULT_NAME),
         host=host,
         port=port,
         discovery=str(discovery),
         seed=int(str(document.get("seed") or "0"), 16),
-        sockets=int(limits.get("sockets") or 1024),
-        memory_mb=float(limits.get("memory_mb") or 192),
-        most_held=int(facts["policyLimits"].get("mostHeld") or 20_000),
-        settings=settings_of(facts),
-        by_work=facts.get("worthBy") == "work",
+        sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
+        memory_mb=float(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
+        most_held=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
+        settings=settings_of(settings),
+        by_work=settings.get("worthBy") == "work",
         known=document.get("known"),
         admin=address(admin, "admin") if admin else None,
-        load_names=load_names(facts),
+        load_names=load_names(settings),
         shape=shape_of(document),
     )
 
 
 def address(text: object, name: str) -> tuple[str, int]:
-    """Split host:port."""
+    """Split HOST:PORT; raises ValueError, which names the key `name`."""
     host, _, port = str(text or "").rpartition(":")
-    if not host or not port.isdecimal() or not int(port) < 65536:
+    if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(f"{name} is not an address: {text!r}")
     return host, int(port)
--- /dev/null
+++ b/oxbowyard/daemon/context.py
@@ -0,0 +1,100 @@
+"""What the states of one program share, and how it is built from the configuration."""
+
+from __future__ import annotations
+
+import asyncio
+import tempfile
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..clients.limits import MAX_BODIES_MEMORY_SHARE
+from ..clients.session import ClientSessions
+from ..control.figures import Files
+from ..control.maintenance import Maintenance, MaintenanceFile
+from ..listeners.acceptor import Acceptor
+from .composition import Subsystems, compose
+from .config import Config
+from .lifecycle import Component, Lifecycle
+from .loading import LoadedConfiguration
+from .operator_components import build_deferred_jobs_front, build_membership, build_start, open_store
+from .states import StateMachine
+from .units import BYTES_PER_MB, MS_PER_S
+
+if TYPE_CHECKING:  # only where the operator's file has its table
+    from ..durable.keeping import Keeping
+    from ..peers.part import MembershipPart
+
+
+@dataclass
+class ProgramContext:
+    """The program's subsystems and what its states hand on to each other."""
+
+    loaded: LoadedConfiguration  # at the start; what a reload brings is compared with it
+    states: StateMachine
+    subsystems: Subsystems
+    sessions: ClientSessions
+    maintenance: Maintenance
+    components: Lifecycle  # of the operator's file
+    folder: Path  # for files that concern other processes of this scheduler
+    store: Keeping | None  # of durable jobs
+    membership: MembershipPart | None
+    longest_deadline_s: float  # of all classes that were in force so far
+    stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
+    reload_counts: Files = field(default_factory=Files)
+    acceptor: Acceptor | None = None
+    admin_acceptor: Acceptor | None = None
+
+    @property
+    def config(self) -> Config:
+        """The platform's configuration as it was at the start."""
+        return self.loaded.config
+
+    def bind_clients(self) -> Acceptor:
+        """A listener at the clients' address that does not accept yet; raises OSError."""
+        return Acceptor("http", self.config.host, self.config.port, self.sessions, shared=True)
+
+
+def build_context(loaded: LoadedConfiguration, take_over: bool) -> ProgramContext:
+    """Build everything that the configuration asks for; nothing works or listens yet.
+
+    `take_over` opens the durable store though another program has it. Raises ConfigurationError.
+    """
+    config = loaded.config
+    folder = Path(tempfile.gettempdir())
+    states = StateMachine()
+    store = open_store(loaded.durable, take_over) if loaded.durable else None
+    subsystems = compose(config, loaded.gearman, states.discovery_settled, loaded.waiting, store)
+    maintenance_file = MaintenanceFile(folder / f"oxbowyard-{config.name}-out-by-hand.json")
+    maintenance = Maintenance(subsystems.registry, subsystems.scheduler.learn, maintenance_file)
+
+    components: list[Component] = []
+    membership = None
+    if loaded.membership is not None:
+        membership = build_membership(
+            loaded.membership, subsystems, maintenance, lambda: states.membership_state
+        )
+        components.append(membership)
+    if loaded.start is not None:
+        components.append(build_start(loaded.start, subsystems, membership))
+
+    sessions = ClientSessions(
+        subsystems.scheduler,
+        subsystems.classes,
+        lambda: states.is_serving,
+        subsystems.descriptors.clients,
+        int(config.memory_mb * MAX_BODIES_MEMORY_SHARE * BYTES_PER_MB),
+        build_deferred_jobs_front(subsystems, loaded.durable),
+    )
+    return ProgramContext(
+        loaded=loaded,
+        states=states,
+        subsystems=subsystems,
+        sessions=sessions,
+        maintenance=maintenance,
+        components=Lifecycle(components),
+        folder=folder,
+        store=store,
+        membership=membership,
+        longest_deadline_s=max(c.deadline for c in config.settings.classes) / MS_PER_S,
+    )
--- a/oxbowyard/daemon/descriptors.py
+++ b/oxbowyard/daemon/descriptors.py
@@ -1,4 +1,4 @@
-"""How the file descriptors that the platform allows are shared out. Every part keeps to its share.
+"""How the file descriptors that the platform allows are shared out. Every component keeps to its share.
 
 Clients that ask for nothing may take all of theirs. What the watch of discovery, the admin API and attempts
 at workers need is set aside, so that a request which comes next is still served.
@@ -12,19 +12,24 @@
 EVENT_LOOP = 4  # its selector, the pair that wakes it, one to spare
 LISTENERS = 3  # clients', the admin API's, Gearman's
 DISCOVERY = 4  # two connections to the address in force, two to the one that it moves to
-FILES = (
-    4  # read or written one after the other: the configuration, workers in maintenance, the handover's marks
-)
+FILES = 4  # one after the other: the configuration, workers in maintenance, the handover's marks
 ACCEPTED_AT_ONCE = 2  # accepted, and refused a moment later
 FIXED = STANDARD_STREAMS + EVENT_LOOP + LISTENERS + DISCOVERY + FILES + ACCEPTED_AT_ONCE
 
-ADMIN_SHARE, LEAST_ADMIN, MOST_ADMIN = 1 / 16, 4, 32  # callers of the admin API at once
+# Callers of the admin API at once.
+ADMIN_SHARE = 1 / 16
+MIN_ADMIN = 4
+MAX_ADMIN = 32
+
 # Connections to workers whose answer is known and whose last bytes are still awaited.
-TAILS_SHARE, LEAST_TAILS, MOST_TAILS = 1 / 32, 4, 64
+TAILS_SHARE = 1 / 32
+MIN_TAILS = 4
+MAX_TAILS = 64
+
 # The rest goes to clients and to requests. About a third of all are held by clients for requests, and each of
 # these takes one more for its attempt; the others are for clients that ask for nothing.
 REQUESTS_SHARE = 0.41
-LEAST_REST = 5
+MIN_REST = 5
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,13 +43,23 @@
     tails: int
 
     @classmethod
-    def share_out(cls, limit: int, most_held: int, gearman: int = 0, admin: bool = True) -> Descriptors:
-        """Share out a limit. `most_held` bounds the requests, whatever the descriptors allow."""
-        callers = _share(limit, ADMIN_SHARE, LEAST_ADMIN, MOST_ADMIN) if admin else 0
-        tails = _share(limit, TAILS_SHARE, LEAST_TAILS, MOST_TAILS)
-        rest = max(limit - FIXED - callers - tails - gearman, LEAST_REST)
+    def share_out(cls, limit: int, max_requests: int, gearman: int = 0, admin: bool = True) -> Descriptors:
+        """Share out the descriptors of one process.
+
+        `limit` is how many it may have, `max_requests` bounds the requests whatever the descriptors allow,
+        `gearman` is the number of Gearman's connections, and `admin` says whether the admin API is on.
+        """
+        callers = _share(limit, ADMIN_SHARE, MIN_ADMIN, MAX_ADMIN) if admin else 0
+        tails = _share(limit, TAILS_SHARE, MIN_TAILS, MAX_TAILS)
+        rest = max(limit - FIXED - callers - tails - gearman, MIN_REST)
         requests = int(rest * REQUESTS_SHARE)
-        return cls(max(min(requests, most_held), 1), rest - requests, gearman, callers, tails)
+        return cls(
+            requests=max(min(requests, max_requests), 1),
+            clients=rest - requests,
+            gearman=gearman,
+            admin=callers,
+            tails=tails,
+        )
 
     @property
     def total(self) -> int:
@@ -52,5 +67,5 @@
         return FIXED + self.requests + self.clients + self.gearman + self.admin + self.tails
 
 
-def _share(limit: int, share: float, least: int, most: int) -> int:
-    return min(max(int(limit * share), least), most)
+def _share(limit: int, share: float, minimum: int, maximum: int) -> int:
+    return min(max(int(limit * share), minimum), maximum)
--- a/oxbowyard/daemon/garbage_collection.py
+++ b/oxbowyard/daemon/garbage_collection.py
@@ -1,7 +1,7 @@
-"""Keeps Python's garbage collector from stopping the loop while many jobs wait.
+"""Keeps Python's garbage collector from blocking the event loop while many jobs are deferred.
 
-A full pass walks every object that lives, waiting jobs too: 17 to 27 ms at 10,000 jobs, and at a million more
-than a second. Nearly all our objects end by their reference counts, so full passes wait until few jobs do.
+A full pass walks every living object, deferred jobs too: 17 to 27 ms at 10,000 jobs, and over a second at a
+million. Nearly all objects here end by their reference counts, so full passes wait until few jobs are held.
 """
 
 from __future__ import annotations
@@ -11,33 +11,41 @@
 import logging
 from collections.abc import Callable
 
+from .units import MS_PER_S
+
 log = logging.getLogger("oxbowyard.daemon")
 
-LOOK_EVERY = 60.0  # seconds between looks whether few jobs wait
+CHECK_INTERVAL_S = 60.0
 FEW_JOBS = 2_000  # with so many a full pass takes some 5 ms
-AT_LAST = 3600.0  # seconds after which a full pass is made all the same: circles must not pile up for ever
-NEVER = 1 << 30  # young collections to a full pass
-TELL = 0.05  # seconds of a pass that are worth a line
+MAX_PASS_INTERVAL_S = 3600.0  # then a full pass is made whatever is held: reference cycles must not pile up
+NEVER_THRESHOLD = 1 << 30  # young collections until a full pass
+SLOW_PASS_S = 0.05  # a pass beyond this is logged
 
 
-def spare_full_passes() -> None:
-    """From now on only the two young generations are collected by themselves."""
+def disable_full_passes() -> None:
+    """From now on only the two young generations are collected automatically."""
     gc.collect()
     gc.freeze()  # what the start has made stays for good: no pass need walk it
     young, middle, _ = gc.get_threshold()
-    gc.set_threshold(young, middle, NEVER)
+    gc.set_threshold(young, middle, NEVER_THRESHOLD)
+
 
+async def run_full_passes(job_count: Callable[[], int]) -> None:
+    """Make a full pass at each check that finds few jobs, and once an hour whatever is held; never returns.
 
-async def collect_when_few(waiting: Callable[[], int]) -> None:
-    """A full pass each time that few jobs wait, and after an hour whatever waits."""
+    `job_count` tells how many jobs are deferred.
+    """
     clock = asyncio.get_running_loop().time
-    last = clock()
+    last_pass_at = clock()
     while True:
-        await asyncio.sleep(LOOK_EVERY)
-        begun = clock()
-        if waiting() > FEW_JOBS and begun - last < AT_LAST:
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        started_at = clock()
+        if job_count() > FEW_JOBS and started_at - last_pass_at < MAX_PASS_INTERVAL_S:
             continue
         gc.collect()
-        last = clock()
-        if last - begun > TELL:
-            log.warning("full garbage collection took %.0f ms with %d jobs", (last - begun) * 1000, waiting())
+        last_pass_at = clock()
+        duration_s = last_pass_at - started_at
+        if duration_s > SLOW_PASS_S:
+            log.warning(
+                "full garbage collection: duration_ms=%.0f jobs=%d", duration_s * MS_PER_S, job_count()
+            )
--- a/oxbowyard/daemon/lifecycle.py
+++ b/oxbowyard/daemon/lifecycle.py
@@ -1,70 +1,74 @@
-"""The shape of a subsystem that the operators switch on, and the order in which several begin and end."""
+"""The interface of a component that the operator's file switches on, and the order of start and stop.
+
+This module knows no component: which there are is decided in `operator_components`.
+"""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from typing import Protocol
 
 log = logging.getLogger("oxbowyard.daemon")
 
 
-class Part(Protocol):
-    """A subsystem. It is built only when its table is in the operator's file."""
+class Component(Protocol):
+    """A subsystem that is built only when its table is in the operator's file."""
 
     @property
     def name(self) -> str:
-        """That of its table."""
+        """The name of its table."""
 
     async def open(self) -> None:
-        """Take what it needs of the machine: sockets, files; raises OSError. Once before each `start`."""
+        """Acquire sockets and files. Called once before each `start`; raises OSError."""
 
     def start(self) -> None:
         """Begin to work."""
 
     async def hand_over(self) -> None:
-        """Let go of what another process of this name needs; `open` and `start` may come again."""
+        """Release what a process that replaces this one needs; `open` and `start` may be called again."""
 
     async def close(self) -> None:
-        """End, whatever state it is in."""
+        """Stop, whatever state it is in."""
 
 
-class Parts:
-    """Parts in the order in which they begin; they end in the opposite order."""
+class Lifecycle:
+    """Starts components in the order given, and stops them in the opposite order."""
 
-    def __init__(self, parts: Iterable[Part] = ()) -> None:
-        self._parts = tuple(parts)
+    def __init__(self, components: Iterable[Component] = ()) -> None:
+        self._components = tuple(components)
 
     async def open(self) -> None:
-        """Open all, or none: one that can't be opened closes those before it and raises."""
-        for number, part in enumerate(self._parts):
+        """Open all components or none: when one fails, those opened before it are closed and OSError is
+        raised."""
+        for number, component in enumerate(self._components):
             try:
-                await part.open()
+                await component.open()
             except OSError:
-                await _end(self._parts[:number])
+                await _close_all(self._components[:number])
                 raise
 
     def start(self) -> None:
-        """Let all begin."""
-        for part in self._parts:
-            part.start()
+        """Start all components."""
+        for component in self._components:
+            component.start()
 
     async def hand_over(self) -> None:
-        """Make room for the process that replaces this one."""
-        for part in reversed(self._parts):
+        """Let all components release what the replacing process needs; a failure is logged."""
+        for component in reversed(self._components):
             try:
-                await part.hand_over()
-            except Exception:  # guards the hand-over itself: the other process serves without this part
-                log.exception("%s did not let go", part.name)
+                await component.hand_over()
+            except Exception:  # the handover goes on: the other process can serve without this component
+                log.exception("component failed to hand over: component=%s", component.name)
 
     async def close(self) -> None:
-        """End all; one that fails keeps none of the others open."""
-        await _end(self._parts)
+        """Close all components; a failure is logged and does not keep the others open."""
+        await _close_all(self._components)
 
 
-async def _end(parts: tuple[Part, ...]) -> None:
-    for part in reversed(parts):
+async def _close_all(components: Sequence[Component]) -> None:
+    for component in reversed(components):
         try:
-            await part.close()
-        except Exception:  # guards the ends of the others
-            log.exception("%s did not end as it should", part.name)
+            await component.close()
+        except Exception:  # the other components must still be closed
+            log.exception("component failed to close: component=%s", component.name)
--- /dev/null
+++ b/oxbowyard/daemon/operator_components.py
@@ -0,0 +1,113 @@
+"""Builds the components that the operator's file switches on, one function for each table.
+
+The modules of a component are imported only here and only when its table is there: their libraries may be
+absent otherwise. The store of `[durable]` is opened before the subsystems are composed; `[membership]` and
+`[start]` are built after them, start in this order, and stop in the opposite one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from random import SystemRandom
+from typing import TYPE_CHECKING, Any
+
+from ..clients.session import Waiting
+from ..control.maintenance import Maintenance
+from .composition import Subsystems
+from .config import ConfigurationError
+from .units import MS_PER_S
+
+if TYPE_CHECKING:
+    from ..durable.keeping import Keeping
+    from ..durable.settings import DurableSettings
+    from ..membership.table import MembershipSettings
+    from ..peers.part import MembershipPart
+    from ..start.part import StartPart
+    from ..start.table import StartSettings
+
+
+def open_store(settings: DurableSettings, take_over: bool) -> Keeping:
+    """Open the store of `[durable]`; `take_over` also where another program has it. Raises
+    ConfigurationError."""
+    from ..durable.keeping import Keeping, NotOpened
+
+    try:
+        return Keeping(settings, take_over)
+    except NotOpened as error:
+        raise ConfigurationError(str(error)) from None
+
+
+def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> Waiting | None:
+    """The HTTP front of deferred jobs, if `[waiting]` is there."""
+    if subsystems.waiting is None:
+        return None
+    from ..clients.waiting import WaitingFront
+
+    resolve_over_http = durable is not None and durable.resolve_over_http
+    return WaitingFront(subsystems.waiting, subsystems.classes, resolve_over_http)
+
+
+def build_membership(
+    settings: MembershipSettings, subsystems: Subsystems, maintenance: Maintenance, state: Callable[[], str]
+) -> MembershipPart:
+    """The component of `[membership]`: the group of schedulers. `state` tells this scheduler's."""
+    from ..gearman.admin import VERSION
+    from ..peers.part import MembershipPart, Offers
+
+    config, scheduler = subsystems.config, subsystems.scheduler
+    own = config.settings
+
+    def set_scheduler_count(schedulers: int) -> None:
+        scheduler.reckon(schedulers)
+        subsystems.discovery.reckon(schedulers)
+
+    return MembershipPart(
+        settings,
+        Offers(
+            name=config.name,
+            zone=own.zone,
+            configured=own.siblings,
+            ramp=own.ramp / MS_PER_S,
+            version=VERSION.rpartition(" ")[2],
+            random=SystemRandom(),
+            clock=subsystems.clock,
+            state=state,
+            held=lambda: scheduler.open_count,
+            slots=subsystems.slots,
+            workers=lambda: subsystems.registry.listed,
+            troubles=scheduler.troubles,
+            hear=scheduler.hear,
+            reckon=set_scheduler_count,
+            drained=lambda: maintenance.by_hand,
+            drain=maintenance.take,
+        ),
+    )
+
+
+def build_start(
+    settings: StartSettings, subsystems: Subsystems, membership: MembershipPart | None
+) -> StartPart:
+    """The component of `[start]`: where the first list of workers comes from."""
+    from ..start.part import Offers, StartPart
+
+    discovery, registry, config = subsystems.discovery, subsystems.registry, subsystems.config
+
+    def adopt(document: Mapping[str, Any], cold: bool, newer: bool) -> bool:
+        return discovery.adopt(document, subsystems.clock() if cold else None, newer)
+
+    def told() -> tuple[int, list[dict[str, Any]]] | None:
+        return None if discovery.told is None else (discovery.told, registry.document())
+
+    offers = Offers(
+        name=config.name,
+        configured=config.settings.siblings,
+        common=config.settings.must_subscribe,
+        random=SystemRandom(),
+        known=config.known,
+        adopt=adopt,
+        told=told,
+        peers=membership,
+    )
+    component = StartPart(settings, offers)
+    discovery.turn, discovery.on_told = component.turn, component.service_spoke
+    return component
--- /dev/null
+++ b/oxbowyard/daemon/reload.py
@@ -0,0 +1,105 @@
+"""SIGHUP and the state "reloading": the configuration is read again, and what can change live does.
+
+The classes and the number of attempts change live, and the watch of discovery moves to another address.
+A file that is not usable is rejected as a whole. What else has changed is in force after a restart.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+from ..core.retune import live_part_only, retune
+from ..decision.interface import Settings
+from .config import ConfigurationError, lacks, needs_restart
+from .context import ProgramContext
+from .loading import OPERATOR_TABLES, ConfigurationLoader, LoadedConfiguration
+from .states import State
+from .units import MS_PER_S
+
+log = logging.getLogger("oxbowyard.daemon")
+
+SETTLE_S = 2.0  # until clients name the new classes alone; they begin 1.2 s after the signal
+
+
+class Reloader:
+    """Reads the configuration again and applies what can change live."""
+
+    def __init__(self, context: ProgramContext, load: ConfigurationLoader) -> None:
+        self._context = context
+        self._load = load
+        self._discovery = context.config.discovery  # the address in force
+        self.settings = context.config.settings  # in force; classes and attempts change
+        self._settling: asyncio.TimerHandle | None = None
+
+    def reload(self) -> None:
+        """Handle SIGHUP, in any state; requests go on meanwhile."""
+        loaded = self._load_or_reject()
+        if loaded is None:
+            return
+        needing_restart = (
+            *needs_restart(self._context.config, loaded.config),
+            *self._retune(loaded.config.settings),
+            *self._changed_tables(loaded),
+        )
+        if needing_restart:
+            log.warning("configuration reloaded: restart required for: %s", ", ".join(needing_restart))
+        self._move_discovery(loaded.config.discovery)
+
+    def _load_or_reject(self) -> LoadedConfiguration | None:
+        try:
+            loaded = self._load()
+            if (missing := lacks(self._context.config, loaded.config)) is not None:
+                raise ConfigurationError(f"the file lacks {missing}")
+        except ConfigurationError as error:
+            self._context.reload_counts.invalid += 1
+            log.error("configuration rejected, keeping the one in force: error=%s", error)
+            return None
+        self._context.reload_counts.accepted += 1
+        return loaded
+
+    def _changed_tables(self, loaded: LoadedConfiguration) -> tuple[str, ...]:
+        started = self._context.loaded
+        return tuple(name for name in OPERATOR_TABLES if getattr(loaded, name) != getattr(started, name))
+
+    def _move_discovery(self, address: str) -> None:
+        if address == self._discovery:
+            log.info("configuration reloaded: discovery unchanged: address=%s", address)
+            return
+        log.info("configuration reloaded: discovery moves: address=%s", address)
+        self._discovery = address
+        if self._context.states.current is State.SERVING:
+            self._context.states.enter(State.RELOADING)
+        self._context.subsystems.discovery.move(address)
+
+    def _retune(self, settings: Settings) -> tuple[str, ...]:
+        """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
+        Returns the names of the settings that need a restart."""
+        needing_restart = live_part_only(self.settings, settings)
+        if self._context.subsystems.waiting is not None:  # deferred jobs keep the classes of the start
+            changed = settings.classes != self.settings.classes
+            return (*needing_restart, "settings.lanes") if changed else needing_restart
+        step = retune(self.settings, settings)
+        self._cancel_settling()
+        if step.after == self.settings:
+            return needing_restart
+        self._apply(step.meanwhile)
+        self._settling = asyncio.get_running_loop().call_later(SETTLE_S, self._apply, step.after)
+        names = ",".join(c.name for c in step.after.classes)
+        log.info("settings reloaded: classes=%s max_attempts=%d", names, step.after.max_attempts)
+        return needing_restart
+
+    def _cancel_settling(self) -> None:
+        """Drop the later step of an earlier reload, also where this one merely undoes that."""
+        if self._settling is not None:
+            self._settling.cancel()
+            self._settling = None
+
+    def _apply(self, settings: Settings) -> None:
+        context = self._context
+        self.settings = settings
+        context.subsystems.retune(settings)
+        context.sessions.classes = frozenset(c.name for c in settings.classes)
+        context.longest_deadline_s = max(
+            context.longest_deadline_s, *(c.deadline / MS_PER_S for c in settings.classes)
+        )
--- /dev/null
+++ b/oxbowyard/daemon/reporting.py
@@ -0,0 +1,56 @@
+"""Periodic log lines: the figures so far, and a lag of the event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Iterator, Mapping
+
+from .context import ProgramContext
+from .units import MS_PER_S
+
+log = logging.getLogger("oxbowyard.daemon")
+
+REPORT_INTERVAL_S = 10.0
+LAG_CHECK_INTERVAL_S = 0.5
+LAG_WARNING_S = 0.05
+
+
+def log_summaries(context: ProgramContext, prefix: str = "") -> None:
+    """Log the figures so far: of the requests, of deferred jobs and of the store."""
+    for summary in _summaries(context):
+        log.info("%s%s", prefix, summary)
+
+
+async def report_periodically(context: ProgramContext) -> None:
+    """Log all figures every `REPORT_INTERVAL_S`, without end."""
+    while True:
+        await asyncio.sleep(REPORT_INTERVAL_S)
+        log_summaries(context)
+        _log_client_errors("http", context.sessions.counts)
+        if context.subsystems.gearman:
+            _log_client_errors("gearman", context.subsystems.gearman.counts)
+
+
+async def watch_event_loop_lag() -> None:
+    """Log each time that the event loop was late by more than `LAG_WARNING_S`, without end."""
+    loop = asyncio.get_running_loop()
+    while True:
+        due = loop.time() + LAG_CHECK_INTERVAL_S
+        await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+        if (lag_s := loop.time() - due) > LAG_WARNING_S:
+            log.warning("event loop lag: lag_ms=%.0f", lag_s * MS_PER_S)
+
+
+def _summaries(context: ProgramContext) -> Iterator[str]:
+    yield context.subsystems.summary()
+    if context.subsystems.waiting:
+        yield context.subsystems.waiting.summary()
+    if context.store:
+        yield context.store.summary()
+
+
+def _log_client_errors(front: str, counts: Mapping[str, int]) -> None:
+    if counts:
+        errors = ", ".join(f"{kind} {n}" for kind, n in counts.items() if n)
+        log.info("client errors since the start: front=%s, %s", front, errors)
--- /dev/null
+++ b/oxbowyard/daemon/shutdown.py
@@ -0,0 +1,61 @@
+"""The states "leaving", "finishing" and "stopped": everything that was taken is answered, then all is closed.
+
+1. Leaving: connections are still accepted for `ACCEPT_AFTER_STOP_S`, and each answer closes its connection.
+   Deferred jobs that wait are given up at once: whoever waits for one may ask another scheduler.
+2. Finishing: nothing is accepted. Clients, then the components of the operator's file, then the subsystems
+   end; the last figures are logged; the store, the admin API and the files of a replacement are closed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from .context import ProgramContext
+from .hot_restart import HotRestart
+from .reporting import log_summaries
+from .states import State
+
+ACCEPT_AFTER_STOP_S = 0.5  # whoever sends clients here learns of the end meanwhile
+MAX_OVERRUN_S = 1.0  # of a client past the longest deadline
+
+
+async def shut_down(context: ProgramContext, hot_restart: HotRestart) -> None:
+    """End the program gracefully, from any state in which it runs."""
+    context.states.enter(State.LEAVING)
+    context.sessions.wind_down()
+    if context.subsystems.waiting:
+        context.subsystems.waiting.wind_down()
+    await asyncio.sleep(ACCEPT_AFTER_STOP_S)
+    context.states.enter(State.FINISHING)
+    await _finish_clients(context)
+    await context.components.close()
+    await context.subsystems.close()
+    log_summaries(context, prefix="last: ")
+    if context.store:
+        await context.store.close()
+    _close_admin(context)
+    hot_restart.end()
+    context.states.enter(State.STOPPED)
+
+
+async def abort_startup(context: ProgramContext) -> None:
+    """Close what a start that failed has opened."""
+    _close_admin(context)
+    await context.components.close()
+    await context.subsystems.close()
+    if context.store is not None:
+        await context.store.close()
+
+
+async def _finish_clients(context: ProgramContext) -> None:
+    if context.acceptor is not None:
+        await context.acceptor.shut()
+    if context.subsystems.gearman:
+        context.subsystems.gearman.wind_down()
+    longest_s = max(context.longest_deadline_s, context.subsystems.scheduler.longest_left())
+    await context.sessions.close(longest_s + MAX_OVERRUN_S)
+
+
+def _close_admin(context: ProgramContext) -> None:
+    if context.admin_acceptor is not None:
+        context.admin_acceptor.close()
--- /dev/null
+++ b/oxbowyard/daemon/startup.py
@@ -0,0 +1,104 @@
+"""The state "starting": listeners, components and background tasks in their order, then the first list.
+
+1. The clients' address is bound, and not accepted on yet.
+2. The admin API and Gearman listen.
+3. Workers in maintenance are read, before any list: a worker that was drained by hand before a replacement
+   stays so.
+4. The components of the operator's file open.
+5. The discovery client and the background tasks start; durable jobs are read back.
+6. The components start.
+7. The clients' connections are accepted.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..control.admin_server import AdminSessions
+from ..control.figures import Counted, figures
+from ..control.handlers import AdminHandlers, Sources
+from ..control.maintenance import FOLLOW_EVERY, Maintenance
+from ..listeners.acceptor import Acceptor
+from .context import ProgramContext
+from .garbage_collection import disable_full_passes, run_full_passes
+from .reporting import report_periodically, watch_event_loop_lag
+
+FIRST_LIST_TIMEOUT_S = 2.0  # for discovery's first answer; then a cached list is served from
+
+
+async def open_and_start(context: ProgramContext, is_ready: Callable[[], bool]) -> Acceptor:
+    """Take the steps above and return the clients' listener; raises OSError where an address or a file can't
+    be had. `is_ready` is what the admin API answers."""
+    acceptor = context.bind_clients()
+    _listen(context, is_ready)
+    context.maintenance.follow()
+    if context.membership is not None:
+        context.maintenance.on_change = context.membership.drained
+    await context.components.open()
+    context.subsystems.start()
+    _start_background_tasks(context)
+    context.components.start()
+    acceptor.open()
+    return acceptor
+
+
+async def wait_for_first_list(context: ProgramContext) -> None:
+    """Wait until there is a list to serve from, or the program is told to stop.
+
+    Discovery is waited for first. Once it has been silent for `FIRST_LIST_TIMEOUT_S`, a cached list does.
+    """
+    listed = asyncio.ensure_future(context.subsystems.discovery.ready.wait())
+    stop = asyncio.ensure_future(context.stop_requested.wait())
+    try:
+        await asyncio.wait({listed, stop}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        if not context.subsystems.registry.backends:
+            await asyncio.wait({listed, stop}, return_when=asyncio.FIRST_COMPLETED)
+    finally:
+        listed.cancel()
+        stop.cancel()
+
+
+def _listen(context: ProgramContext, is_ready: Callable[[], bool]) -> None:
+    subsystems = context.subsystems
+    if context.config.admin is not None:
+        handlers = AdminHandlers(_admin_sources(context, is_ready))
+        sessions = AdminSessions(handlers, subsystems.descriptors.admin)
+        context.admin_acceptor = Acceptor("control", *context.config.admin, sessions)
+        context.admin_acceptor.open()
+    if subsystems.gearman:
+        subsystems.gearman.listen()
+
+
+def _admin_sources(context: ProgramContext, is_ready: Callable[[], bool]) -> Sources:
+    subsystems = context.subsystems
+    counted = Counted(
+        subsystems.measure, subsystems.backends.relayed, subsystems.registry, context.reload_counts
+    )
+    return Sources(
+        is_ready,
+        lambda: figures(counted, subsystems.scheduler.open_count),
+        context.maintenance,
+        context.membership.view if context.membership else None,
+    )
+
+
+def _start_background_tasks(context: ProgramContext) -> None:
+    background = context.subsystems.background
+    background.start(_follow_maintenance(context.maintenance))
+    background.start(watch_event_loop_lag())
+    background.start(report_periodically(context))
+    jobs = context.subsystems.waiting
+    if jobs is None:
+        return
+    disable_full_passes()
+    background.start(run_full_passes(lambda: jobs.held.jobs))
+    if context.store is not None:
+        background.start(context.store.recovery(jobs, context.subsystems.deadlines).run())
+
+
+async def _follow_maintenance(maintenance: Maintenance) -> None:
+    """Take over what another process of this scheduler puts into maintenance, and back."""
+    while True:
+        await asyncio.sleep(FOLLOW_EVERY)
+        maintenance.follow()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,4 @@
-"""The scheduler's parts on real sockets in one process, the loop in the test's hand.
+"""The scheduler's subsystems on real sockets in one process, the loop in the test's hand.
 
 A crossing is forced: what two peers do is done between two turns of the loop, so that it learns of both at
 once, in the order in which they were done. Connections to workers come up when the test lets them.
@@ -17,7 +17,7 @@
 from virtual import VirtualLoop
 
 from oxbowyard.clients.session import ClientSessions
-from oxbowyard.daemon.composition import Assembly
+from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import load
 from oxbowyard.discovery.registry import parse_list
 from oxbowyard.gearman import config as gearman
@@ -132,9 +132,9 @@
         if waiting is not None:  # a job that is refused waits, and is asked again
             document["functions"]["file_specimen"]["queueing"] = True
         packets = gearman.parse(document, self.config.settings.classes)
-        self.parts = Assembly(self.config, packets, waiting=waiting, clock=lambda: loop.time() * 1000)
-        self.scheduler = self.parts.scheduler
-        self.sessions = ClientSessions(self.scheduler, self.parts.classes, lambda: True, 64, 1 << 24)
+        self.subsystems = compose(self.config, packets, waiting=waiting, clock=lambda: loop.time() * 1000)
+        self.scheduler = self.subsystems.scheduler
+        self.sessions = ClientSessions(self.scheduler, self.subsystems.classes, lambda: True, 64, 1 << 24)
         self.acceptor = Acceptor("http", "127.0.0.1", 0, self.sessions)
         self.worker = Worker()
         self._server: asyncio.Server | None = None
@@ -144,8 +144,8 @@
         """Both fronts and the worker listen; the list names it, perhaps several times."""
         self._server = await asyncio.start_server(self.worker.serve, "127.0.0.1", 0)
         self.acceptor.open()
-        assert self.parts.gearman
-        self.parts.gearman.listen()
+        assert self.subsystems.gearman
+        self.subsystems.gearman.listen()
         if listed:
             self.list(names)
 
@@ -156,11 +156,11 @@
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
         rows = [{"uid": name, **row} for name in names]
         change = parse_list({"rev": 1, "all": True, "targets": rows})
-        self.scheduler.learn(*self.parts.registry.apply(change))
+        self.scheduler.learn(*self.subsystems.registry.apply(change))
 
     def client(self, front: str = "http") -> socket.socket:
         """A new connection; the system takes it, the loop has not seen it yet."""
-        acceptor = self.acceptor if front == "http" else self.parts.gearman._acceptor  # type: ignore[union-attr]
+        acceptor = self.acceptor if front == "http" else self.subsystems.gearman._acceptor  # type: ignore[union-attr]
         where = acceptor._listener.getsockname()  # type: ignore[union-attr]
         self.clients.append(socket.create_connection(where, 5.0))
         return self.clients[-1]
@@ -180,9 +180,9 @@
             client.close()
         self.acceptor.close()
         await self.sessions.close(1.0)
-        assert self.parts.gearman and self._server
-        self.parts.gearman.wind_down()
-        await self.parts.close()
+        assert self.subsystems.gearman and self._server
+        self.subsystems.gearman.wind_down()
+        await self.subsystems.close()
         self._server.close()
 
 
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -262,7 +262,7 @@
             "a1", "accession", 5.0, "/accession", b"hello",
             grant=lambda backend, then: granted.append(then), client_connected=lambda: there[0],
         )  # fmt: skip
-        fetch = asyncio.create_task(stage.parts.backends.fetch("w1", req, notes))
+        fetch = asyncio.create_task(stage.subsystems.backends.fetch("w1", req, notes))
         while not granted:
             await asyncio.sleep(0.001)
         there[0] = stays
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -17,7 +17,7 @@
 import oxbowyard.cli
 from oxbowyard.cli.app import app
 from oxbowyard.configuration.check import check_platform
-from oxbowyard.daemon.config import BadConfig, load
+from oxbowyard.daemon.config import ConfigurationError, load
 
 GOOD: dict[str, Any] = {
     "listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "settings": SETTINGS,
@@ -161,6 +161,6 @@
     try:
         load({"LB_CONFIG": str(written(tmp_path, document))})
         refused = False
-    except BadConfig:
+    except ConfigurationError:
         refused = True
     assert faulty == refused == bool(path)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 import pytest
 from player import ROOT, SETTINGS
 
-from oxbowyard.daemon.config import BadConfig, load
+from oxbowyard.daemon.config import ConfigurationError, load
 from oxbowyard.discovery.call_schedule import CallSchedule
 
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
@@ -100,5 +100,5 @@
     if value is None or value == "absent":
         load({"LB_CONFIG": str(tmp_path / "config.json")})
         return
-    with pytest.raises(BadConfig, match=name):
+    with pytest.raises(ConfigurationError, match=name):
         load({"LB_CONFIG": str(tmp_path / "config.json")})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,9 @@
 from oxbowyard.clients.connection import Connection, Phase
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.daemon import composition
-from oxbowyard.daemon.program import SETTLE, Program, Read
+from oxbowyard.daemon.loading import LoadedConfiguration
+from oxbowyard.daemon.program import Program
+from oxbowyard.daemon.reload import SETTLE_S
 from oxbowyard.decision.facade import Result
 from oxbowyard.decision.interface import Repeat
 from oxbowyard.discovery.registry import parse_list
@@ -195,7 +197,7 @@
             stage.scheduler._expire(entry)
             stage.worker.end(0)
         await asyncio.sleep(1.0)
-        assert sum(stage.parts.measure.answers.values()) == 1
+        assert sum(stage.subsystems.measure.answers.values()) == 1
         got = await stage.read(client)
         assert got.count(b"HTTP/1.1 ") == 1 and stage.scheduler.open_count == 0
         if job_class == "accession":  # it ran: nobody is told that it did not
@@ -304,7 +306,7 @@
 def test_room_is_not_made_of_a_gearman_peer_whose_first_packet_lies_unread(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         await stage.begin()
-        gearman = stage.parts.gearman
+        gearman = stage.subsystems.gearman
         assert gearman
         peer = stage.client("gearman")
         await turns()
@@ -327,8 +329,8 @@
         await turns()
         client.sendall(encode(Type.SUBMIT_JOB, b"file_specimen", b"u", b"sheet", magic=REQ))
         await stage.read(client)
-        assert stage.parts.gearman
-        for connection in stage.parts.gearman._connections:  # the system holds little for a slow reader
+        assert stage.subsystems.gearman
+        for connection in stage.subsystems.gearman._connections:  # the system holds little for a slow reader
             connection._transport.get_extra_info("socket").setsockopt(  # type: ignore[union-attr]
                 socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
             )
@@ -336,7 +338,7 @@
         handle = (await stage.read(worker))[12:].split(b"\0")[0]
         worker.setblocking(True)
         worker.sendall(encode(Type.WORK_COMPLETE, handle, b"x" * 262_000, magic=REQ))
-        end = asyncio.create_task(stage.parts.close())
+        end = asyncio.create_task(stage.subsystems.close())
         await asyncio.sleep(0.5)
         assert not end.done(), "it has not read its answer yet"
         if sends_on:
@@ -375,7 +377,7 @@
                 leave(client, manner)
         await turns()
         await asyncio.sleep(1.0)
-        assert sum(stage.parts.measure.answers.values()) == 1
+        assert sum(stage.subsystems.measure.answers.values()) == 1
         assert stage.scheduler.open_count == 0 and stage.worker.ran == 1
 
     play(tmp_path, scene)
@@ -385,19 +387,21 @@
     async def scene() -> None:
         lanes = [{**lane, "aim": 100.0, "deadline": 500.0} for lane in SETTINGS["lanes"]]
         stage = Stage(tmp_path, lanes=lanes)
-        program = Program(lambda: Read(stage.config))
-        program._acceptor = await program._start()
+        program = Program(lambda: LoadedConfiguration(stage.config))
+        await program.start()
+        assert program.context.acceptor
         worker = await asyncio.start_server(stage.worker.serve, "127.0.0.1", 0)
-        client = socket.create_connection(program._acceptor._listener.getsockname(), 5.0)
+        client = socket.create_connection(program.context.acceptor._listener.getsockname(), 5.0)
         client.sendall(ask("accession", patience=9.0))
         stage.worker.answer = False
         where = "{}:{}".format(*worker.sockets[0].getsockname()[:2])
         entry = {"uid": "w1", "endpoint": where, "state": "ready"}
         change = parse_list({"rev": 1, "all": True, "targets": [entry]})
-        program._parts.scheduler.learn(*program._parts.registry.apply(change))
+        subsystems = program.context.subsystems
+        subsystems.scheduler.learn(*subsystems.registry.apply(change))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
-        leaving = asyncio.create_task(program._leave())
+        leaving = asyncio.create_task(program.shut_down())
         await asyncio.sleep(4.0)
         assert not leaving.done()
         stage.worker.end(0)
@@ -416,14 +420,14 @@
 
     async def scene() -> None:
         config = Stage(tmp_path).config
-        program = Program(lambda: Read(config))
+        program = Program(lambda: LoadedConfiguration(config))
 
         def taken() -> Acceptor:
             raise OSError("address in use")
 
-        program._client_acceptor = taken  # type: ignore[method-assign]
-        await program._resume()
-        assert program._told_to_stop.is_set()
+        program.context.bind_clients = taken  # type: ignore[method-assign]
+        await program.hot_restart.resume()
+        assert program.context.stop_requested.is_set()
 
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
         runner.run(scene())
@@ -504,7 +508,7 @@
 # ---- Settings ----
 
 
-@pytest.mark.parametrize("wait", [0.0, SETTLE / 2])
+@pytest.mark.parametrize("wait", [0.0, SETTLE_S / 2])
 def test_a_second_reload_that_undoes_the_first_leaves_nothing_of_it_pending(
     tmp_path: Path, wait: float
 ) -> None:
@@ -516,12 +520,12 @@
         loose = replace(lanes["accession"], repeat=Repeat.FREE)
         loosened = replace(config.settings, classes=tuple({**lanes, "accession": loose}.values()))
         read = [config, replace(config, settings=loosened), config]
-        program = Program(lambda: Read(read.pop(0) if read else config))
-        program._reload()
+        program = Program(lambda: LoadedConfiguration(read.pop(0) if read else config))
+        program.reloader.reload()
         await asyncio.sleep(wait)
-        program._reload()
-        await asyncio.sleep(2 * SETTLE)
-        in_force = {c.name: c.repeat for c in program._in_force.classes}
+        program.reloader.reload()
+        await asyncio.sleep(2 * SETTLE_S)
+        in_force = {c.name: c.repeat for c in program.reloader.settings.classes}
         assert in_force["accession"] is Repeat.SINGLE_SHOT
 
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
@@ -580,10 +584,10 @@
 
         server = await asyncio.start_server(spoil, "127.0.0.1", 0)
         where = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-        stage.parts.registry.backends["w1"].endpoint = where
+        stage.subsystems.registry.backends["w1"].endpoint = where
         notes = FetchNotes(30.0, lambda: None)
         req = Req("a1", "preview", 30.0, "/preview", b"hello")
-        endings: list[Ending] = [await stage.parts.backends.fetch("w1", req, notes)]
+        endings: list[Ending] = [await stage.subsystems.backends.fetch("w1", req, notes)]
         assert [e.result for e in endings] == [wanted], endings
         await asyncio.sleep(2.0)
         assert sent < 12_000_000, "cut off, not read on"
@@ -599,9 +603,11 @@
         await stage.begin()
         stage.loop.way.clear()
         req = Req("a1", "preview", 30.0, "/preview", b"hello")
-        fetch = asyncio.create_task(stage.parts.backends.fetch("w1", req, FetchNotes(30.0, lambda: None)))
+        fetch = asyncio.create_task(
+            stage.subsystems.backends.fetch("w1", req, FetchNotes(30.0, lambda: None))
+        )
         await turns()
-        stage.parts.registry.backends["w1"].endpoint = "127.0.0.1:9"
+        stage.subsystems.registry.backends["w1"].endpoint = "127.0.0.1:9"
         stage.loop.way.set()
         assert (await fetch).result is Result.NOT_SENT and stage.worker.ran == 0
 
--- a/tests/test_ends_of_the_program.py
+++ b/tests/test_ends_of_the_program.py
@@ -89,7 +89,7 @@
         wanted = b" 503 " if state == "starting" else b" 200 "
         assert wanted in got and b"Connection: close" in got
         assert program.process.wait(PATIENCE) == 0, "\n".join(program.lines)
-        assert not [line for line in program.lines if "chore ended" in line or "Traceback" in line]
+        assert not [line for line in program.lines if "background task ended" in line or "Traceback" in line]
     finally:
         if client is not None:
             client.close()
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -10,7 +10,9 @@
 from stage import HeldLoop, Stage
 
 from oxbowyard import Dispatcher, Settings
-from oxbowyard.daemon.program import Program, Read
+from oxbowyard.daemon.loading import LoadedConfiguration
+from oxbowyard.daemon.program import Program
+from oxbowyard.daemon.shutdown import abort_startup
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision import snapshot
 from oxbowyard.handover.learned import CLOCK_TOLERANCE_MS, MAX_AGE_MS, LearnedFile, Unusable, decode, encode
@@ -170,17 +172,17 @@
 
     async def scene() -> None:
         config = Stage(tmp_path).config
-        program = Program(lambda: Read(config))
-        scheduler = program._parts.scheduler
-        now = program._parts.clock()
+        program = Program(lambda: LoadedConfiguration(config))
+        scheduler = program.context.subsystems.scheduler
+        now = program.context.subsystems.clock()
         learned = snapshot.take(dispatcher(1), now)
-        program._learned.read = lambda: learned  # type: ignore[method-assign]
+        program.hot_restart.estimates_file.read = lambda: learned  # type: ignore[method-assign]
         scheduler.adopt = broken  # type: ignore[method-assign,assignment]
-        assert program._adopt(), "it is not tried again and again"
+        assert program.hot_restart.adopt_estimates(), "it is not tried again and again"
         scheduler.snapshot = broken  # type: ignore[method-assign]
-        program._handover.files.other = lambda path: PID  # type: ignore[method-assign]
-        program._hand_learned()
-        await program._close()
+        program.hot_restart.handover.files.other = lambda path: PID  # type: ignore[method-assign]
+        program.hot_restart.hand_over_estimates()
+        await abort_startup(program.context)
 
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
         runner.run(scene())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 
 from oxbowyard.clients.session import Bodies
 from oxbowyard.clients.wording import Fault
-from oxbowyard.daemon.composition import Assembly
+from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import Config
 from oxbowyard.daemon.descriptors import Descriptors
 from oxbowyard.decision.interface import JobClass, Settings
@@ -84,10 +84,10 @@
         settings = Settings(classes=(JobClass("preview", aim=1000, deadline=5000),))
         config = Config("n", "127.0.0.1", 0, "127.0.0.1:1", 1, 256, 32.0, 20_000, settings, True)
         gearman = load_gearman(Path("deploy/gearman.toml"), (*settings.classes, *OTHERS))
-        parts = Assembly(config, gearman)
-        assert parts.gearman and parts.gearman.config.max_connections == 64
-        assert parts.descriptors.requests > 50
-        assert parts.descriptors.clients > parts.descriptors.requests
-        await parts.close()
+        subsystems = compose(config, gearman)
+        assert subsystems.gearman and subsystems.gearman.config.max_connections == 64
+        assert subsystems.descriptors.requests > 50
+        assert subsystems.descriptors.clients > subsystems.descriptors.requests
+        await subsystems.close()
 
     asyncio.run(play())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -122,10 +122,10 @@
         program.wait_for("http listens")
         path.write_text("[waiting]\nmax_jobs = 7")
         program.process.send_signal(1)
-        program.wait_for("in force only after a restart: waiting")
+        program.wait_for("restart required for: waiting")
         path.write_text("[waiting]\nmax_jobs = 'x'")
         program.process.send_signal(1)
-        program.wait_for("going on with the one in force: operator.toml: waiting.max_jobs")
+        program.wait_for("keeping the one in force: error=operator.toml: waiting.max_jobs")
     finally:
         program.end()
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What schedulers make of the group: their number, troubles and drains as notes; and the order of parts."""
+"""What schedulers make of the group: their number, troubles, drains as notes; and the order of components."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.lifecycle import Parts
+from oxbowyard.daemon.lifecycle import Lifecycle
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision.choice import Dispatcher
 from oxbowyard.decision.facade import Facade, Scope, Trouble, WorkerInfo
@@ -334,11 +334,11 @@
     assert answers == [b"abcabc"] and counts["frame too long"] == 1
 
 
-# ---- Parts ----
+# ---- Components ----
 
 
-class Piece:
-    """A part that says what happens to it."""
+class RecordedComponent:
+    """A component that says what happens to it."""
 
     def __init__(self, name: str, told: list[str], fails: str = "") -> None:
         self.name, self._told, self._fails = name, told, fails
@@ -361,17 +361,29 @@
         self._did("close")
 
 
-def test_parts_begin_in_order_and_end_in_the_opposite_one_whichever_fails() -> None:
+def test_components_start_in_order_and_stop_in_the_opposite_one_whichever_fails() -> None:
     async def play() -> tuple[list[str], list[str]]:
         told: list[str] = []
-        parts = Parts([Piece("a", told), Piece("b", told, "close"), Piece("c", told, "hand over")])
-        await parts.open()
-        parts.start()
-        await parts.hand_over()
-        await parts.close()
+        lifecycle = Lifecycle(
+            [
+                RecordedComponent("a", told),
+                RecordedComponent("b", told, "close"),
+                RecordedComponent("c", told, "hand over"),
+            ]
+        )
+        await lifecycle.open()
+        lifecycle.start()
+        await lifecycle.hand_over()
+        await lifecycle.close()
         other: list[str] = []
         with pytest.raises(OSError):
-            await Parts([Piece("a", other), Piece("b", other, "open"), Piece("c", other)]).open()
+            await Lifecycle(
+                [
+                    RecordedComponent("a", other),
+                    RecordedComponent("b", other, "open"),
+                    RecordedComponent("c", other),
+                ]
+            ).open()
         return told, other
 
     told, other = asyncio.run(play())
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -127,7 +127,7 @@
         new_door = new.address("control")
         new.wait_for("starting -> serving")
         old.wait_for("serving -> handing over")
-        new.wait_for("goes on from what the old process has learned of 1 workers")
+        new.wait_for("adopted the previous process's estimates: workers=1")
         assert status(new_door, "/control/ready") == 503  # the old one holds the accession
         assert status(old_door, "/control/ready") == 503
         taken = wait_until(lambda: status(new_door, "/control/ready") == 200, 6)
--- a/tests/test_waiting_room.py
+++ b/tests/test_waiting_room.py
@@ -15,7 +15,12 @@
 from oxbowyard.core.measure import ServiceMeasure
 from oxbowyard.core.req import Answer, Ending, FetchNotes, Kind, Ran, Req
 from oxbowyard.core.scheduler import Limits, Scheduler
-from oxbowyard.daemon.garbage_collection import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
+from oxbowyard.daemon.garbage_collection import (
+    CHECK_INTERVAL_S,
+    FEW_JOBS,
+    MAX_PASS_INTERVAL_S,
+    run_full_passes,
+)
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat, Settings
 from oxbowyard.waiting.ledger import Memory
@@ -407,20 +412,20 @@
         many = [FEW_JOBS + 1]
         passes: list[float] = []
         gc.callbacks.append(lambda phase, info: passes.append(info["generation"] if phase == "start" else -1))
-        task = asyncio.create_task(collect_when_few(lambda: many[0]))
-        await asyncio.sleep(AT_LAST - 1)
+        task = asyncio.create_task(run_full_passes(lambda: many[0]))
+        await asyncio.sleep(MAX_PASS_INTERVAL_S - 1)
         assert 2 not in passes
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(CHECK_INTERVAL_S)
         assert passes.count(2) == 1  # at last, whatever waits
         many[0] = 0
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(CHECK_INTERVAL_S)
         assert passes.count(2) == 2
         task.cancel()
 
     enabled = gc.isenabled()
     gc.disable()  # only what is asked for
     try:
-        play(scene, most=2 * AT_LAST)
+        play(scene, most=2 * MAX_PASS_INTERVAL_S)
     finally:
         gc.callbacks.pop()
         if enabled:
