--- a/oxbowyard/configuration/check.py
+++ b/oxbowyard/configuration/check.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from .faults import Fault, faults
+from .validation_errors import Fault, faults
 from .platform import ENVIRONMENT, PLAIN, PlatformFile
 
 MOST_FILE = 1 << 20  # bytes: a configuration has some thousand; a device or a log is none
