--- a/oxbowyard/cli/__init__.py
+++ b/oxbowyard/cli/__init__.py
@@ -9,7 +9,7 @@
     """The console script. Without the extra `cli` it says what is missing, in one line."""
     try:
         from .app import app
-    except ImportError as fault:
-        print(f"oxbowyard: the command needs the extra cli: no {fault.name}", file=sys.stderr)
+    except ImportError as error:
+        print(f"oxbowyard: the command needs the extra cli: no {error.name}", file=sys.stderr)
         sys.exit(1)
     app()
--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -1,5 +1,8 @@
-"""The sub-commands. Errors are one line on standard error; exit codes: 0 done, 1 could not run, 2 faults in a
-file or a command used wrongly."""
+"""The sub-commands. Errors are one line on standard error; exit codes: 0 done, 1 could not run, 2 errors in a
+file or a command used wrongly.
+
+The docstrings of the commands are what `--help` prints.
+"""
 
 from __future__ import annotations
 
@@ -12,20 +15,29 @@
 import msgspec
 import typer
 
-from ..configuration.check import Unreadable, check_file, read
+from ..configuration.check import read_document
+from ..configuration.files import UnreadableFile
 from ..configuration.platform import PlatformFile
-from ..configuration.sources import in_force
+from ..configuration.sources import values_in_force
+from ..configuration.validation_errors import ValidationIssue
 from ..gearman.admin import VERSION
+from .check import check_file
 
-FAULTS = 2
+EXIT_FAILED = 1
+EXIT_INVALID = 2  # errors in a file, or a command used wrongly
 
 app = typer.Typer(
-    name="oxbowyard", no_args_is_help=True, add_completion=True, pretty_exceptions_enable=False,
+    name="oxbowyard",
+    no_args_is_help=True,
+    add_completion=True,
+    pretty_exceptions_enable=False,
     help="A scheduler that pushes jobs to a fleet of workers.",
-)  # fmt: skip
+)
 config_app = typer.Typer(no_args_is_help=True, help="The configuration: what is in force, and its schema.")
 app.add_typer(config_app, name="config")
 
+VALUE_WIDTH = 24  # characters, of the column of values in `config show`
+
 JsonFlag = Annotated[bool, typer.Option("--json", help="Print JSON, for scripts.")]
 
 
@@ -38,11 +50,14 @@
     """Run one scheduler, as `python -m oxbowyard` does; LB_CONFIG names its file."""
     from ..__main__ import main
 
-    argv = [
-        *(["--gearman", str(gearman)] if gearman else []),
-        *(["--operator", str(operator)] if operator else []),
-    ]
-    raise typer.Exit(main([*argv, *(["--take-over"] if take_over else [])]))
+    argv = []
+    if gearman:
+        argv += ["--gearman", str(gearman)]
+    if operator:
+        argv += ["--operator", str(operator)]
+    if take_over:
+        argv.append("--take-over")
+    raise typer.Exit(main(argv))
 
 
 @app.command()
@@ -54,16 +69,16 @@
 @app.command()
 def check(file: Path, json_: JsonFlag = False) -> None:
     """Hold a file against its model: the platform's JSON, or the operator's TOML. Every fault, by key."""
-    found = check_file(file, os.environ)
-    faults = [f for f in found if not f.note]
+    issues = check_file(file, os.environ)
+    errors = _errors(issues)
     if json_:
-        rows = [{"key": f.key, "text": f.text, "note": f.note} for f in found]
-        print(json.dumps({"file": str(file), "faults": len(faults), "found": rows}, indent=1))
+        rows = [{"key": issue.key, "text": issue.text, "note": issue.is_note} for issue in issues]
+        print(json.dumps({"file": str(file), "faults": len(errors), "found": rows}, indent=1))
     else:
-        for fault in found:
-            print(f"{'note' if fault.note else 'fault'}: {fault}")
-        print(f"{file}: {len(faults) or 'no'} fault{'' if len(faults) == 1 else 's'}")
-    raise typer.Exit(FAULTS if faults else 0)
+        for issue in issues:
+            print(f"{'note' if issue.is_note else 'fault'}: {issue}")
+        print(f"{file}: {len(errors) or 'no'} fault{'' if len(errors) == 1 else 's'}")
+    raise typer.Exit(EXIT_INVALID if errors else 0)
 
 
 @app.command()
@@ -73,20 +88,17 @@
     json_: JsonFlag = False,
 ) -> None:
     """The group of schedulers as one of them sees it: who, in which state, since when and why."""
-    from .members import NoAnswer, fetch, lines
+    from .members import NoAnswer, fetch_members, format_members
 
     if door is None and config is not None:
-        try:
-            door = next((str(v.value) for v in in_force(read(config), os.environ) if v.key == "admin"), None)
-        except (Unreadable, msgspec.ValidationError) as fault:
-            _fail(f"{config}: {fault}", FAULTS)
-    if not door or door == "None":
-        _fail("no door: give --door, or a configuration that names one as admin", FAULTS)
+        door = _admin_address(config)
+    if not door:
+        _fail("no door: give --door, or a configuration that names one as admin", EXIT_INVALID)
     try:
-        view = fetch(door)
-    except NoAnswer as fault:
-        _fail(str(fault), 1)
-    print(json.dumps(view, indent=1) if json_ else "\n".join(lines(view)))
+        view = fetch_members(door)
+    except NoAnswer as error:
+        _fail(str(error), EXIT_FAILED)
+    print(json.dumps(view, indent=1) if json_ else "\n".join(format_members(view)))
 
 
 @config_app.command("show")
@@ -96,20 +108,21 @@
 ) -> None:
     """What is in force, and where each value came from: the file, the environment, or the default."""
     if config is None:
-        _fail("no file: give --config or set LB_CONFIG", FAULTS)
-    found = [f for f in check_file(config, os.environ) if not f.note]
-    if found:
-        _fail(f"{config} has {len(found)} faults; see: oxbowyard check {config}", FAULTS)
+        _fail("no file: give --config or set LB_CONFIG", EXIT_INVALID)
+    errors = _errors(check_file(config, os.environ))
+    if errors:
+        _fail(f"{config} has {len(errors)} faults; see: oxbowyard check {config}", EXIT_INVALID)
     try:
-        values = in_force(read(config), os.environ)
-    except Unreadable as fault:
-        _fail(f"{config}: {fault}", FAULTS)
+        values = values_in_force(read_document(config), os.environ)
+    except UnreadableFile as error:
+        _fail(f"{config}: {error}", EXIT_INVALID)
     if json_:
-        print(json.dumps([{"key": v.key, "value": v.value, "source": v.source} for v in values], indent=1))
+        rows = [{"key": value.key, "value": value.value, "source": value.source} for value in values]
+        print(json.dumps(rows, indent=1))
         return
-    width = max(len(v.key) for v in values)
-    for v in values:
-        print(f"{v.key:<{width}}  {json.dumps(v.value):<24}  {v.source}")
+    width = max(len(value.key) for value in values)
+    for value in values:
+        print(f"{value.key:<{width}}  {json.dumps(value.value):<{VALUE_WIDTH}}  {value.source}")
 
 
 @config_app.command("schema")
@@ -120,13 +133,27 @@
 ) -> None:
     """A JSON Schema of the file, for editors."""
     if operator:
-        from ..operator.file import Tables
+        from ..operator.tables import Tables
 
         print(json.dumps(msgspec.json.schema(Tables), indent=1))
         return
     print(json.dumps(msgspec.json.schema(PlatformFile), indent=1))
 
 
+def _errors(issues: list[ValidationIssue]) -> list[ValidationIssue]:
+    return [issue for issue in issues if not issue.is_note]
+
+
+def _admin_address(config: Path) -> str | None:
+    """The admin API's address in a platform's file and the environment."""
+    try:
+        values = values_in_force(read_document(config), os.environ)
+    except (UnreadableFile, msgspec.ValidationError) as error:
+        _fail(f"{config}: {error}", EXIT_INVALID)
+    address = next((value.value for value in values if value.key == "admin"), None)
+    return None if address is None else str(address)
+
+
 def _fail(text: str, code: int) -> NoReturn:
     print(f"oxbowyard: {text}", file=sys.stderr)
     raise typer.Exit(code)
--- a/oxbowyard/cli/members.py
+++ b/oxbowyard/cli/members.py
@@ -1,4 +1,4 @@
-"""`oxbowyard members`: the group of schedulers as one of them sees it, asked at its door."""
+"""`oxbowyard members`: the group of schedulers as one of them sees it, asked at its admin API."""
 
 from __future__ import annotations
 
@@ -7,67 +7,84 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-WITHIN = 5.0  # seconds that the door is given
-MOST_ANSWER = 1 << 24  # bytes: ten thousand members take some three million
+TIMEOUT_S = 5.0
+MAX_RESPONSE_BYTES = 1 << 24  # ten thousand members take some three million
 PATH = "/control/members"
 HEAD = ("NAME", "ZONE", "ADDRESS", "STATE", "SINCE", "DOES", "HELD", "SLOTS", "VERSION", "WHY")
 
 
 class NoAnswer(Exception):
-    """The door can't be asked; its text is one line."""
+    """The admin API can't be asked; its text is one line."""
 
 
-def fetch(door: str) -> dict[str, Any]:
-    """The view of the scheduler whose door is at this address; raises NoAnswer."""
+def fetch_members(door: str) -> dict[str, Any]:
+    """The view of the scheduler whose admin API is at HOST:PORT. Raises NoAnswer."""
     host, _, port = door.rpartition(":")
     if not host or not port.isdigit():
         raise NoAnswer(f"{door!r} is no address of a door, as 127.0.0.1:18090 is")
-    connection = http.client.HTTPConnection(host, int(port), timeout=WITHIN)
+    status, body = _get(door, host, int(port))
+    if status == http.HTTPStatus.NOT_FOUND:
+        raise NoAnswer(f"the scheduler at {door} has no table [membership]")
+    try:
+        view = json.loads(body) if status == http.HTTPStatus.OK else None
+    except ValueError:
+        view = None
+    if not isinstance(view, dict) or "members" not in view:
+        raise NoAnswer(f"the door at {door} answered {status}, which is no view of a group")
+    return view
+
+
+def _get(door: str, host: str, port: int) -> tuple[int, bytes]:
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", PATH)
-        answer = connection.getresponse()
-        body = answer.read(MOST_ANSWER)
-    except (OSError, http.client.HTTPException) as fault:
-        raise NoAnswer(f"the door at {door} does not answer: {fault}") from None
+        response = connection.getresponse()
+        return response.status, response.read(MAX_RESPONSE_BYTES)
+    except (OSError, http.client.HTTPException) as error:
+        raise NoAnswer(f"the door at {door} does not answer: {error}") from None
     finally:
         connection.close()
-    if answer.status == 404:
-        raise NoAnswer(f"the scheduler at {door} has no table [membership]")
-    try:
-        found = json.loads(body) if answer.status == 200 else None
-    except ValueError:
-        found = None
-    if not isinstance(found, dict) or "members" not in found:
-        raise NoAnswer(f"the door at {door} answered {answer.status}, which is no view of a group")
-    return found
 
 
-def lines(view: Mapping[str, Any]) -> list[str]:
-    """The view for people to read."""
-    me, count = view["me"], view["count"]
+def format_members(view: Mapping[str, Any]) -> list[str]:
+    """The view as lines for people to read."""
+    me = view["me"]
     rows: list[tuple[str, ...]] = [HEAD]
     rows.append(_row({**me, "state": "this one", "since_s": None, "why": f"health {me['health']}"}))
     rows += [_row(member) for member in view["members"]]
-    told = [f"group {view['group']}: reckons with {count['reckoned']} schedulers, {count['live']} live, "
-            f"{count['in_doubt']} in doubt, {count['configured']} configured"]  # fmt: skip
-    if not me.get("bound", True):
-        told.append("its address is taken: it is no member yet")
-    told += [f"two are named {name}: the other is at {at}" for name, at in view["conflicts"].items()]
+    return [*_header(view), "", *_columns(rows)]
+
+
+def _header(view: Mapping[str, Any]) -> list[str]:
+    count = view["count"]
+    header = [
+        f"group {view['group']}: reckons with {count['reckoned']} schedulers, {count['live']} live, "
+        f"{count['in_doubt']} in doubt, {count['configured']} configured"
+    ]
+    if not view["me"].get("bound", True):
+        header.append("its address is taken: it is no member yet")
+    header += [f"two are named {name}: the other is at {at}" for name, at in view["conflicts"].items()]
     if view["spared"]:
-        told.append("spared for what others tell: " + ", ".join(view["spared"]))
+        header.append("spared for what others tell: " + ", ".join(view["spared"]))
     if view["dropped"]:
-        told.append("dropped: " + ", ".join(f"{why} {n}" for why, n in sorted(view["dropped"].items())))
-    return [*told, "", *_columns(rows)]
+        header.append("dropped: " + ", ".join(f"{why} {n}" for why, n in sorted(view["dropped"].items())))
+    return header
 
 
 def _row(member: Mapping[str, Any]) -> tuple[str, ...]:
     since = member.get("since_s")
     return (
-        member["name"], member["zone"] or "-", member["address"], member["state"],
-        "-" if since is None else f"{since:.0f} s", member.get("does", "-"),
-        f"{member.get('held', 0):.0f}", f"{member.get('slots', 0):.0f}", member.get("version", "-"),
+        member["name"],
+        member["zone"] or "-",
+        member["address"],
+        member["state"],
+        "-" if since is None else f"{since:.0f} s",
+        member.get("does", "-"),
+        f"{member.get('held', 0):.0f}",
+        f"{member.get('slots', 0):.0f}",
+        member.get("version", "-"),
         member.get("why") or "-",
-    )  # fmt: skip
+    )
 
 
 def _columns(rows: Sequence[tuple[str, ...]]) -> list[str]:
--- /dev/null
+++ b/oxbowyard/configuration/files.py
@@ -0,0 +1,21 @@
+"""Reads a configuration file as text, within a bound."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+MAX_FILE_BYTES = 1 << 20  # a configuration has some thousand; a device or a log is none
+
+
+class UnreadableFile(ValueError):
+    """The file can't be read or parsed at all; its text says why."""
+
+
+def read_text(path: Path) -> str:
+    """The text in a file. Raises UnreadableFile, or UnicodeDecodeError where it is no text."""
+    try:
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise UnreadableFile(f"over {MAX_FILE_BYTES} bytes")
+        return path.read_text()
+    except OSError as error:
+        raise UnreadableFile(f"cannot be read: {error.strerror}") from None
--- a/oxbowyard/configuration/platform.py
+++ b/oxbowyard/configuration/platform.py
@@ -10,9 +10,10 @@
 
 import msgspec
 
-ADDRESS, HEX = r"^\[?[^\s\[\]]+\]?:\d{1,5}$", r"^[0-9a-fA-F]*$"
-# How a fault against a pattern is said. msgspec writes the pattern as Python's repr would.
-PLAIN = {repr(ADDRESS)[1:-1]: "HOST:PORT", HEX: "hex digits"}
+ADDRESS = r"^\[?[^\s\[\]]+\]?:\d{1,5}$"
+HEX = r"^[0-9a-fA-F]*$"
+# What is said in place of a pattern. msgspec writes the pattern as Python's repr would.
+PATTERNS = {repr(ADDRESS)[1:-1]: "HOST:PORT", HEX: "hex digits"}
 Address = Annotated[str, msgspec.Meta(pattern=ADDRESS, description="HOST:PORT")]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
--- a/oxbowyard/configuration/sources.py
+++ b/oxbowyard/configuration/sources.py
@@ -10,6 +10,8 @@
 
 from .platform import ENVIRONMENT, PlatformFile
 
+WHOLE_VALUES = ("costs",)  # maps whose keys are not ours: shown as one value
+
 
 @dataclass(slots=True, frozen=True)
 class Value:
@@ -20,8 +22,8 @@
     source: str  # "file", "environment LB_X" or "default"
 
 
-def in_force(document: Mapping[str, Any], environ: Mapping[str, str]) -> list[Value]:
-    """The values that the program runs with, each with its source; `document` is known to be good."""
+def values_in_force(document: Mapping[str, Any], environ: Mapping[str, str]) -> list[Value]:
+    """The values that the program runs with, each with its source; `document` is known to be valid."""
     merged = dict(document)
     for key, variable in ENVIRONMENT.items():
         if not document.get(key) and environ.get(variable):
@@ -45,17 +47,19 @@
 ) -> Iterator[Value]:
     for name, value in full.items():
         below = f"{key}.{name}" if key else name
-        here = given.get(name) if isinstance(given, Mapping) else None
-        if isinstance(value, dict) and name not in ("costs",):
+        here = given.get(name)
+        if isinstance(value, dict) and name not in WHOLE_VALUES:
             yield from _values(value, here if isinstance(here, Mapping) else {}, environ, below)
             continue
-        if isinstance(given, Mapping) and name in given and here not in (None, ""):
-            source = "file"
-        elif not key and name in ENVIRONMENT and environ.get(ENVIRONMENT[name]):
-            source = f"environment {ENVIRONMENT[name]}"
-        else:
-            source = "default"
-        yield Value(below, _plain(value), source)
+        variable = "" if key else ENVIRONMENT.get(name, "")
+        yield Value(below, _plain(value), _source(here, variable, environ))
+
+
+def _source(given: object, variable: str, environ: Mapping[str, str]) -> str:
+    """`variable` is the environment's for this key, "" for none."""
+    if given not in (None, ""):
+        return "file"
+    return f"environment {variable}" if variable and environ.get(variable) else "default"
 
 
 def _plain(value: object) -> object:
--- a/oxbowyard/configuration/validation_errors.py
+++ b/oxbowyard/configuration/validation_errors.py
@@ -1,99 +1,126 @@
-"""Every fault of a document against a model, each named by its key. msgspec stops at the first fault of
-what it converts, so each value is converted by itself; a key that is not known names the nearest one."""
+"""Finds every error of a document against a model, each named by its key.
+
+msgspec stops at the first error of what it converts, so each value is converted by itself.
+"""
 
 from __future__ import annotations
 
-import difflib
-from collections.abc import Iterator, Mapping, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass
 from types import UnionType
-from typing import Annotated, Any, Literal, Union, get_args, get_origin
+from typing import Annotated, Any, Literal, TypeGuard, Union, get_args, get_origin
 
 import msgspec
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
-    """One thing wrong at a key. A note is not wrong: a key that this program does not read."""
+class ValidationIssue:
+    """One thing to say about a key of a document."""
 
     key: str
     text: str
-    note: bool = False
+    is_note: bool = False  # not an error: a key that this program does not read
 
     def __str__(self) -> str:
         return f"{self.key or '(the file)'}: {self.text}"
 
 
-def faults(value: object, type_: Any, key: str = "", plain: Mapping[str, str] | None = None) -> list[Fault]:
-    """All faults and notes of a value and everything below it. `plain` says a pattern in words."""
-    return list(_Walk(dict(plain or {})).walk(value, type_, key))
+def validation_issues(
+    document: object, model: Any, patterns: Mapping[str, str] | None = None, detailed: bool = True
+) -> list[ValidationIssue]:
+    """All errors and notes of a document and everything below it.
 
+    `patterns` gives regular expressions of the model with the words that are shown in their place. A detailed
+    issue names the place in a list, the values that are allowed and the nearest known key; otherwise a list
+    is one value, and the text is msgspec's.
+    """
+    return list(_Walker(patterns or {}, detailed).walk(document, model, ""))
 
-@dataclass(slots=True)
-class _Walk:
-    plain: dict[str, str] = field(default_factory=dict)
 
-    def walk(self, value: object, type_: Any, key: str) -> Iterator[Fault]:
-        if get_origin(type_) is Annotated:  # the type first, below; then its bounds, on the whole
-            below = list(self.walk(value, get_args(type_)[0], key))
-            yield from below
-            if all(fault.note for fault in below):
-                yield from self.converted(value, type_, key, shallow=True)
-            return
+@dataclass(slots=True, frozen=True)
+class _Walker:
+    patterns: Mapping[str, str]
+    detailed: bool
+
+    def walk(self, value: object, type_: Any, key: str) -> Iterator[ValidationIssue]:
+        """The issues of a value and all below it."""
         struct, origin = _struct_in(type_), get_origin(type_)
-        if origin is dict and isinstance(value, Mapping):
+        if origin is Annotated and self.detailed:
+            yield from self._walk_annotated(value, type_, key)
+        elif origin is dict and isinstance(value, Mapping):
             for name, item in value.items():
-                yield from self.walk(item, get_args(type_)[1], _under(key, str(name)))
-        elif origin in (list, tuple) and isinstance(value, Sequence) and not isinstance(value, str):
-            for i, item in enumerate(value):
-                yield from self.walk(item, get_args(type_)[0], f"{key}[{i}]")
+                yield from self.walk(item, get_args(type_)[1], _join(key, str(name)))
+        elif origin in (list, tuple) and self.detailed and _is_list(value):
+            for number, item in enumerate(value):
+                yield from self.walk(item, get_args(type_)[0], f"{key}[{number}]")
         elif struct is not None and isinstance(value, Mapping):
-            yield from self.struct(value, struct, key)
+            yield from self._walk_struct(value, struct, key)
         else:
-            yield from self.converted(value, type_, key)
+            yield from self._convert(value, type_, key)
 
-    def struct(self, value: Mapping[str, object], struct: type[msgspec.Struct], key: str) -> Iterator[Fault]:
-        fields = {f.encode_name: f for f in msgspec.structs.fields(struct)}
-        open_ = not struct.__struct_config__.forbid_unknown_fields
-        found = False
+    def _walk_annotated(self, value: object, type_: Any, key: str) -> Iterator[ValidationIssue]:
+        """The type first, with all below it; then its bounds, on the whole value."""
+        below = list(self.walk(value, get_args(type_)[0], key))
+        yield from below
+        if not all(issue.is_note for issue in below):
+            return
+        if isinstance(value, list):  # its items were looked at: only its length is left
+            value = [None] * len(value)
+            type_ = Annotated[list[Any], *get_args(type_)[1:]]
+        yield from self._convert(value, type_, key)
+
+    def _walk_struct(
+        self, value: Mapping[str, object], struct: type[msgspec.Struct], key: str
+    ) -> Iterator[ValidationIssue]:
+        fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
+        failed = False
         for name, item in value.items():
-            below = _under(key, str(name))
-            if name in fields:
-                for fault in self.walk(item, fields[name].type, below):
-                    found |= not fault.note
-                    yield fault
-                continue
-            near = difflib.get_close_matches(str(name), fields, n=1)
-            hint = f"; did you mean {near[0]}?" if near else ""
-            found |= not open_
-            yield (
-                Fault(below, f"not read by this program{hint}", note=True)
-                if open_
-                else Fault(below, f"no such key{hint}")
+            below = _join(key, str(name))
+            known = fields.get(name)
+            issues = (
+                self.walk(item, known.type, below)
+                if known
+                else [self._unknown_key(name, below, struct, fields)]
             )
-        for name, each in fields.items():
-            if each.required and name not in value:
-                found = True
-                yield Fault(_under(key, name), "missing")
-        if not found:  # what its values say together
-            yield from self.converted({k: v for k, v in value.items() if k in fields}, struct, key)
-
-    def converted(self, value: object, type_: Any, key: str, shallow: bool = False) -> Iterator[Fault]:
-        if shallow and isinstance(value, list):  # its items were looked at: only its length is left
-            value, type_ = [None] * len(value), Annotated[list[Any], *get_args(type_)[1:]]
+            for issue in issues:
+                failed |= not issue.is_note
+                yield issue
+        for name, field in fields.items():
+            if field.required and name not in value:
+                failed = True
+                yield ValidationIssue(_join(key, name), "missing")
+        if not failed:  # now what its values say together
+            yield from self._convert({k: v for k, v in value.items() if k in fields}, struct, key)
+
+    def _unknown_key(
+        self, name: str, key: str, struct: type[msgspec.Struct], known: Iterable[str]
+    ) -> ValidationIssue:
+        hint = _nearest(str(name), known) if self.detailed else ""
+        if struct.__struct_config__.forbid_unknown_fields:
+            return ValidationIssue(key, f"no such key{hint}")
+        return ValidationIssue(key, f"not read by this program{hint}", is_note=True)
+
+    def _convert(self, value: object, type_: Any, key: str) -> Iterator[ValidationIssue]:
         try:
             msgspec.convert(value, type_, strict=True)
-        except msgspec.ValidationError as fault:
-            text, _, at = str(fault).partition(" - at ")
-            for pattern, words in self.plain.items():
-                text = text.replace(f"`str` matching regex '{pattern}'", words)
-            if text.startswith("Invalid enum value") and get_origin(type_) is Literal:
-                text += f", not one of {', '.join(map(str, get_args(type_)))}"
-            where = at.strip("`").removeprefix("$")  # as `$.name[2]`, below the key
-            yield Fault((key + where).removeprefix("."), text)
+        except msgspec.ValidationError as error:
+            text, _, at = str(error).partition(" - at ")
+            if not self.detailed:
+                yield ValidationIssue(key, text)
+                return
+            place = at.strip("`").removeprefix("$")  # as `$.name[2]`, below the key
+            yield ValidationIssue((key + place).removeprefix("."), self._worded(text, type_))
+
+    def _worded(self, text: str, type_: Any) -> str:
+        for pattern, words in self.patterns.items():
+            text = text.replace(f"`str` matching regex '{pattern}'", words)
+        if text.startswith("Invalid enum value") and get_origin(type_) is Literal:
+            text += f", not one of {', '.join(map(str, get_args(type_)))}"
+        return text
 
 
 def _struct_in(type_: Any) -> type[msgspec.Struct] | None:
+    """The model of a table in a type or among the options of a union."""
     options = get_args(type_) if get_origin(type_) in (Union, UnionType) else (type_,)
     for option in options:
         if isinstance(option, type) and issubclass(option, msgspec.Struct):
@@ -101,5 +128,16 @@
     return None
 
 
-def _under(key: str, name: str) -> str:
+def _is_list(value: object) -> TypeGuard[Sequence[object]]:
+    return isinstance(value, Sequence) and not isinstance(value, str)
+
+
+def _nearest(name: str, known: Iterable[str]) -> str:
+    import difflib  # for the command alone: a scheduler at work never needs it
+
+    near = difflib.get_close_matches(name, known, n=1)
+    return f"; did you mean {near[0]}?" if near else ""
+
+
+def _join(key: str, name: str) -> str:
     return f"{key}.{name}" if key else name
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -1,6 +1,7 @@
-"""Reads `deploy/operator.toml`. Every fault in it is found in one go, each named by its key.
+"""Reads `deploy/operator.toml` and checks it against its model and the classes of the platform's settings.
 
-msgspec stops at the first fault of what it converts, so each value is converted by itself.
+The errors of keys and values are found all at once. What the tables say together is checked once those are
+mended.
 """
 
 from __future__ import annotations
@@ -9,11 +10,12 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from types import UnionType
-from typing import Any, Union, get_args, get_origin
+from typing import Any
 
 import msgspec
 
+from ..configuration.files import UnreadableFile, read_text
+from ..configuration.validation_errors import ValidationIssue, validation_issues
 from ..decision.interface import JobClass
 from ..durable.settings import DurableSettings
 from ..gearman.config import Function, GearmanConfig
@@ -21,41 +23,9 @@
 from ..membership.table import MembershipSettings
 from ..start.table import StartSettings
 from ..waiting.settings import ClassSettings, WaitingSettings
+from .tables import Tables
 
-MOST_FILE = 1 << 20  # bytes: a file of settings has some thousand; a device or a log is none
-
-
-class FunctionTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[gearman.functions.NAME]`."""
-
-    class_: str = msgspec.field(name="class")
-    deadline_ms: float | None = None
-    worth: float | None = None
-    queueing: bool = False
-    patience_s: float | None = None
-
-
-class GearmanTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[gearman]`: the keys of deploy/gearman.toml, whose page says what they mean."""
-
-    listen: str
-    max_packet_bytes: int | None = None
-    max_connections: int | None = None
-    max_buffered_bytes: int | None = None
-    packet_within_s: float | None = None
-    max_queue: int | None = None
-    max_held_bytes: int | None = None
-    functions: dict[str, FunctionTable] = msgspec.field(default_factory=dict)
-
-
-class Tables(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The file. A table that is absent leaves its subsystem off."""
-
-    waiting: WaitingSettings | None = None
-    durable: DurableSettings | None = None
-    gearman: GearmanTable | None = None
-    membership: MembershipSettings | None = None
-    start: StartSettings | None = None
+RESERVED_CLASS = "jobs"  # its path is that of deferred jobs
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,54 +39,51 @@
     start: StartSettings | None = None
 
 
-class Faulty(ValueError):
-    """The file can't be used; its text names every fault, each by its key."""
+class OperatorFileError(ValueError):
+    """The file can't be used; its text names every error, each by its key."""
 
-    def __init__(self, name: str, faults: Iterable[str]) -> None:
-        self.faults = tuple(faults)
-        super().__init__(f"{name}: " + "; ".join(self.faults))
+    def __init__(self, name: str, errors: Iterable[str]) -> None:
+        self.errors = tuple(errors)
+        super().__init__(f"{name}: " + "; ".join(self.errors))
 
 
 def load(path: Path, classes: Iterable[JobClass]) -> OperatorConfig:
-    """Read and check the file against the classes of the settings; raises Faulty."""
+    """Read the file and check it against the classes of the settings. Raises OperatorFileError."""
     document = _read(path)
-    faults = list(_faults(document, Tables, ""))
-    if faults:
-        raise Faulty(path.name, faults)
+    _raise_if_any(path, map(str, validation_issues(document, Tables, detailed=False)))
     tables = msgspec.convert(document, Tables)
-    named = tuple(classes)
-    gearman = None
-    if "gearman" in document:
-        try:
-            gearman = parse_gearman(document["gearman"], named)
-        except ValueError as fault:
-            raise Faulty(path.name, [f"gearman.{fault}"]) from None
-    waiting = tables.waiting
+    job_classes = tuple(classes)
+    gearman = _gearman(path, document, job_classes)
     functions = gearman.functions if gearman else {}
-    if waiting is None:
-        queueing = (f.name for f in functions.values() if f.queueing)
-        faults = [f"gearman.functions.{name}.queueing: needs the table [waiting]" for name in queueing]
-    else:
-        waiting = _with_functions(waiting, functions)
-        known = {c.name for c in named} | {f.job_class.name for f in functions.values()}
-        faults = [f"waiting.classes.{n}: no such class here" for n in waiting.classes if n not in known]
-        most = waiting.max_patience_s
-        faults += [
-            f"gearman.functions.{f.name}.patience_s: over waiting.max_patience_s"
-            for f in functions.values()
-            if f.patience is not None and f.patience > most
-        ]
-        if "jobs" in known:
-            faults.append("waiting: a class is named jobs, and its path is that of waiting jobs")
-    if tables.durable is not None and waiting is None:
-        faults.append("durable: needs the table [waiting]")
-    if faults:
-        raise Faulty(path.name, faults)
+    waiting = _with_functions(tables.waiting, functions) if tables.waiting is not None else None
+    class_names = {c.name for c in job_classes}
+    _raise_if_any(path, map(str, _combined_issues(tables, waiting, functions, class_names)))
     return OperatorConfig(waiting, gearman, tables.durable, tables.membership, tables.start)
 
 
+def _read(path: Path) -> dict[str, Any]:
+    try:
+        return tomllib.loads(read_text(path))
+    except (UnreadableFile, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise OperatorFileError(path.name, [str(error)]) from None
+
+
+def _raise_if_any(path: Path, errors: Iterable[str]) -> None:
+    if found := list(errors):
+        raise OperatorFileError(path.name, found)
+
+
+def _gearman(path: Path, document: dict[str, Any], classes: tuple[JobClass, ...]) -> GearmanConfig | None:
+    if "gearman" not in document:
+        return None
+    try:
+        return parse_gearman(document["gearman"], classes)
+    except ValueError as error:
+        raise OperatorFileError(path.name, [f"gearman.{error}"]) from None
+
+
 def _with_functions(waiting: WaitingSettings, functions: Mapping[str, Function]) -> WaitingSettings:
-    """A function's class has a table like any other; what the function says goes into it."""
+    """The settings with a table for the class of each function, as far as the function says something."""
     classes = dict(waiting.classes)
     for function in functions.values():
         own = classes.get(function.job_class.name, ClassSettings())
@@ -126,65 +93,33 @@
     return msgspec.structs.replace(waiting, classes=classes)
 
 
-def _read(path: Path) -> dict[str, Any]:
-    try:
-        if path.stat().st_size > MOST_FILE:
-            raise Faulty(path.name, [f"over {MOST_FILE} bytes"])
-        return tomllib.loads(path.read_text())
-    except OSError as fault:
-        raise Faulty(path.name, [f"cannot be read: {fault.strerror}"]) from None
-    except ValueError as fault:  # TOML's faults, and bytes that are no text
-        if isinstance(fault, Faulty):
-            raise
-        raise Faulty(path.name, [str(fault)]) from None
-
-
-def _faults(value: object, type_: Any, key: str) -> Iterator[str]:
-    """What is wrong with a value and all below it."""
-    struct = _struct_in(type_)
-    if get_origin(type_) is dict and isinstance(value, Mapping):
-        for name, item in value.items():
-            yield from _faults(item, get_args(type_)[1], _under(key, str(name)))
-    elif struct is not None and isinstance(value, Mapping):
-        yield from _struct_faults(value, struct, key)
+def _combined_issues(
+    tables: Tables, waiting: WaitingSettings | None, functions: Mapping[str, Function], class_names: set[str]
+) -> Iterator[ValidationIssue]:
+    """What is wrong with the tables together."""
+    if waiting is None:
+        for function in functions.values():
+            if function.queueing:
+                yield ValidationIssue(
+                    f"gearman.functions.{function.name}.queueing", "needs the table [waiting]"
+                )
     else:
-        try:
-            msgspec.convert(value, type_)
-        except msgspec.ValidationError as fault:
-            yield f"{key}: {str(fault).partition(' - at ')[0]}"
-
-
-def _struct_faults(value: Mapping[str, object], struct: type[msgspec.Struct], key: str) -> Iterator[str]:
-    fields = {f.encode_name: f for f in msgspec.structs.fields(struct)}
-    found = False
-    for name, item in value.items():
-        below = _under(key, name)
-        if name not in fields:
-            found = True
-            yield f"{below}: no such key"
-            continue
-        for fault in _faults(item, fields[name].type, below):
-            found = True
-            yield fault
-    for name, each in fields.items():
-        if each.required and name not in value:
-            found = True
-            yield f"{_under(key, name)}: missing"
-    if found:
-        return
-    try:  # what its values say together
-        msgspec.convert(value, struct)
-    except msgspec.ValidationError as fault:
-        yield f"{key}: {str(fault).partition(' - at ')[0]}"
-
-
-def _struct_in(type_: Any) -> type[msgspec.Struct] | None:
-    options = get_args(type_) if get_origin(type_) in (Union, UnionType) else (type_,)
-    for option in options:
-        if isinstance(option, type) and issubclass(option, msgspec.Struct):
-            return option
-    return None
-
-
-def _under(key: str, name: str) -> str:
-    return f"{key}.{name}" if key else name
+        known = class_names | {f.job_class.name for f in functions.values()}
+        yield from _waiting_issues(waiting, functions, known)
+    if tables.durable is not None and waiting is None:
+        yield ValidationIssue("durable", "needs the table [waiting]")
+
+
+def _waiting_issues(
+    waiting: WaitingSettings, functions: Mapping[str, Function], known: set[str]
+) -> Iterator[ValidationIssue]:
+    for name in waiting.classes:
+        if name not in known:
+            yield ValidationIssue(f"waiting.classes.{name}", "no such class here")
+    for function in functions.values():
+        if function.patience is not None and function.patience > waiting.max_patience_s:
+            yield ValidationIssue(
+                f"gearman.functions.{function.name}.patience_s", "over waiting.max_patience_s"
+            )
+    if RESERVED_CLASS in known:
+        yield ValidationIssue("waiting", "a class is named jobs, and its path is that of waiting jobs")
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(("path", "value"), [("", None), *MUTATIONS], ids=lambda x: str(x))
 def test_the_model_and_the_loader_of_run_agree(tmp_path: Path, path: str, value: object) -> None:
     document = mutated(path, value) if path else GOOD
-    faulty = any(not fault.note for fault in check_platform(document, {}))
+    faulty = any(not issue.is_note for issue in check_platform(document, {}))
     try:
         load({"LB_CONFIG": str(written(tmp_path, document))})
         refused = False
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,8 +10,9 @@
 import pytest
 from player import ROOT, SETTINGS, Program
 
+from oxbowyard.configuration.files import MAX_FILE_BYTES
 from oxbowyard.decision.facts import settings_of
-from oxbowyard.operator.file import MOST_FILE, Faulty, load
+from oxbowyard.operator.file import OperatorFileError, load
 from oxbowyard.waiting.settings import WaitingSettings
 
 CLASSES = settings_of(SETTINGS).classes
@@ -24,8 +25,8 @@
     path.write_text(text)
     try:
         load(path, CLASSES)
-    except Faulty as fault:
-        return list(fault.faults)
+    except OperatorFileError as error:
+        return list(error.errors)
     return []
 
 
@@ -84,7 +85,7 @@
         ("[start]\nfresh_s = 10.0\nmax_age_s = 5.0", "start: fresh_s must not be over max_age_s"),
         ("[start]\nfew = 0", "start.few: Expected"),
         ("= 1", "line 1"),
-        ("#" * (MOST_FILE + 1), "over 1048576 bytes"),
+        ("#" * (MAX_FILE_BYTES + 1), "over 1048576 bytes"),
     ],
 )  # fmt: skip
 def test_what_values_say_together(text: str, named: str, tmp_path: Path) -> None:
@@ -93,7 +94,7 @@
 
 
 def test_a_file_that_is_not_there(tmp_path: Path) -> None:
-    with pytest.raises(Faulty, match="No such file"):
+    with pytest.raises(OperatorFileError, match="No such file"):
         load(tmp_path / "none.toml", CLASSES)
 
 
