--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -24,8 +24,8 @@
 
 from benchmarks.faults.processes import ROOT, Fleet, fleet, until
 from benchmarks.faults.service import Service, ServiceThread, workers
-from oxbowyard.start import disk
-from oxbowyard.start.turn import Turn
+from oxbowyard.start import snapshot_file as disk
+from oxbowyard.start.fetch_admission import Turn
 
 CONFIG = json.loads((ROOT / "examples/config.json").read_text())
 ASKED = json.loads((ROOT / "tests/settings_asked.json").read_text())
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -22,7 +22,7 @@
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
     from ..peers.part import MembershipPart
-    from ..start.part import StartPart
+    from ..start.component import StartPart
     from ..start.table import StartSettings
 
 
@@ -88,7 +88,7 @@
     settings: StartSettings, subsystems: Subsystems, membership: MembershipPart | None
 ) -> StartPart:
     """The component of `[start]`: where the first list of workers comes from."""
-    from ..start.part import Offers, StartPart
+    from ..start.component import Offers, StartPart
 
     discovery, registry, config = subsystems.discovery, subsystems.registry, subsystems.config
 
--- a/oxbowyard/start/part.py
+++ b/oxbowyard/start/component.py
@@ -15,10 +15,10 @@
 
 import orjson
 
-from . import disk
-from .lists import Listed, Source, Unusable, best, better, listed
+from . import snapshot_file as disk
+from .fetch_admission import Turn
+from .snapshots import Listed, Source, Unusable, best, better, listed
 from .table import StartSettings
-from .turn import Turn
 
 log = logging.getLogger("oxbowyard.start")
 
--- a/oxbowyard/start/disk.py
+++ b/oxbowyard/start/snapshot_file.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from .lists import Listed, Source, Unusable, listed
+from .snapshots import Listed, Source, Unusable, listed
 
 FORMAT = 1
 AHEAD = 60.0  # seconds that a file may be ahead of this machine's clock
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,11 +18,11 @@
 
 from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, until
 from benchmarks.faults.service import Service, ServiceThread, workers
-from oxbowyard.start import disk
-from oxbowyard.start.lists import Listed, Source, Unusable, best, better, listed
-from oxbowyard.start.part import Offers, StartPart
+from oxbowyard.start import snapshot_file as disk
+from oxbowyard.start.component import Offers, StartPart
+from oxbowyard.start.fetch_admission import Turn, begins, place
+from oxbowyard.start.snapshots import Listed, Source, Unusable, best, better, listed
 from oxbowyard.start.table import StartSettings
-from oxbowyard.start.turn import Turn, begins, place
 
 DAY = 86400.0
 CONFIG: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
