--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -24,8 +24,8 @@
 
 from benchmarks.faults.processes import ROOT, Fleet, fleet, until
 from benchmarks.faults.service import Service, ServiceThread, workers
-from oxbowyard.start import snapshot_file as disk
-from oxbowyard.start.fetch_admission import Turn
+from oxbowyard.start.fetch_admission import FetchAdmission
+from oxbowyard.start.snapshot_file import write_snapshot
 
 CONFIG = json.loads((ROOT / "examples/config.json").read_text())
 ASKED = json.loads((ROOT / "tests/settings_asked.json").read_text())
@@ -60,7 +60,7 @@
                 if kind == "today":
                     (member.folder / "operator.toml").write_text("")
                 if kind == "down":
-                    disk.write(member.folder / "list", "default", time.time() - 300, 3, workers(24))
+                    write_snapshot(member.folder / "list", "default", time.time() - 300, 3, workers(24))
             service.service.down = kind == "down"
             began = time.time()
             for member in made:
@@ -136,8 +136,8 @@
 
     for name in names:
         if kind == "turns":
-            turn = Turn(name, 3, 2.0, random, 1.0)
-            at(turn.at(order[name]), lambda name=name: call(name, 0))  # type: ignore[misc]
+            admission = FetchAdmission(name, 3, 2.0, random, 1.0)
+            at(admission.due_at_rank(order[name]), lambda name=name: call(name, 0))  # type: ignore[misc]
             at(1.0, lambda name=name: ask_peers(name))  # type: ignore[misc]
         else:
             at(random.uniform(0, 0.1), lambda name=name: call(name, 0))  # type: ignore[misc]
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -22,7 +22,7 @@
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
     from ..peers.part import MembershipPart
-    from ..start.component import StartPart
+    from ..start.component import StartComponent
     from ..start.table import StartSettings
 
 
@@ -86,28 +86,32 @@
 
 def build_start(
     settings: StartSettings, subsystems: Subsystems, membership: MembershipPart | None
-) -> StartPart:
+) -> StartComponent:
     """The component of `[start]`: where the first list of workers comes from."""
-    from ..start.component import Offers, StartPart
+    from ..start.component import StartComponent
+    from ..start.dependencies import ServiceList, StartDependencies
 
     discovery, registry, config = subsystems.discovery, subsystems.registry, subsystems.config
 
-    def adopt(document: Mapping[str, Any], cold: bool, newer: bool) -> bool:
-        return discovery.adopt(document, subsystems.clock() if cold else None, newer)
+    def adopt(document: Mapping[str, Any], all_cold: bool, newer_may_be_asked: bool) -> bool:
+        cold_since = subsystems.clock() if all_cold else None
+        return discovery.adopt(document, cold_since, newer_may_be_asked)
 
-    def told() -> tuple[int, list[dict[str, Any]]] | None:
-        return None if discovery.told is None else (discovery.told, registry.document())
+    def service_list() -> ServiceList | None:
+        if discovery.told is None:
+            return None
+        return ServiceList(discovery.told, registry.document())
 
-    offers = Offers(
+    dependencies = StartDependencies(
         name=config.name,
         configured=config.settings.siblings,
-        common=config.settings.must_subscribe,
+        is_shared_service=config.settings.must_subscribe,
         random=SystemRandom(),
         known=config.known,
         adopt=adopt,
-        told=told,
+        service_list=service_list,
         peers=membership,
     )
-    component = StartPart(settings, offers)
-    discovery.turn, discovery.on_told = component.turn, component.service_spoke
+    component = StartComponent(settings, dependencies)
+    discovery.turn, discovery.on_told = component.wait_for_admission, component.service_answered
     return component
--- a/oxbowyard/start/__init__.py
+++ b/oxbowyard/start/__init__.py
@@ -1,1 +1,2 @@
-"""How a scheduler begins: where its first list comes from, how far to trust it, whose turn it is."""
+"""How a scheduler starts: where its first list of workers comes from, how far to trust it, and when it may
+ask the list service."""
--- a/oxbowyard/start/snapshot_file.py
+++ b/oxbowyard/start/snapshot_file.py
@@ -1,4 +1,8 @@
-"""The list kept on disk: written whole or not at all, checked when it is read, and never taken for fresh."""
+"""The list of workers in a file: written whole or not at all, checked when it is read, never taken for fresh.
+
+The file is one JSON object, a newline, and 64 hex digits: the checksum of what stands before the newline. The
+program that replaces this one reads it, so its bytes must not change.
+"""
 
 from __future__ import annotations
 
@@ -12,61 +16,81 @@
 
 import orjson
 
-from .snapshots import Listed, Source, Unusable, listed
+from .snapshots import Snapshot, Source, UnusableSnapshot, parse_snapshot
 
 FORMAT = 1
-AHEAD = 60.0  # seconds that a file may be ahead of this machine's clock
+CLOCK_TOLERANCE_S = 60.0  # that a file may be ahead of this machine's clock
+CHECKSUM_BYTES = 32  # twice as many hex digits
+TRAILER_BYTES = 2 * CHECKSUM_BYTES + 1  # with the newline before them
 
 
-def read(path: Path, site: str, now: float, most_age: float, most: int, most_bytes: int) -> Listed:
-    """The list in the file; `now` is wall-clock time. Raises Unusable with the reason."""
-    try:
-        if path.stat().st_size > most_bytes:
-            raise Unusable(f"over {most_bytes} bytes")
-        data = path.read_bytes()
-    except FileNotFoundError:
-        raise Unusable("not there") from None
-    except OSError as fault:
-        raise Unusable(f"can't be read: {fault.strerror}") from None
-    body = data[:-65]
-    if len(data) < 66 or data[-65:] != b"\n" + _sum(body):
-        raise Unusable("damaged")
-    try:
-        found = orjson.loads(body)
-    except ValueError:
-        raise Unusable("damaged") from None
-    if not isinstance(found, dict) or found.get("format") != FORMAT:
-        raise Unusable("of another format")
-    if found.get("site") != site:
-        raise Unusable("of another site")
-    told_at = found.get("told_at")
-    if not isinstance(told_at, (int, float)) or not math.isfinite(told_at):
-        raise Unusable("damaged")
-    if told_at > now + AHEAD:
-        raise Unusable("from the future")
-    age = max(now - told_at, 0.0)
-    if age > most_age:
-        raise Unusable(f"{age:.0f} s old")
-    return listed(Source.DISK, age, found, most, path.name)
+def read_snapshot(
+    path: Path, site: str, now: float, max_age_s: float, max_entries: int, max_bytes: int
+) -> Snapshot:
+    """The list in the file; `now` is Unix time in seconds. Raises UnusableSnapshot with the reason."""
+    document = _parse(_read(path, max_bytes))
+    if document.get("site") != site:
+        raise UnusableSnapshot("of another site")
+    age_s = _age_s(document.get("told_at"), now)
+    if age_s > max_age_s:
+        raise UnusableSnapshot(f"{age_s:.0f} s old")
+    return parse_snapshot(Source.DISK, age_s, document, max_entries, path.name)
+
 
+def write_snapshot(
+    path: Path, site: str, confirmed_at: float, revision: int, targets: Sequence[Mapping[str, Any]]
+) -> None:
+    """Replace the file. Raises OSError, and then the one before is still there, whole.
 
-def write(path: Path, site: str, told_at: float, rev: int, targets: Sequence[Mapping[str, Any]]) -> None:
-    """Replace the file; raises OSError, and then the one before is still there, whole."""
+    `confirmed_at` is the Unix time in seconds at which the service sent or confirmed the list.
+    """
     body = orjson.dumps(
-        {"format": FORMAT, "site": site, "told_at": told_at, "rev": rev, "targets": list(targets)}
+        {"format": FORMAT, "site": site, "told_at": confirmed_at, "rev": revision, "targets": list(targets)}
     )
-    part = path.with_name(f"{path.name}.{os.getpid()}.part")
+    temporary = path.with_name(f"{path.name}.{os.getpid()}.part")
     try:
-        with part.open("wb") as file:
-            file.write(body + b"\n" + _sum(body))
+        with temporary.open("wb") as file:
+            file.write(body + b"\n" + _checksum(body))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(part, path)
+        os.replace(temporary, path)
     except OSError:
         with contextlib.suppress(OSError):
-            part.unlink()
+            temporary.unlink()
         raise
 
 
-def _sum(body: bytes) -> bytes:
-    return blake2b(body, digest_size=32).hexdigest().encode()
+def _read(path: Path, max_bytes: int) -> bytes:
+    try:
+        if path.stat().st_size > max_bytes:
+            raise UnusableSnapshot(f"over {max_bytes} bytes")
+        return path.read_bytes()
+    except FileNotFoundError:
+        raise UnusableSnapshot("not there") from None
+    except OSError as error:
+        raise UnusableSnapshot(f"can't be read: {error.strerror}") from None
+
+
+def _parse(data: bytes) -> dict[str, Any]:
+    body, trailer = data[:-TRAILER_BYTES], data[-TRAILER_BYTES:]
+    if not body or trailer != b"\n" + _checksum(body):
+        raise UnusableSnapshot("damaged")
+    try:
+        document = orjson.loads(body)
+    except ValueError:
+        raise UnusableSnapshot("damaged") from None
+    if not isinstance(document, dict) or document.get("format") != FORMAT:
+        raise UnusableSnapshot("of another format")
+    return document
+
+
+def _age_s(told_at: object, now: float) -> float:
+    if not isinstance(told_at, (int, float)) or not math.isfinite(told_at):
+        raise UnusableSnapshot("damaged")
+    if told_at > now + CLOCK_TOLERANCE_S:
+        raise UnusableSnapshot("from the future")
+    return max(now - told_at, 0.0)
+
+
+def _checksum(body: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest().encode()
--- a/oxbowyard/start/snapshots.py
+++ b/oxbowyard/start/snapshots.py
@@ -1,20 +1,24 @@
-"""Lists of workers by where they come from and how old they are; which to serve from. Without I/O or clock.
+"""Cached lists of workers by their source and age, and which one to serve from. Without I/O or clock.
 
-Trust falls with age. A list that the service told within `fresh` seconds is used as it stands. An older one
-may name workers that were replaced or restarted since: each is taken to have started this moment, so that the
-budget of cold workers, shared by all schedulers, bounds what any of them is sent. One past `most_age`, or of
-unknown age where any other is there, is not used. A list never says of itself that it is fresh: its age is
-reckoned by who holds it.
+Trust falls with age. A list that the list service sent within `fresh_s` seconds is used as it is. An older
+one may name workers that were replaced or restarted since: each is taken to have started this moment, so that
+the slow start, whose budget all schedulers share, bounds what any of them is sent. A list past `max_age_s`,
+or of unknown age where there is any other, is not used. A list never says itself that it is fresh: its age
+is computed by whoever holds it.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from enum import Enum
 from typing import Any
 
+MAX_REVISION = 1 << 62
+REPLACE_AGE_SHARE = 0.5  # of the age of the snapshot that is served from
+REPLACE_MIN_S = 1.0
+
 
 class Source(Enum):
     """Where a list comes from; of two that are equally old the first is used."""
@@ -25,54 +29,71 @@
     CONFIG = "configuration"
 
 
-class Unusable(ValueError):
+class UnusableSnapshot(ValueError):
     """Not a list to serve from; its text says why in a few words."""
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
-    """A list and what is known of it."""
+class Snapshot:
+    """A list of workers and what is known of it."""
 
     source: Source
-    age: float  # seconds since the service told it, or confirmed it; inf: not known
-    rev: int
+    age_s: float  # since the service sent or confirmed it; inf: not known
+    revision: int
     targets: tuple[Mapping[str, Any], ...]
-    by: str = ""  # the peer, or the file
+    origin: str = ""  # the peer, or the file
 
     @property
     def document(self) -> dict[str, Any]:
-        """As the service tells a whole list."""
-        return {"rev": self.rev, "all": True, "targets": list(self.targets)}
+        """In the form in which the service sends a whole list."""
+        return {"rev": self.revision, "all": True, "targets": list(self.targets)}
+
+    def aged(self, seconds: float) -> Snapshot:
+        """The same list so much later."""
+        return replace(self, age_s=self.age_s + seconds)
 
 
-def listed(source: Source, age: float, document: object, most: int, by: str = "") -> Listed:
-    """Look a document through; raises Unusable. Single entries that are broken are left to the registry."""
+def parse_snapshot(
+    source: Source, age_s: float, document: object, max_entries: int, origin: str = ""
+) -> Snapshot:
+    """Check a document; malformed single entries are left to the registry. Raises UnusableSnapshot."""
     if not isinstance(document, Mapping):
-        raise Unusable("no list")
-    rev, targets = document.get("rev"), document.get("targets")
-    if not isinstance(rev, int) or isinstance(rev, bool) or not 0 <= rev < 1 << 62:
-        raise Unusable("an absurd version")
-    if not isinstance(targets, list) or not all(isinstance(t, Mapping) for t in targets):
-        raise Unusable("no list of targets")
-    if not targets:
-        raise Unusable("empty")
-    if len(targets) > most:
-        raise Unusable(f"{len(targets)} entries, over {most}")
-    names = {t.get("uid") for t in targets if isinstance(t.get("uid"), str)}
-    if len(names) < len(targets):
-        raise Unusable("workers named twice, or not at all")
-    if math.isnan(age) or age < 0:
-        raise Unusable("an absurd age")
-    return Listed(source, age, rev, tuple(targets), by)
-
-
-def best(lists: Iterable[Listed], most_age: float) -> Listed | None:
-    """The youngest that may be served from. One of unknown age will do where there is no other."""
+        raise UnusableSnapshot("no list")
+    revision = _revision(document.get("rev"))
+    targets = _targets(document.get("targets"), max_entries)
+    if math.isnan(age_s) or age_s < 0:
+        raise UnusableSnapshot("an absurd age")
+    return Snapshot(source, age_s, revision, targets, origin)
+
+
+def _revision(value: object) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < MAX_REVISION:
+        raise UnusableSnapshot("an absurd version")
+    return value
+
+
+def _targets(value: object, max_entries: int) -> tuple[Mapping[str, Any], ...]:
+    if not isinstance(value, list) or not all(isinstance(target, Mapping) for target in value):
+        raise UnusableSnapshot("no list of targets")
+    if not value:
+        raise UnusableSnapshot("empty")
+    if len(value) > max_entries:
+        raise UnusableSnapshot(f"{len(value)} entries, over {max_entries}")
+    names = {target.get("uid") for target in value if isinstance(target.get("uid"), str)}
+    if len(names) < len(value):
+        raise UnusableSnapshot("workers named twice, or not at all")
+    return tuple(value)
+
+
+def choose_best(snapshots: Iterable[Snapshot], max_age_s: float) -> Snapshot | None:
+    """The youngest that may be served from. One of unknown age is used where there is no other."""
     order = list(Source)
-    usable = [one for one in lists if one.age <= most_age or math.isinf(one.age)]
-    return min(usable, key=lambda one: (one.age, order.index(one.source)), default=None)
+    usable = [one for one in snapshots if one.age_s <= max_age_s or math.isinf(one.age_s)]
+    return min(usable, key=lambda one: (one.age_s, order.index(one.source)), default=None)
 
 
-def better(new: Listed, held: Listed | None) -> bool:
-    """Is it worth changing over? A list a little younger is not: it moves the work for nothing."""
-    return held is None or new.age < held.age / 2 and held.age - new.age > 1.0
+def is_worth_replacing(new: Snapshot, current: Snapshot | None) -> bool:
+    """Whether to change over to a new snapshot. One that is a little younger moves the work for nothing."""
+    if current is None:
+        return True
+    return new.age_s < current.age_s * REPLACE_AGE_SHARE and current.age_s - new.age_s > REPLACE_MIN_S
