--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -17,11 +17,11 @@
 
 from ..backends.http import HttpBackends
 from ..core.clock import steady_unix_ms
-from ..core.measure import ServiceMeasure
-from ..core.req import BackendTransport, RoutedTransport
+from ..core.request import BackendTransport, RoutedTransport
 from ..core.scheduler import Limits, Scheduler
+from ..core.service_measure import ServiceMeasure
 from ..decision.facade import Facade
-from ..decision.interface import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, Repeat, Settings
 from ..discovery.call_schedule import CallSchedule
 from ..discovery.registry import Registry
 from ..discovery.watch import DiscoveryClient
@@ -69,7 +69,7 @@
         """Use the classes and the number of attempts of these settings for requests from now on. The classes
         of Gearman's functions stay."""
         settings = _with_functions(settings, self.gearman.config if self.gearman else None)
-        self.scheduler.retune(settings)
+        self.scheduler.apply_settings(settings)
         self.backends.once = _not_idempotent(settings.classes)
         self.deadlines |= _deadlines_s(settings.classes)
 
@@ -83,7 +83,7 @@
         if self.waiting is not None:
             self.waiting.wind_down()
             await self.waiting.idle()
-        await self.scheduler.idle()
+        await self.scheduler.wait_until_idle()
         if self.gearman:
             await self.gearman.close()
         await self.background.stop()
@@ -92,7 +92,7 @@
     def summary(self) -> str:
         """The service measure and the answers so far, in a line."""
         answers = ", ".join(f"{kind.value} {n}" for kind, n in self.measure.answers.items())
-        open_count = self.scheduler.open_count
+        open_count = self.scheduler.open_request_count
         return f"service {self.measure.share:.3f}, open {open_count}, answers: {answers or 'none'}"
 
 
@@ -208,7 +208,7 @@
 ) -> Scheduler:
     # The discovery client polls for the list where it must; the decisions never need to.
     facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
-    limits = Limits(open_reqs=descriptors.requests)
+    limits = Limits(max_open_requests=descriptors.requests)
     return Scheduler(settings, facade, transport, clock, measure, limits)
 
 
@@ -222,7 +222,7 @@
     schedule = CallSchedule(
         settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every
     )
-    return DiscoveryClient(config.discovery, registry, scheduler.learn, on_settled, schedule)
+    return DiscoveryClient(config.discovery, registry, scheduler.update_endpoints, on_settled, schedule)
 
 
 def _deferred_jobs(
@@ -248,7 +248,7 @@
 def _gearman_front(
     config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: WaitingRoom | None
 ) -> GearmanFront:
-    workers.tell_to(scheduler.learn)
+    workers.tell_to(scheduler.update_endpoints)
     return GearmanFront(config, Jobs(config, scheduler, name, waiting), workers)
 
 
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from ..decision.facts import load_names, settings_of
-from ..decision.interface import Settings
+from ..decision.platform_settings import load_names, settings_of
+from ..decision.settings import Settings
 
 DEFAULT_NAME = "oxbowyard"
 DEFAULT_SOCKETS = 1024
@@ -47,7 +47,7 @@
 START_ONLY_KEYS = ("known", "seed")
 
 # Fields that a running program can't change. `discovery` moves without a restart, and the settings change
-# live as far as `core.retune` says; the seed and the known list are for a start.
+# live as far as `core.settings_update` says; the seed and the known list are for a start.
 RESTART_FIELDS = (
     "name",
     "host",
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -66,7 +66,7 @@
     store = open_store(loaded.durable, take_over) if loaded.durable else None
     subsystems = compose(config, loaded.gearman, states.discovery_settled, loaded.waiting, store)
     maintenance_file = MaintenanceFile(folder / f"oxbowyard-{config.name}-out-by-hand.json")
-    maintenance = Maintenance(subsystems.registry, subsystems.scheduler.learn, maintenance_file)
+    maintenance = Maintenance(subsystems.registry, subsystems.scheduler.update_endpoints, maintenance_file)
 
     components: list[Component] = []
     membership = None
--- a/oxbowyard/daemon/hot_restart.py
+++ b/oxbowyard/daemon/hot_restart.py
@@ -51,7 +51,7 @@
             await asyncio.sleep(BEAT_EVERY)
             if self.handover.waiting and not self._adopted:
                 self._adopted = self.adopt_estimates()
-            step = self.handover.look(loop.time(), self._context.subsystems.scheduler.open_count)
+            step = self.handover.look(loop.time(), self._context.subsystems.scheduler.open_request_count)
             if step is Step.HAND_OVER:
                 await self._hand_over()
             elif step is Step.RESUME and self._context.states.current is State.HANDING_OVER:
@@ -95,7 +95,7 @@
         if estimates is None:
             return False
         try:
-            self._context.subsystems.scheduler.adopt(estimates)
+            self._context.subsystems.scheduler.restore(estimates)
             log.info("adopted the previous process's estimates: workers=%d", len(estimates.workers))
         except Exception:  # the replacement goes on without the estimates
             log.exception("failed to adopt the previous process's estimates")
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -58,7 +58,7 @@
     own = config.settings
 
     def set_scheduler_count(schedulers: int) -> None:
-        scheduler.reckon(schedulers)
+        scheduler.set_scheduler_count(schedulers)
         subsystems.discovery.reckon(schedulers)
 
     return MembershipPart(
@@ -72,11 +72,11 @@
             random=SystemRandom(),
             clock=subsystems.clock,
             state=state,
-            held=lambda: scheduler.open_count,
+            held=lambda: scheduler.open_request_count,
             slots=subsystems.slots,
             workers=lambda: subsystems.registry.listed,
-            troubles=scheduler.troubles,
-            hear=scheduler.hear,
+            troubles=scheduler.worker_faults,
+            hear=scheduler.apply_peer_faults,
             reckon=set_scheduler_count,
             drained=lambda: maintenance.by_hand,
             drain=maintenance.take,
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -9,8 +9,8 @@
 import asyncio
 import logging
 
-from ..core.retune import live_part_only, retune
-from ..decision.interface import Settings
+from ..core.settings_update import plan_settings_update, restart_only_changes
+from ..decision.settings import Settings
 from .config import ConfigurationError, lacks, needs_restart
 from .context import ProgramContext
 from .loading import OPERATOR_TABLES, ConfigurationLoader, LoadedConfiguration
@@ -75,18 +75,18 @@
     def _retune(self, settings: Settings) -> tuple[str, ...]:
         """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
         Returns the names of the settings that need a restart."""
-        needing_restart = live_part_only(self.settings, settings)
+        needing_restart = restart_only_changes(self.settings, settings)
         if self._context.subsystems.waiting is not None:  # deferred jobs keep the classes of the start
             changed = settings.classes != self.settings.classes
             return (*needing_restart, "settings.lanes") if changed else needing_restart
-        step = retune(self.settings, settings)
+        step = plan_settings_update(self.settings, settings)
         self._cancel_settling()
-        if step.after == self.settings:
+        if step.final == self.settings:
             return needing_restart
-        self._apply(step.meanwhile)
-        self._settling = asyncio.get_running_loop().call_later(SETTLE_S, self._apply, step.after)
-        names = ",".join(c.name for c in step.after.classes)
-        log.info("settings reloaded: classes=%s max_attempts=%d", names, step.after.max_attempts)
+        self._apply(step.transition)
+        self._settling = asyncio.get_running_loop().call_later(SETTLE_S, self._apply, step.final)
+        names = ",".join(c.name for c in step.final.classes)
+        log.info("settings reloaded: classes=%s max_attempts=%d", names, step.final.max_attempts)
         return needing_restart
 
     def _cancel_settling(self) -> None:
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -52,7 +52,7 @@
         await context.acceptor.shut()
     if context.subsystems.gearman:
         context.subsystems.gearman.wind_down()
-    longest_s = max(context.longest_deadline_s, context.subsystems.scheduler.longest_left())
+    longest_s = max(context.longest_deadline_s, context.subsystems.scheduler.max_time_left_s())
     await context.sessions.close(longest_s + MAX_OVERRUN_S)
 
 
--- a/oxbowyard/daemon/startup.py
+++ b/oxbowyard/daemon/startup.py
@@ -77,7 +77,7 @@
     )
     return Sources(
         is_ready,
-        lambda: figures(counted, subsystems.scheduler.open_count),
+        lambda: figures(counted, subsystems.scheduler.open_request_count),
         context.maintenance,
         context.membership.view if context.membership else None,
     )
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -16,7 +16,7 @@
 
 from ..configuration.files import UnreadableFile, read_text
 from ..configuration.validation_errors import ValidationIssue, validation_issues
-from ..decision.interface import JobClass
+from ..decision.settings import JobClass
 from ..durable.settings import DurableSettings
 from ..gearman.config import Function, GearmanConfig
 from ..gearman.config import parse as parse_gearman
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -11,7 +11,7 @@
 from player import ROOT, SETTINGS, Program
 
 from oxbowyard.configuration.files import MAX_FILE_BYTES
-from oxbowyard.decision.facts import settings_of
+from oxbowyard.decision.platform_settings import settings_of
 from oxbowyard.operator.file import OperatorFileError, load
 from oxbowyard.waiting.settings import WaitingSettings
 
