--- /dev/null
+++ b/oxbowyard/daemon/composition.py
@@ -0,0 +1,261 @@
+"""The composition root: builds a scheduler's subsystems, for the daemon and for applications with middleware.
+
+`compose` builds in this order, each subsystem from those before it: service measure, registry of workers,
+file descriptor budget, HTTP transport, Gearman workers, scheduler, discovery client, deferred jobs, Gearman
+front. `Subsystems.start` starts the discovery client. `Subsystems.close` stops in this order: deferred jobs,
+scheduler (both finish what was taken), Gearman front, background tasks, HTTP transport.
+
+Components of the operator's file that only the daemon has are built in `operator_components`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field, replace
+from random import Random
+from typing import TYPE_CHECKING
+
+from ..backends.http import HttpBackends
+from ..core.clock import steady_unix_ms
+from ..core.request import BackendTransport, RoutedTransport
+from ..core.scheduler import Limits, Scheduler
+from ..core.service_measure import ServiceMeasure
+from ..decision.facade import Facade
+from ..decision.settings import JobClass, Repeat, Settings
+from ..discovery.call_schedule import CallSchedule
+from ..discovery.registry import Registry
+from ..discovery.watch import DiscoveryClient
+from ..gearman.config import KIND, GearmanConfig
+from ..gearman.front import GearmanFront
+from ..gearman.jobs import Jobs
+from ..gearman.workers import Workers
+from .background_tasks import BackgroundTasks
+from .config import Config
+from .descriptors import Descriptors
+from .units import MS_PER_S
+
+if TYPE_CHECKING:  # their libraries may be absent: imported only where the operator's file has the table
+    from ..durable.keeping import Keeping
+    from ..waiting.room import WaitingRoom
+    from ..waiting.settings import WaitingSettings
+
+MAX_GEARMAN_DESCRIPTORS_SHARE = 1 / 4  # of all: the HTTP front needs the others
+
+
+@dataclass(slots=True)
+class Subsystems:
+    """A scheduler with its discovery client, its workers and, where configured, deferred jobs and Gearman."""
+
+    config: Config
+    clock: Callable[[], float]  # Unix time in ms that only advances
+    classes: frozenset[str]  # the names that HTTP clients may use
+    measure: ServiceMeasure
+    registry: Registry
+    descriptors: Descriptors
+    backends: HttpBackends
+    scheduler: Scheduler
+    discovery: DiscoveryClient
+    deadlines: dict[str, float]  # by class, in seconds
+    waiting: WaitingRoom | None = None
+    gearman: GearmanFront | None = None
+    background: BackgroundTasks = field(default_factory=BackgroundTasks)
+
+    def start(self) -> None:
+        """Begin to watch the list of workers."""
+        self.discovery.restore(self.config.known)
+        self.background.start(self.discovery.run())
+
+    def retune(self, settings: Settings) -> None:
+        """Use the classes and the number of attempts of these settings for requests from now on. The classes
+        of Gearman's functions stay."""
+        settings = _with_functions(settings, self.gearman.config if self.gearman else None)
+        self.scheduler.apply_settings(settings)
+        self.backends.non_repeatable = _not_idempotent(settings.classes)
+        self.deadlines |= _deadlines_s(settings.classes)
+
+    def slots(self) -> float:
+        """The estimated number of jobs that the listed workers run at once, of the class that most of them
+        run."""
+        return max((self.scheduler.capacity(name).slots for name in self.classes), default=0.0)
+
+    async def close(self) -> None:
+        """Finish all requests and jobs that were taken, then stop everything."""
+        if self.waiting is not None:
+            self.waiting.wind_down()
+            await self.waiting.idle()
+        await self.scheduler.wait_until_idle()
+        if self.gearman:
+            await self.gearman.close()
+        await self.background.stop()
+        await self.backends.close()
+
+    def summary(self) -> str:
+        """The service measure and the answers so far, in a line."""
+        answers = ", ".join(f"{kind.value} {n}" for kind, n in self.measure.answers.items())
+        open_count = self.scheduler.open_request_count
+        return f"service {self.measure.share:.3f}, open {open_count}, answers: {answers or 'none'}"
+
+
+@dataclass(slots=True, frozen=True)
+class _Classes:
+    """The classes of requests as the different subsystems see them, functions of Gearman among them."""
+
+    requested: tuple[JobClass, ...]  # those that a client may ask for
+    measured: tuple[JobClass, ...]  # with the latency objectives that count as in time
+    scheduled: tuple[JobClass, ...]  # with the classes of jobs that have waited
+
+
+def compose(
+    config: Config,
+    gearman: GearmanConfig | None = None,
+    on_settled: Callable[[], None] = lambda: None,
+    waiting: WaitingSettings | None = None,
+    durable: Keeping | None = None,
+    clock: Callable[[], float] | None = None,
+) -> Subsystems:
+    """Build all subsystems; none of them works yet.
+
+    `on_settled` is called when discovery has answered at the address asked for last. `waiting` switches on
+    deferred jobs, and `durable` is the open store that they are kept in. `clock` gives Unix time in
+    milliseconds that only advances; None: the system's.
+    """
+    clock = clock or steady_unix_ms()
+    gearman = _within_descriptors(gearman, config.sockets)
+    settings = _with_functions(config.settings, gearman)
+    classes = _classes(settings.classes, waiting)
+    settings = replace(settings, classes=classes.scheduled)
+
+    measure = ServiceMeasure(classes.measured, config.by_work)
+    registry = Registry(clock, settings.drain_grace)
+    descriptors = Descriptors.share_out(
+        config.sockets,
+        config.most_held,
+        gearman.max_connections if gearman else 0,
+        admin=config.admin is not None,
+    )
+    backends = HttpBackends(
+        registry,
+        config.load_names,
+        settings.connect_timeout,
+        _not_idempotent(settings.classes),
+        descriptors.tails,
+    )
+    workers = Workers(gearman) if gearman else None
+    scheduler = _scheduler(config, settings, _transport(backends, workers), clock, measure, descriptors)
+    discovery = _discovery(config, settings, registry, scheduler, on_settled)
+    jobs = None
+    if waiting is not None:
+        jobs = _deferred_jobs(waiting, classes.requested, scheduler, config.name, descriptors, durable, clock)
+    front = None
+    if gearman and workers:
+        front = _gearman_front(gearman, workers, scheduler, config.name, jobs)
+    return Subsystems(
+        config=config,
+        clock=clock,
+        classes=frozenset(c.name for c in config.settings.classes),
+        measure=measure,
+        registry=registry,
+        descriptors=descriptors,
+        backends=backends,
+        scheduler=scheduler,
+        discovery=discovery,
+        deadlines=_deadlines_s(classes.requested),
+        waiting=jobs,
+        gearman=front,
+    )
+
+
+def _within_descriptors(gearman: GearmanConfig | None, sockets: int) -> GearmanConfig | None:
+    """Gearman's settings with no more connections than its share of the descriptors."""
+    if gearman is None:
+        return None
+    share = int(sockets * MAX_GEARMAN_DESCRIPTORS_SHARE)
+    return replace(gearman, max_connections=min(gearman.max_connections, share))
+
+
+def _with_functions(settings: Settings, gearman: GearmanConfig | None) -> Settings:
+    """The settings with one more class for each Gearman function."""
+    if gearman is None:
+        return settings
+    functions = tuple(f.job_class for f in gearman.functions.values())
+    return replace(settings, classes=settings.classes + functions)
+
+
+def _classes(requested: tuple[JobClass, ...], waiting: WaitingSettings | None) -> _Classes:
+    if waiting is None:
+        return _Classes(requested, requested, requested)
+    from ..waiting.room import with_aged
+
+    return _Classes(
+        requested,
+        measured=with_aged(requested, waiting, times=0.0),  # the objective of the job's own class counts
+        scheduled=with_aged(requested, waiting),
+    )
+
+
+def _transport(backends: HttpBackends, workers: Workers | None) -> BackendTransport:
+    """Attempts go to the worker by its kind: HTTP, or Gearman where that is on."""
+    return backends if workers is None else RoutedTransport(backends, {KIND: workers})
+
+
+def _scheduler(
+    config: Config,
+    settings: Settings,
+    transport: BackendTransport,
+    clock: Callable[[], float],
+    measure: ServiceMeasure,
+    descriptors: Descriptors,
+) -> Scheduler:
+    # The discovery client polls for the list where it must; the decisions never need to.
+    facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
+    limits = Limits(max_open_requests=descriptors.requests)
+    return Scheduler(settings, facade, transport, clock, measure, limits)
+
+
+def _discovery(
+    config: Config,
+    settings: Settings,
+    registry: Registry,
+    scheduler: Scheduler,
+    on_settled: Callable[[], None],
+) -> DiscoveryClient:
+    schedule = CallSchedule(
+        settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every
+    )
+    return DiscoveryClient(config.discovery, registry, scheduler.update_endpoints, on_settled, schedule)
+
+
+def _deferred_jobs(
+    settings: WaitingSettings,
+    classes: Iterable[JobClass],
+    scheduler: Scheduler,
+    name: str,
+    descriptors: Descriptors,
+    durable: Keeping | None,
+    clock: Callable[[], float],
+) -> WaitingRoom:
+    from ..waiting.room import WaitingRoom, bounded
+
+    ledger = durable.ledger if durable else None
+    settings = bounded(settings, descriptors.requests)
+    jobs = WaitingRoom(settings, classes, scheduler, clock, name, ledger=ledger)
+    if durable is not None:
+        jobs.number_from(durable.last_number)
+        jobs.recovering = True
+    return jobs
+
+
+def _gearman_front(
+    config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: WaitingRoom | None
+) -> GearmanFront:
+    workers.tell_to(scheduler.update_endpoints)
+    return GearmanFront(config, Jobs(config, scheduler, name, waiting), workers)
+
+
+def _not_idempotent(classes: Iterable[JobClass]) -> frozenset[str]:
+    """The names of the classes whose requests must not simply be repeated."""
+    return frozenset(c.name for c in classes if c.repeat is not Repeat.FREE)
+
+
+def _deadlines_s(classes: Iterable[JobClass]) -> dict[str, float]:
+    return {c.name: c.deadline / MS_PER_S for c in classes}
--- /dev/null
+++ b/oxbowyard/daemon/operator_components.py
@@ -0,0 +1,118 @@
+"""Builds the components that the operator's file switches on, one function for each table.
+
+The modules of a component are imported only here and only when its table is there: their libraries may be
+absent otherwise. The store of `[durable]` is opened before the subsystems are composed; `[membership]` and
+`[start]` are built after them, start in this order, and stop in the opposite one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from random import SystemRandom
+from typing import TYPE_CHECKING, Any
+
+from ..clients.session import Waiting
+from ..control.maintenance import Maintenance
+from .composition import Subsystems
+from .config import ConfigurationError
+from .units import MS_PER_S
+
+if TYPE_CHECKING:
+    from ..durable.keeping import Keeping
+    from ..durable.settings import DurableSettings
+    from ..membership.table import MembershipSettings
+    from ..peers.component import MembershipComponent
+    from ..start.component import StartComponent
+    from ..start.table import StartSettings
+
+
+def open_store(settings: DurableSettings, take_over: bool) -> Keeping:
+    """Open the store of `[durable]`; `take_over` also where another program has it. Raises
+    ConfigurationError."""
+    from ..durable.keeping import Keeping, NotOpened
+
+    try:
+        return Keeping(settings, take_over)
+    except NotOpened as error:
+        raise ConfigurationError(str(error)) from None
+
+
+def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> Waiting | None:
+    """The HTTP front of deferred jobs, if `[waiting]` is there."""
+    if subsystems.waiting is None:
+        return None
+    from ..clients.waiting import WaitingFront
+
+    resolve_over_http = durable is not None and durable.resolve_over_http
+    return WaitingFront(subsystems.waiting, subsystems.classes, resolve_over_http)
+
+
+def build_membership(
+    settings: MembershipSettings, subsystems: Subsystems, maintenance: Maintenance, state: Callable[[], str]
+) -> MembershipComponent:
+    """The component of `[membership]`: the group of schedulers. `state` tells this scheduler's."""
+    from ..gearman.admin import VERSION
+    from ..peers.component import MembershipComponent
+    from ..peers.services import ProgramServices
+
+    config, scheduler = subsystems.config, subsystems.scheduler
+    own = config.settings
+
+    def set_scheduler_count(schedulers: int) -> None:
+        scheduler.set_scheduler_count(schedulers)
+        subsystems.discovery.reckon(schedulers)
+
+    return MembershipComponent(
+        settings,
+        ProgramServices(
+            name=config.name,
+            zone=own.zone,
+            configured_size=own.siblings,
+            ramp_s=own.ramp / MS_PER_S,
+            version=VERSION.rpartition(" ")[2],
+            random=SystemRandom(),
+            clock_ms=subsystems.clock,
+            state=state,
+            open_request_count=lambda: scheduler.open_request_count,
+            slots=subsystems.slots,
+            worker_count=lambda: subsystems.registry.listed,
+            own_faults=scheduler.worker_faults,
+            apply_peer_faults=scheduler.apply_peer_faults,
+            set_scheduler_count=set_scheduler_count,
+            drained_workers=lambda: maintenance.by_hand,
+            set_drained=maintenance.take,
+        ),
+    )
+
+
+def build_start(
+    settings: StartSettings, subsystems: Subsystems, membership: MembershipComponent | None
+) -> StartComponent:
+    """The component of `[start]`: where the first list of workers comes from."""
+    from ..start.component import StartComponent
+    from ..start.dependencies import ServiceList, StartDependencies
+
+    discovery, registry, config = subsystems.discovery, subsystems.registry, subsystems.config
+
+    def adopt(document: Mapping[str, Any], all_cold: bool, newer_may_be_asked: bool) -> bool:
+        cold_since = subsystems.clock() if all_cold else None
+        return discovery.adopt(document, cold_since, newer_may_be_asked)
+
+    def service_list() -> ServiceList | None:
+        if discovery.told is None:
+            return None
+        return ServiceList(discovery.told, registry.document())
+
+    dependencies = StartDependencies(
+        name=config.name,
+        configured=config.settings.siblings,
+        is_shared_service=config.settings.must_subscribe,
+        random=SystemRandom(),
+        known=config.known,
+        adopt=adopt,
+        service_list=service_list,
+        peers=membership.documents if membership else None,
+    )
+    component = StartComponent(settings, dependencies)
+    discovery.turn, discovery.on_told = component.wait_for_admission, component.service_answered
+    return component
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -262,7 +262,7 @@
             "a1", "accession", 5.0, "/accession", b"hello",
             record_lease=lambda backend, then: granted.append(then), client_connected=lambda: there[0],
         )  # fmt: skip
-        attempt = asyncio.create_task(stage.parts.backends.attempt("w1", request, context))
+        attempt = asyncio.create_task(stage.subsystems.backends.attempt("w1", request, context))
         while not granted:
             await asyncio.sleep(0.001)
         there[0] = stays
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What schedulers share in a group: the cluster's size, worker faults and drains; and the order of parts."""
+"""What schedulers share in a group: the size, worker faults and drains; and the order of components."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.core.service_measure import ServiceMeasure
-from oxbowyard.daemon.parts import Parts
+from oxbowyard.daemon.lifecycle import Lifecycle
 from oxbowyard.decision import slow_start
 from oxbowyard.decision.actions import StartAttempt
 from oxbowyard.decision.dispatcher import Dispatcher
@@ -437,11 +437,11 @@
     assert answers == [b"abcabc"] and drops[DropReason.FRAME_TOO_LONG] == 1
 
 
-# ---- Parts ----
+# ---- Components ----
 
 
-class Piece:
-    """A part that says what happens to it."""
+class RecordedComponent:
+    """A component that says what happens to it."""
 
     def __init__(self, name: str, told: list[str], fails: str = "") -> None:
         self.name, self._told, self._fails = name, told, fails
@@ -464,17 +464,29 @@
         self._did("close")
 
 
-def test_parts_begin_in_order_and_end_in_the_opposite_one_whichever_fails() -> None:
+def test_components_start_in_order_and_stop_in_the_opposite_one_whichever_fails() -> None:
     async def play() -> tuple[list[str], list[str]]:
         told: list[str] = []
-        parts = Parts([Piece("a", told), Piece("b", told, "close"), Piece("c", told, "hand over")])
-        await parts.open()
-        parts.start()
-        await parts.hand_over()
-        await parts.close()
+        lifecycle = Lifecycle(
+            [
+                RecordedComponent("a", told),
+                RecordedComponent("b", told, "close"),
+                RecordedComponent("c", told, "hand over"),
+            ]
+        )
+        await lifecycle.open()
+        lifecycle.start()
+        await lifecycle.hand_over()
+        await lifecycle.close()
         other: list[str] = []
         with pytest.raises(OSError):
-            await Parts([Piece("a", other), Piece("b", other, "open"), Piece("c", other)]).open()
+            await Lifecycle(
+                [
+                    RecordedComponent("a", other),
+                    RecordedComponent("b", other, "open"),
+                    RecordedComponent("c", other),
+                ]
+            ).open()
         return told, other
 
     told, other = asyncio.run(play())
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -28,8 +28,8 @@
 from oxbowyard.discovery.registry import Registry, parse_list
 from oxbowyard.durable.ledger import pack, parents_of, unpack
 from oxbowyard.handover.learned import decode, encode
-from oxbowyard.operator.file import Faulty, OperatorConfig, load
-from oxbowyard.start import disk
+from oxbowyard.operator.file import OperatorConfig, OperatorFileError, load
+from oxbowyard.start.snapshot_file import read_snapshot, write_snapshot
 from oxbowyard.store.database import Database
 from oxbowyard.store.record import Change, JobState, JobStateChanged, StoredJob
 
@@ -49,9 +49,9 @@
 
 def operator_faults(path: Path) -> tuple[str, ...]:
     """What the program says of a faulty one, by keys."""
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         read_operator(path)
-    return tuple(caught.value.faults)
+    return tuple(caught.value.errors)
 
 
 def operator_tables(found: OperatorConfig) -> dict[str, Any]:
@@ -98,8 +98,8 @@
 
 def read_list(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
     """The list kept on disk: its version, entries and age."""
-    found = disk.read(path, "default", now, 86400.0, 100, 1 << 20)
-    return found.rev, [dict(row) for row in found.targets], found.age
+    found = read_snapshot(path, "default", now, 86400.0, 100, 1 << 20)
+    return found.revision, [dict(row) for row in found.targets], found.age_s
 
 
 def write_list(path: Path, rev: int, rows: list[dict[str, Any]]) -> None:
@@ -107,7 +107,7 @@
     registry = Registry(lambda: CLOCK_MS, 1000.0)
     registry.apply(parse_list({"rev": rev, "all": True, "targets": rows}))
     registry.put_out("w3")
-    disk.write(path, "default", WALL_S, rev, registry.document())
+    write_snapshot(path, "default", WALL_S, rev, registry.document())
 
 
 def out_by_hand(path: Path) -> set[str]:
