--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -17,7 +17,7 @@
 from ..core.scheduler import Limits, Scheduler
 from ..decision.facade import Facade
 from ..decision.interface import JobClass, Repeat, Settings
-from ..discovery.call_schedule import CallSchedule
+from ..discovery.poll_schedule import CallSchedule
 from ..discovery.registry import Registry
 from ..discovery.watch import DiscoveryClient
 from ..gearman.config import KIND, GearmanConfig
--- a/oxbowyard/discovery/watch.py
+++ b/oxbowyard/discovery/watch.py
@@ -14,7 +14,7 @@
 from yarl import URL
 
 from ..decision.facade import Scope, WorkerInfo
-from .call_schedule import CONNECT_TIMEOUT_S, CallFailure, CallSchedule
+from .poll_schedule import CONNECT_TIMEOUT_S, CallFailure, CallSchedule
 from .registry import BrokenList, Change, Registry, parse_list
 
 log = logging.getLogger("oxbowyard.director")  # as operators know it
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from player import ROOT, SETTINGS
 
 from oxbowyard.daemon.config import BadConfig, load
-from oxbowyard.discovery.call_schedule import CallSchedule
+from oxbowyard.discovery.poll_schedule import CallSchedule
 
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 from test_replacement import Stand, free_port, status, wait_until
 
 from oxbowyard.daemon.descriptors import Descriptors
-from oxbowyard.discovery.call_schedule import TOLD_WITHIN_S
+from oxbowyard.discovery.poll_schedule import TOLD_WITHIN_S
 
 LIMIT = 96
 SHARED = Descriptors.share_out(LIMIT, 20_000)
--- a/tests/test_call_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from oxbowyard.discovery.call_schedule import (
+from oxbowyard.discovery.poll_schedule import (
     AGENT_PAUSE_S,
     BEGINS_PER_S,
     LONGEST_SPREAD_S,
--- a/tests/test_watch_ends.py
+++ b/tests/test_watch_failures.py
@@ -16,7 +16,7 @@
 from virtual import play
 
 from oxbowyard.decision.facade import Readiness, Scope, WorkerInfo
-from oxbowyard.discovery.call_schedule import CallSchedule
+from oxbowyard.discovery.poll_schedule import CallSchedule
 from oxbowyard.discovery.registry import Change, Registry, parse_list
 from oxbowyard.discovery.watch import DiscoveryClient
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -13,7 +13,7 @@
 from virtual import play
 
 from oxbowyard.decision.facade import Scope, WorkerInfo
-from oxbowyard.discovery.call_schedule import BEGINS_PER_S, TOLD_WITHIN_S, CallSchedule
+from oxbowyard.discovery.poll_schedule import BEGINS_PER_S, TOLD_WITHIN_S, CallSchedule
 from oxbowyard.discovery.registry import Registry
 from oxbowyard.discovery.watch import DiscoveryClient
 
