--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -30,7 +30,7 @@
 CONFIG = json.loads((ROOT / "examples/config.json").read_text())
 ASKED = json.loads((ROOT / "tests/settings_asked.json").read_text())
 SERVES = re.compile(r"^(\S+ \S+) .*state starting -> serving", re.M)
-TOLD = re.compile(r"^(\S+ \S+) .*discovery is watched at", re.M)
+TOLD = re.compile(r"^(\S+ \S+) .*discovery watch active: ", re.M)
 
 
 def after(made: Fleet, line: re.Pattern[str], began: float) -> list[float]:
--- a/oxbowyard/control/figures.py
+++ b/oxbowyard/control/figures.py
@@ -39,8 +39,8 @@
     }
     told["relayed"] = counted.relayed.total()  # of all classes: attempts, not jobs
     told["open_requests"] = open_requests
-    told["registry_entries"] = counted.registry.listed
-    told["out_of_rotation"] = counted.registry.out_by_hand
+    told["registry_entries"] = counted.registry.listed_count
+    told["out_of_rotation"] = counted.registry.cordoned_count
     told["cfg_accepted"] = counted.files.accepted
     told["cfg_invalid"] = counted.files.invalid
     return told
--- a/oxbowyard/control/maintenance.py
+++ b/oxbowyard/control/maintenance.py
@@ -88,13 +88,13 @@
     @property
     def by_hand(self) -> frozenset[str]:
         """The uids out by hand now."""
-        return frozenset(self._registry.by_hand)
+        return frozenset(self._registry.cordoned)
 
     def take(self, uid: str, out: bool) -> None:
         """What another scheduler was told. One that is not listed yet drains from its first listing."""
-        if out == (uid in self._registry.by_hand):
+        if out == (uid in self._registry.cordoned):
             return
-        if out and len(self._registry.by_hand) >= MAX_IN_MAINTENANCE:
+        if out and len(self._registry.cordoned) >= MAX_IN_MAINTENANCE:
             log.error(
                 "backend %s: told to drain by another scheduler, but %d are out already",
                 uid,
@@ -125,17 +125,17 @@
         """Take what the other process changed in the file."""
         if self._file is None or (named := self._file.read()) is None:
             return
-        for uid in named - self._registry.by_hand:
+        for uid in named - self._registry.cordoned:
             self._put(uid, True, known_or_not=True)
             self.on_change(uid, True)
-        for uid in self._registry.by_hand - named:
+        for uid in self._registry.cordoned - named:
             self._put(uid, False)
             self.on_change(uid, False)
 
     def _put(self, uid: str, out: bool, known_or_not: bool = False) -> bool:
-        info = self._registry.put_out(uid) if out else self._registry.put_back(uid)
+        info = self._registry.cordon(uid) if out else self._registry.uncordon(uid)
         if info is None and known_or_not:  # not listed here yet: it drains from its first listing
-            self._registry.by_hand.add(uid)
+            self._registry.cordoned.add(uid)
             return True
         if info is None:
             return False
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -17,9 +17,9 @@
 from ..core.scheduler import Limits, Scheduler
 from ..decision.facade import Facade
 from ..decision.interface import JobClass, Repeat, Settings
-from ..discovery.poll_schedule import CallSchedule
+from ..discovery.client import DiscoveryClient
+from ..discovery.poll_schedule import PollSchedule
 from ..discovery.registry import Registry
-from ..discovery.watch import DiscoveryClient
 from ..gearman.config import KIND, GearmanConfig
 from ..gearman.front import GearmanFront
 from ..gearman.jobs import Jobs
@@ -88,7 +88,7 @@
         self.scheduler = Scheduler(settings, facade, transport, clock, self.measure, limits)
         self.discovery = DiscoveryClient(
             config.discovery, self.registry, self.scheduler.learn, on_settled,
-            CallSchedule(settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every),
+            PollSchedule(settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every),
         )  # fmt: skip
         self.waiting: WaitingRoom | None = None
         if waiting is not None:
@@ -158,14 +158,14 @@
 
     def reckon(schedulers: int) -> None:
         scheduler.reckon(schedulers)
-        parts.discovery.reckon(schedulers)
+        parts.discovery.set_scheduler_count(schedulers)
 
     return MembershipPart(
         settings,
         Offers(
             name=config.name, zone=own.zone, configured=own.siblings, ramp=own.ramp / 1000,
             version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock=parts.clock, state=state,
-            held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed,
+            held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed_count,
             troubles=scheduler.troubles, hear=scheduler.hear, reckon=reckon,
             drained=lambda: maintenance.by_hand, drain=maintenance.take,
         ),
@@ -182,14 +182,15 @@
         return discovery.adopt(document, parts.clock() if cold else None, newer)
 
     def told() -> tuple[int, list[dict[str, Any]]] | None:
-        return None if discovery.told is None else (discovery.told, registry.document())
+        revision = discovery.latest_revision
+        return None if revision is None else (revision, registry.targets())
 
     offers = Offers(
         name=config.name, configured=config.settings.siblings, common=config.settings.must_subscribe,
         random=SystemRandom(), known=config.known, adopt=adopt, told=told, peers=group,
     )  # fmt: skip
     part = StartPart(settings, offers)
-    discovery.turn, discovery.on_told = part.turn, part.service_spoke
+    discovery.admit_first_poll, discovery.on_answer = part.turn, part.service_spoke
     return part
 
 
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -280,7 +280,7 @@
         stop = asyncio.ensure_future(self._told_to_stop.wait())
         try:
             await asyncio.wait({heard, stop}, timeout=LIST_WITHIN, return_when=asyncio.FIRST_COMPLETED)
-            if not self._parts.registry.backends:
+            if not self._parts.registry.endpoints:
                 await asyncio.wait({heard, stop}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             heard.cancel()
--- a/oxbowyard/discovery/__init__.py
+++ b/oxbowyard/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the list of workers, and the watch that keeps it up to date."""
+"""Service discovery: the watch of the endpoint list, and the registry of the endpoints that it names."""
--- /dev/null
+++ b/oxbowyard/discovery/client.py
@@ -0,0 +1,193 @@
+"""The discovery client: keeps the registry up to date from the address that the configuration names.
+
+A `Watch` polls one address. The client decides which watch counts, applies its events to the registry, tells
+the decisions of them, and suspends sending while the list is too old for it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Awaitable, Callable
+from dataclasses import replace
+from random import Random
+
+from ..decision.facade import Scope, WorkerInfo
+from .endpoint_list import MalformedListError, WatchEvent, parse_endpoint_list
+from .poll_schedule import PollSchedule
+from .registry import Registry
+from .watch import Watch
+
+log = logging.getLogger("oxbowyard.discovery")
+
+UpdateEndpoints = Callable[[Scope, tuple[WorkerInfo, ...]], None]
+
+
+async def _no_delay() -> None:
+    return
+
+
+class DiscoveryClient:
+    """The endpoint list from the address in force; every change goes to `update_endpoints`, in order."""
+
+    def __init__(
+        self,
+        address: str,
+        registry: Registry,
+        update_endpoints: UpdateEndpoints,
+        on_address_settled: Callable[[], None] = lambda: None,
+        schedule: PollSchedule | None = None,
+    ) -> None:
+        """`on_address_settled` is called when the address that was named last has answered."""
+        self._registry = registry
+        self._update_endpoints = update_endpoints
+        self._on_address_settled = on_address_settled
+        self._schedule = schedule or PollSchedule(False, 1, Random(0))
+        self._addresses: asyncio.Queue[str] = asyncio.Queue()
+        self._addresses.put_nowait(address)
+        self._active: Watch | None = None  # whose events are applied
+        self._pending: Watch | None = None  # replaces the active one with its first answer
+        self._tasks: dict[Watch, asyncio.Task[None]] = {}
+        self._resume_after: int | None = None  # the revision that the first watch may go on from
+        self._expiry_timer: asyncio.TimerHandle | None = None  # when the list is too old to send by
+        self.latest_revision: int | None = None  # the one that the service sent last
+        self.on_answer: Callable[[], None] = lambda: None  # after each answer, also that nothing changed
+        self.admit_first_poll: Callable[[], Awaitable[None]] = _no_delay  # awaited before the first poll
+        self.ready = asyncio.Event()  # there is a list to serve from: the service's, or one from before
+
+    def set_scheduler_count(self, schedulers: int) -> None:
+        """So many schedulers poll the same service from now on."""
+        self._schedule.set_scheduler_count(schedulers)
+
+    # ---- Lists from before ----
+
+    def restore(self, document: object) -> None:
+        """Serve from the list that the configuration names, which may be old; None: it names none."""
+        if document is None:
+            return
+        try:
+            event = parse_endpoint_list(document)
+        except MalformedListError as error:
+            log.warning("endpoint list of the configuration not usable: %s", error)
+            return
+        self._update_endpoints(*self._registry.apply(event, restored=True))
+        if self._schedule.shared and event.endpoints:  # the full list costs it twice as much as what is newer
+            self._resume_after = event.revision
+            self.ready.set()
+
+    def adopt(self, document: object, online_since: float | None, may_resume: bool) -> bool:
+        """Serve from this full list until the service has sent one.
+
+        `online_since`: clock time before which no worker of the list is taken to have started. `may_resume`:
+        the service may be asked for what is newer than the list. Returns False, and changes nothing, where
+        the service has answered already or the list has nothing to serve from.
+        """
+        if self.latest_revision is not None:
+            return False
+        try:
+            event = parse_endpoint_list(document)
+        except MalformedListError as error:
+            log.warning("endpoint list from before not usable: %s", error)
+            return False
+        if not event.endpoints:
+            return False
+        scope, infos = self._registry.apply(replace(event, is_full=True), restored=True)
+        if online_since is not None:
+            infos = tuple(replace(i, online_since=max(i.online_since, online_since)) for i in infos)
+        self._update_endpoints(scope, infos)
+        self._resume_after = event.revision if may_resume and self._schedule.shared else None
+        self.ready.set()
+        return True
+
+    # ---- The watches ----
+
+    def move(self, address: str) -> None:
+        """Watch another address from now on; until it has answered, the one before stays in force."""
+        self._addresses.put_nowait(address)
+
+    async def run(self) -> None:
+        """Watch until cancelled."""
+        async with asyncio.TaskGroup() as group:
+            await self.admit_first_poll()
+            while True:
+                address = await self._addresses.get()
+                self._cancel(self._pending)  # overtaken before it answered
+                self._pending = None
+                if self._active is not None and self._active.address == address:
+                    self._on_address_settled()
+                else:
+                    self._open_watch(address, group)
+
+    def _open_watch(self, address: str, group: asyncio.TaskGroup) -> None:
+        watch = Watch(address, self._schedule, self._apply, self._arm_expiry, self._resume_after)
+        delay_s = self._first_poll_delay_s()
+        self._pending = watch
+        self._resume_after = None  # another address may count its revisions anew
+        self._tasks[watch] = group.create_task(watch.run(delay_s))
+
+    def _first_poll_delay_s(self) -> float:
+        now = asyncio.get_running_loop().time()
+        if self._active is not None:
+            return self._schedule.move_delay_s(now)
+        return self._schedule.first_delay_s(now) if self._resume_after is not None else 0.0
+
+    def _cancel(self, watch: Watch | None) -> None:
+        if watch is not None:
+            self._tasks.pop(watch).cancel()
+
+    def _apply(self, watch: Watch, event: WatchEvent, late: bool) -> None:
+        activated = watch is self._pending
+        if activated:
+            self._cancel(self._active)
+            self._active, self._pending = watch, None
+        elif watch is not self._active:  # it answered in the moment in which it was cancelled
+            return
+        if event.endpoints or event.is_full:
+            self._publish(event, late)
+        self._resume_sending()
+        self.latest_revision = event.revision
+        self.on_answer()
+        self.ready.set()
+        if activated:
+            log.info("discovery watch active: address=%s", watch.address)
+            self._on_address_settled()
+
+    def _publish(self, event: WatchEvent, late: bool) -> None:
+        scope, infos = self._registry.apply(event, late=late)
+        # Weights change every second: only a full list is logged by itself, state changes have their lines.
+        level = logging.INFO if event.is_full else logging.DEBUG
+        log.log(
+            level,
+            "endpoint list applied: revision=%d scope=%s entries=%d",
+            event.revision,
+            scope.value,
+            len(infos),
+        )
+        self._update_endpoints(scope, infos)
+
+    # ---- The list's expiry ----
+
+    def _arm_expiry(self) -> None:
+        """A poll has failed: set the timer where that makes the list expire."""
+        expires_at = self._schedule.list_expires_at
+        if self._expiry_timer is None and expires_at < math.inf:
+            self._expiry_timer = asyncio.get_running_loop().call_at(expires_at, self._suspend_sending)
+
+    def _suspend_sending(self) -> None:
+        """Send nothing until the service has answered.
+
+        It can be reached, and has not sent its list in time: a drain that it has may bind by now.
+        """
+        log.error("endpoint list expired, nothing is sent until discovery answers")
+        self._registry.suspend()
+        self._update_endpoints(Scope.FULL, self._registry.effective_endpoints())
+
+    def _resume_sending(self) -> None:
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
+        if self._registry.suspended:
+            log.info("endpoint list renewed, sending resumes")
+            self._registry.resume()
+            self._update_endpoints(Scope.FULL, self._registry.effective_endpoints())
--- /dev/null
+++ b/oxbowyard/discovery/endpoint_list.py
@@ -0,0 +1,117 @@
+"""The discovery service's JSON: the one place where its field names are mapped to the code's.
+
+A poll's answer, a list kept in the configuration and a list from a peer or a disk have the same form.
+"""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+from typing import Any
+
+from ..decision.facade import Readiness, WorkerInfo
+
+log = logging.getLogger("oxbowyard.discovery")
+
+READINESS_OF_STATE = {"ready": Readiness.READY, "draining": Readiness.DRAINING, "gone": Readiness.GONE}
+MALFORMED_ENTRY = (LookupError, TypeError, ValueError, OverflowError)  # the last for 1e999, which is JSON
+PORT_LIMIT = 65536
+DEFAULT_WEIGHT = 1.0
+
+
+class MalformedListError(ValueError):
+    """The document is not an endpoint list; the text says why."""
+
+
+@dataclass(slots=True, frozen=True)
+class ListedEndpoint:
+    """One entry of an endpoint list."""
+
+    address: str  # HOST:PORT; empty where the entry does not tell it
+    info: WorkerInfo
+
+
+@dataclass(slots=True, frozen=True)
+class WatchEvent:
+    """What one answer of the discovery service says."""
+
+    revision: int
+    is_full: bool  # the whole list: an endpoint that it does not name is gone
+    endpoints: tuple[ListedEndpoint, ...]
+
+
+def parse_endpoint_list(document: object) -> WatchEvent:
+    """Read a decoded document. A malformed entry is skipped and logged.
+
+    Raises MalformedListError where the document as a whole is not an endpoint list.
+    """
+    if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
+        raise MalformedListError("no list of targets")
+    revision = document.get("rev")
+    if not isinstance(revision, int) or isinstance(revision, bool):
+        raise MalformedListError("no version")
+    endpoints = []
+    for row in document["targets"]:
+        try:
+            endpoints.append(_parse_entry(row))
+        except MALFORMED_ENTRY as error:
+            log.warning("malformed endpoint list entry skipped: %r", error)
+    return WatchEvent(revision, bool(document.get("all")), tuple(endpoints))
+
+
+def _parse_entry(row: dict[str, Any]) -> ListedEndpoint:
+    uid = row["uid"]
+    readiness = READINESS_OF_STATE[row["state"]]
+    if not (isinstance(uid, str) and uid):
+        raise ValueError("uid is not a text")
+    try:
+        return ListedEndpoint(_parse_address(row, readiness), _parse_info(row, uid, readiness))
+    except MALFORMED_ENTRY as error:
+        if readiness is Readiness.READY:
+            raise
+        # That nothing may be sent to it binds, whatever else of its entry can't be read.
+        log.warning(
+            "endpoint list entry malformed, only its state is applied: uid=%s state=%s error=%r",
+            uid,
+            readiness.value,
+            error,
+        )
+        return ListedEndpoint("", WorkerInfo(uid, readiness))
+
+
+def _parse_address(row: dict[str, Any], readiness: Readiness) -> str:
+    address = row["endpoint"]
+    if not isinstance(address, str):
+        raise ValueError("endpoint is not a text")
+    if not address and readiness is Readiness.GONE:
+        return address
+    host, _, port = address.rpartition(":")
+    if not (host and 0 < int(port) < PORT_LIMIT):
+        raise ValueError(f"endpoint {address!r}")
+    return address
+
+
+def _parse_info(row: dict[str, Any], uid: str, readiness: Readiness) -> WorkerInfo:
+    return WorkerInfo(
+        uid,
+        readiness,
+        zone=str(row.get("az") or ""),
+        kind=str(row.get("model") or ""),
+        cell=int(row.get("pod_group") or 0),
+        weight=float(row.get("capacity_hint") or DEFAULT_WEIGHT),
+        online_since=float(row.get("boot_ms") or 0.0),
+    )
+
+
+def to_target(uid: str, address: str, readiness: Readiness, info: WorkerInfo) -> dict[str, Any]:
+    """One entry as the discovery service would send it."""
+    return {
+        "uid": uid,
+        "endpoint": address,
+        "state": readiness.value,
+        "az": info.zone,
+        "model": info.kind,
+        "pod_group": info.cell,
+        "capacity_hint": info.weight,
+        "boot_ms": info.online_since,
+    }
--- a/oxbowyard/discovery/poll_schedule.py
+++ b/oxbowyard/discovery/poll_schedule.py
@@ -1,9 +1,9 @@
-"""When the discovery service is called, and how long an answer is waited for. Without I/O or clock.
+"""When the discovery service is polled, and how long an answer is awaited. Does no I/O and reads no clock.
 
-A change of the list counts as told `TOLD_WITHIN_S` after the service had it and could be reached, whether or
-not it arrived. So the sum of what lies between a failure and the next answer has to stay below that: noticing
-that a watch is dead, the pause before the next call, a call that fails as well, and the answer.
-docs/design/list-freshness.md has the sum for each number of schedulers.
+A change of the endpoint list counts as notified `NOTIFIED_WITHIN_S` after the service had it and could be
+reached, whether or not the scheduler has received it. So the sum of what lies between a failure and the next
+answer has to stay below that bound: detecting that a watch is dead, the delay before the next poll, a poll
+that fails as well, and the answer. docs/design/list-freshness.md has the sum by number of schedulers.
 """
 
 from __future__ import annotations
@@ -13,163 +13,192 @@
 from enum import Enum
 from random import Random
 
-TOLD_WITHIN_S = 6.0  # the protocol's bound; from here on a drain that was not heard is binding all the same
-TOLD_AFTER_MOVE_S = 4.0  # the same after a configuration that names another address
-MARGIN_S = 0.25  # kept off it, for a loop that runs late and an answer on its way
-CONNECT_TIMEOUT_S = 0.5  # a connection that takes longer to come up counts as unreachable
-# A service that is down, or its front, may turn each call down at once, or each after a while. One that is
-# full does both: what finds no room in its queue at once, the rest when it has waited too long.
-AT_ONCE_S, AFTER_A_WAIT_S = 0.1, 1.0
+# The platform's bounds: a drain binds so long after the service had it, received or not.
+NOTIFIED_WITHIN_S = 6.0
+NOTIFIED_AFTER_MOVE_S = 4.0  # the same after a configuration that names another address
+NOTIFIED_MARGIN_S = 0.25  # kept off both, for an event loop that runs late and an answer on its way
+CONNECT_TIMEOUT_S = 0.5
 
-# An agent on this machine answers at once and at no cost; a watch lapses 0.2 s after the last answer.
-AGENT_PAUSE_S = 0.1
+# A service that is down, or its front, may reject each poll at once, or each after a while. Only one that is
+# overloaded does both: at once where its queue is full, later where a poll has queued for too long.
+IMMEDIATE_REJECTION_S = 0.1
+QUEUED_REJECTION_S = 1.0
+
+# An agent on this machine answers at once and at no cost. It drops a watch 0.2 s after its last answer.
+AGENT_RETRY_DELAY_S = 0.1
 AGENT_WAIT_MS = 2000
-AGENT_TIMEOUT_S = 0.5  # past its wait
-PATIENT_AFTER, PATIENT_TIMEOUT_S = 30, 1.25  # failed calls in a row; then it may be there, but slow
+AGENT_TIMEOUT_S = 0.5  # past the poll's wait
+AGENT_SLOW_AFTER_FAILURES = 30  # in a row: from then on it may be there, but slow
+AGENT_SLOW_TIMEOUT_S = 1.25
 
-# One service for all schedulers. To go on with a watch costs it nothing, to begin one does.
+# One service for all schedulers. Continuing a watch costs it nothing, opening one does.
 SHARED_WAIT_MS = 1000
-LEAST_WAIT_MS = 500.0
-CONTINUED_TIMEOUT_S = 0.45  # past its wait
-LEAST_TIMEOUT_S, LONGEST_TIMEOUT_S = 1.05, 2.5  # for a call that begins a watch
-QUICK_RETRIES = 2  # silent calls in a row that are repeated nearly at once: later the 6 s are over anyway
-QUICK_RETRY_S = 0.2
-# The rate at which all schedulers together begin watches. An own limit: a service that bears less cannot tell
-# 200 schedulers within the 6 s, whatever they do.
-BEGINS_PER_S = 50.0
-FIRST_CALLS_PER_S = 20.0  # the same after a start, where no time was lost by a dead watch
-LEAST_SPREAD_S, LONGEST_SPREAD_S = 1.2, 4.0
-# After a dead watch noticing it and a silent call have to fit in as well. The waits of the watches, which end
-# at other times at each scheduler, spread the calls by themselves.
-LEAST_REOPEN_S, LONGEST_REOPEN_S = 0.25, 2.75
-LONGEST_MOVE_S = 2.0  # to another address: one silent call fits into the 4 s as well
-JITTER = 0.1  # of the period of calls to a service that can't be reached
-# A service that is full bears no such rate. Being heard at all goes first:
-# the calls of all schedulers are spread over this time for each of them.
-OVERLOAD_SPACING_S = 0.25
-ASK_MARGIN_MS = 500.0  # kept off the settings' `askEvery`
-
-
-class CallFailure(Enum):
-    """Why a call to the discovery service brought no list."""
-
-    UNREACHABLE = "unreachable"  # refused, reset, never connected, or an answer that is no list
-    SILENT = "silent"  # connected, and no answer in time
-    TURNED_DOWN = "turned down"  # answered with another status than 200
+MIN_SHARED_WAIT_MS = 500.0
+CONTINUED_TIMEOUT_S = 0.45  # past the poll's wait
+MIN_OPEN_TIMEOUT_S = 1.05  # for a poll that opens a watch
+MAX_OPEN_TIMEOUT_S = 2.5
+QUICK_RETRIES = 2  # polls in a row that time out and are retried nearly at once: a third would be too late
+QUICK_RETRY_SPREAD_S = 0.2
+LONG_TIMEOUT_EVERY = 4  # failures: one poll in so many finds out whether the service is only slow
+# The rate at which all schedulers together open watches. A service that bears less can't notify 200
+# schedulers within the bound in any case.
+OPENED_WATCHES_PER_S = 50.0
+FIRST_POLLS_PER_S = 20.0  # the same after a start, where no time was lost by a dead watch
+MIN_SPREAD_S = 1.2
+MAX_SPREAD_S = 4.0
+# After a dead watch, detecting it and a poll that times out have to fit in as well. Waits that end at other
+# times at each scheduler spread the polls by themselves.
+MIN_REOPEN_SPREAD_S = 0.25
+MAX_REOPEN_SPREAD_S = 2.75
+MAX_MOVE_SPREAD_S = 2.0  # one poll that times out fits into NOTIFIED_AFTER_MOVE_S as well
+PERIOD_JITTER_SHARE = 0.1  # of the period of polls to a service that can't be reached
+OVERLOAD_SPACING_S = 0.25  # for each scheduler: an overloaded service does not bear OPENED_WATCHES_PER_S
+POLL_INTERVAL_MARGIN_MS = 500.0  # kept off the settings' `askEvery`
+
+
+class PollFailure(Enum):
+    """Why a poll of the discovery service brought no endpoint list."""
+
+    UNREACHABLE = "unreachable"  # refused, reset, never connected, or an answer that is no endpoint list
+    TIMEOUT = "timeout"  # connected, and no answer in time
+    REJECTED = "rejected"  # answered with another status than 200
 
 
 @dataclass(slots=True)
-class CallSchedule:
-    """Pauses and timeouts of one scheduler's calls, in seconds on the caller's clock.
+class PollSchedule:
+    """Delays and timeouts of one scheduler's polls.
+
+    An agent on the scheduler's own machine is polled again soon: nobody else waits for it. Polls of a service
+    that all schedulers share are spread by chance over a time that grows with their number: what one of them
+    may do at once, forty that were restarted together may not.
 
-    An agent on the scheduler's own machine is called again soon: nobody else waits for it. Calls to a service
-    that all schedulers share are spread by chance over a time that grows with their number: what one may do
-    at once, forty that were restarted together may not.
+    All times are seconds on the caller's clock, unless their name says otherwise.
     """
 
-    shared: bool  # one service for all schedulers, not an agent of this one's own
+    shared: bool  # one service for all schedulers, not an agent of this scheduler's own
     schedulers: int
     random: Random
-    ask_every_ms: float = math.inf  # without a call for so long, all that was listed counts as told
-    failures: int = 0  # calls in a row without an answer
-    # When the list in hand is too old to send by: the service was seen to live, and has not told us its news.
-    list_expires_at: float = math.inf
-    _hear_by: float = math.inf  # when a change that was missed may begin to count as told
-    _down_at_once: bool = False  # a call of this outage was turned down so
-    _down_after_a_wait: bool = False
-    _in_phase: bool = False  # the calls of this outage have drawn their place in the period
+    max_poll_interval_ms: float = math.inf  # unpolled for longer, all that the service has counts as notified
+    consecutive_failures: int = 0
+    list_expires_at: float = math.inf  # the service was seen to live since, and has not sent its list
+    _notification_due_at: float = math.inf  # when a change that was missed may begin to count as notified
+    _rejected_immediately: bool = False  # a poll of this outage
+    _rejected_after_wait: bool = False
+    _phase_drawn: bool = False  # the polls of this outage have their place within the period
 
-    # ---- How long a call may take ----
+    def set_scheduler_count(self, schedulers: int) -> None:
+        """From now on this many schedulers, at least one, poll the same service."""
+        self.schedulers = max(schedulers, 1)
+
+    # ---- How long a poll may take ----
 
     @property
     def wait_ms(self) -> int:
-        """How long the service may hold a call that goes on with a watch, in milliseconds."""
+        """How long the service may hold a poll that continues a watch, in milliseconds."""
         if not self.shared:
             return AGENT_WAIT_MS
-        unasked = self.ask_every_ms - LONGEST_TIMEOUT_S * 1000 - ASK_MARGIN_MS
-        return int(min(SHARED_WAIT_MS, max(unasked, LEAST_WAIT_MS)))
+        allowed = self.max_poll_interval_ms - MAX_OPEN_TIMEOUT_S * 1000 - POLL_INTERVAL_MARGIN_MS
+        return int(min(SHARED_WAIT_MS, max(allowed, MIN_SHARED_WAIT_MS)))
+
+    def timeout_s(self, now: float, continues: bool) -> float:
+        """How many seconds past its wait a poll is given.
 
-    def timeout(self, now: float, continues: bool) -> float:
-        """Seconds past its wait that a call is given; `continues` says that it goes on with a watch."""
+        `continues`: it continues a watch, and does not open one.
+        """
         if not self.shared:
-            return AGENT_TIMEOUT_S if self.failures < PATIENT_AFTER else PATIENT_TIMEOUT_S
+            slow = self.consecutive_failures >= AGENT_SLOW_AFTER_FAILURES
+            return AGENT_SLOW_TIMEOUT_S if slow else AGENT_TIMEOUT_S
         if continues:
             return CONTINUED_TIMEOUT_S
+        return self._open_timeout_s(now)
+
+    def _open_timeout_s(self, now: float) -> float:
         if self._overloaded:
-            return LONGEST_TIMEOUT_S
-        if self.failures > QUICK_RETRIES:  # one call in four finds out whether the service is only slow
-            return LEAST_TIMEOUT_S if self.failures % 4 else LONGEST_TIMEOUT_S
-        # Half of the time that is left: if the call fails, the other half serves the next one.
-        return min(max((self._hear_by - now) / 2, LEAST_TIMEOUT_S), LONGEST_TIMEOUT_S)
-
-    # ---- When the next call is made ----
-
-    def first(self, now: float) -> float:
-        """Seconds to wait before the first call, where a list is in hand from before."""
-        self._hear_by = now + TOLD_WITHIN_S - MARGIN_S
-        return self.random.uniform(0.0, self._first_spread) if self.shared else 0.0
-
-    def moved(self, now: float) -> float:
-        """Seconds to wait before the first call to another address: all schedulers may move to it at once."""
-        self._hear_by = now + TOLD_AFTER_MOVE_S - MARGIN_S
-        spread = min(self.schedulers / BEGINS_PER_S, LONGEST_MOVE_S)
+            return MAX_OPEN_TIMEOUT_S
+        if self.consecutive_failures > QUICK_RETRIES:
+            long = self.consecutive_failures % LONG_TIMEOUT_EVERY == 0
+            return MAX_OPEN_TIMEOUT_S if long else MIN_OPEN_TIMEOUT_S
+        # Half of the time that is left: if the poll fails, the other half serves the next one.
+        half_left = (self._notification_due_at - now) / 2
+        return min(max(half_left, MIN_OPEN_TIMEOUT_S), MAX_OPEN_TIMEOUT_S)
+
+    # ---- When the next poll is made ----
+
+    def first_delay_s(self, now: float) -> float:
+        """Seconds to wait before the first poll, where a list from before is being served."""
+        self._notification_due_at = now + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
+        return self.random.uniform(0.0, self._first_spread_s) if self.shared else 0.0
+
+    def move_delay_s(self, now: float) -> float:
+        """Seconds to wait before the first poll of another address; all schedulers may move to it at once."""
+        self._notification_due_at = now + NOTIFIED_AFTER_MOVE_S - NOTIFIED_MARGIN_S
+        spread = min(self.schedulers / OPENED_WATCHES_PER_S, MAX_MOVE_SPREAD_S)
         return self.random.uniform(0.0, spread) if self.shared else 0.0
 
-    def failed(self, now: float, failure: CallFailure, took: float, continued: bool = False) -> float:
-        """Seconds to wait now that a call has failed.
-
-        `took`: seconds that it lasted. `continued`: it went on with a watch, which is dead from here on; it
-        may have been so since the call began.
+    def record_answer(self, now: float) -> None:
+        """A poll was answered: the next failure is the first of its outage."""
+        self.consecutive_failures = 0
+        self._phase_drawn = False
+        self._rejected_immediately = False
+        self._rejected_after_wait = False
+        self._notification_due_at = now + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
+        self.list_expires_at = math.inf
+
+    def record_failure(
+        self, now: float, failure: PollFailure, elapsed_s: float, continued: bool = False
+    ) -> float:
+        """A poll has failed; returns the seconds to wait before the next one.
+
+        `elapsed_s`: how long the poll lasted. `continued`: it continued a watch, which is dead from here on,
+        perhaps since the poll began.
         """
-        self.failures += 1
+        self.consecutive_failures += 1
         if not self.shared:
-            return AGENT_PAUSE_S
+            return AGENT_RETRY_DELAY_S
         if continued:
-            self._hear_by = now - took + TOLD_WITHIN_S - MARGIN_S
-            return self._soon(self._reopen_spread)
-        if failure is CallFailure.TURNED_DOWN:
-            self._note_turned_down(now, took)
+            self._notification_due_at = now - elapsed_s + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
+            return self._random_delay_s(self._reopen_spread_s)
+        if failure is PollFailure.REJECTED:
+            self._record_rejection(now, elapsed_s)
+        return self._retry_delay_s(failure, elapsed_s)
+
+    def _record_rejection(self, now: float, elapsed_s: float) -> None:
+        self._rejected_immediately |= elapsed_s < IMMEDIATE_REJECTION_S
+        self._rejected_after_wait |= elapsed_s >= QUEUED_REJECTION_S
         if self._overloaded:
-            spread = OVERLOAD_SPACING_S * self.schedulers
-            return self.random.uniform(LONGEST_TIMEOUT_S, max(spread, 2 * LONGEST_TIMEOUT_S))
-        if failure is CallFailure.SILENT and self.failures <= QUICK_RETRIES + 1:
-            return self._soon(QUICK_RETRY_S)
-        if took < AT_ONCE_S and not self._in_phase:
-            self._in_phase = True
-            return self._soon(self._spread)
-        # At a steady rate: twice as many calls, spread by chance, would come no sooner at the worst.
-        period = self._spread * self.random.uniform(1 - JITTER, 1 + JITTER)
-        return max(period - took, AGENT_PAUSE_S)
+            expires_at = now - elapsed_s + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
+            self.list_expires_at = min(self.list_expires_at, expires_at)
 
-    @property
-    def _overloaded(self) -> bool:
-        return self._down_at_once and self._down_after_a_wait
-
-    def _note_turned_down(self, now: float, took: float) -> None:
-        self._down_at_once |= took < AT_ONCE_S
-        self._down_after_a_wait |= took >= AFTER_A_WAIT_S
+    def _retry_delay_s(self, failure: PollFailure, elapsed_s: float) -> float:
         if self._overloaded:
-            self.list_expires_at = min(self.list_expires_at, now - took + TOLD_WITHIN_S - MARGIN_S)
+            spread = max(OVERLOAD_SPACING_S * self.schedulers, 2 * MAX_OPEN_TIMEOUT_S)
+            return self.random.uniform(MAX_OPEN_TIMEOUT_S, spread)
+        if failure is PollFailure.TIMEOUT and self.consecutive_failures <= QUICK_RETRIES + 1:
+            return self._random_delay_s(QUICK_RETRY_SPREAD_S)
+        if elapsed_s < IMMEDIATE_REJECTION_S and not self._phase_drawn:
+            self._phase_drawn = True
+            return self._random_delay_s(self._period_s)
+        # At a steady rate: twice as many polls, spread by chance, would come no sooner at the worst.
+        jitter = self.random.uniform(1 - PERIOD_JITTER_SHARE, 1 + PERIOD_JITTER_SHARE)
+        return max(self._period_s * jitter - elapsed_s, AGENT_RETRY_DELAY_S)
+
+    def _random_delay_s(self, spread_s: float) -> float:
+        return max(self.random.uniform(0.0, spread_s), AGENT_RETRY_DELAY_S)
 
-    def answered(self, now: float) -> None:
-        """A call was answered: the next failure is a first one."""
-        self.failures, self._in_phase = 0, False
-        self._down_at_once = self._down_after_a_wait = False
-        self._hear_by, self.list_expires_at = now + TOLD_WITHIN_S - MARGIN_S, math.inf
-
-    def _soon(self, span: float) -> float:
-        return max(self.random.uniform(0.0, span), AGENT_PAUSE_S)
+    @property
+    def _overloaded(self) -> bool:
+        return self._rejected_immediately and self._rejected_after_wait
 
     @property
-    def _first_spread(self) -> float:
-        return min(max(self.schedulers / FIRST_CALLS_PER_S, LEAST_SPREAD_S), LONGEST_SPREAD_S)
+    def _first_spread_s(self) -> float:
+        return min(max(self.schedulers / FIRST_POLLS_PER_S, MIN_SPREAD_S), MAX_SPREAD_S)
 
     @property
-    def _reopen_spread(self) -> float:
-        wanted = self.schedulers / BEGINS_PER_S - self.wait_ms / 1000
-        return min(max(wanted, LEAST_REOPEN_S), LONGEST_REOPEN_S)
+    def _reopen_spread_s(self) -> float:
+        wanted = self.schedulers / OPENED_WATCHES_PER_S - self.wait_ms / 1000
+        return min(max(wanted, MIN_REOPEN_SPREAD_S), MAX_REOPEN_SPREAD_S)
 
     @property
-    def _spread(self) -> float:
-        """With every scheduler calling once in so many seconds, the service bears the rate of all."""
-        return min(max(self.schedulers / BEGINS_PER_S, LEAST_SPREAD_S), LONGEST_SPREAD_S)
+    def _period_s(self) -> float:
+        """With each scheduler polling once in this time, the service bears the rate of all."""
+        return min(max(self.schedulers / OPENED_WATCHES_PER_S, MIN_SPREAD_S), MAX_SPREAD_S)
--- a/oxbowyard/discovery/registry.py
+++ b/oxbowyard/discovery/registry.py
@@ -1,4 +1,8 @@
-"""The list of backends as last told: who they are, where they listen, and since when one is leaving."""
+"""The registry of endpoints: each one's state, its address, and since when it drains.
+
+It is the one owner of that state. An endpoint's record is immutable and is replaced as a whole. Times are
+milliseconds of the clock that the registry is given.
+"""
 
 from __future__ import annotations
 
@@ -8,206 +12,198 @@
 from typing import Any
 
 from ..decision.facade import Readiness, Scope, WorkerInfo
+from .endpoint_list import ListedEndpoint, WatchEvent, to_target
 
-log = logging.getLogger("oxbowyard.director")  # as operators know it
-
-READINESS = {"ready": Readiness.READY, "draining": Readiness.DRAINING, "gone": Readiness.GONE}
-BROKEN_ENTRY = (LookupError, TypeError, ValueError, OverflowError)  # the last for 1e999, which is JSON
-DRAIN_MARGIN_MS = 150.0  # kept off the drain second: a first byte still travels to its backend
-
+log = logging.getLogger("oxbowyard.discovery")
 
-class BrokenList(ValueError):
-    """Discovery sent something that is not a list of backends."""
+DRAIN_MARGIN_MS = 150.0  # kept off the drain grace: a first byte still travels to its endpoint
 
 
-@dataclass(slots=True)
-class Backend:
-    """One backend as the registry knows it."""
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """One endpoint as the registry knows it."""
 
     uid: str
-    endpoint: str
-    readiness: Readiness  # as discovery said last
+    address: str  # HOST:PORT; empty where no entry has named it
+    readiness: Readiness  # as the discovery service sent it last
     info: WorkerInfo
-    leaving_since: float | None = None  # clock time when it was told draining or gone, or put out by hand
-
+    drains_since: float | None = None  # when it was notified as draining or gone, or cordoned
 
-@dataclass(slots=True, frozen=True)
-class Change:
-    """What one answer of discovery says."""
-
-    rev: int
-    full: bool
-    entries: tuple[tuple[str, WorkerInfo], ...]  # each with its endpoint
-
-
-def parse_list(document: object) -> Change:
-    """Read discovery's JSON. A broken entry is left out and logged; a broken list raises."""
-    if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
-        raise BrokenList("no list of targets")
-    rev = document.get("rev")
-    if not isinstance(rev, int) or isinstance(rev, bool):
-        raise BrokenList("no version")
-    entries = []
-    for row in document["targets"]:
-        try:
-            entries.append(_entry(row))
-        except BROKEN_ENTRY as fault:
-            log.warning("broken entry in the list of backends left out: %r", fault)
-    return Change(rev, bool(document.get("all")), tuple(entries))
-
-
-def _entry(row: dict[str, Any]) -> tuple[str, WorkerInfo]:
-    uid, state = row["uid"], READINESS[row["state"]]
-    if not (isinstance(uid, str) and uid):
-        raise ValueError("uid is not a text")
-    try:
-        return _whole_entry(row, uid, state)
-    except BROKEN_ENTRY as fault:
-        if state is Readiness.READY:
-            raise
-        # That it must not be sent to binds whatever else of its entry can't be read.
-        log.warning("backend %s: %s, the rest of its entry is broken: %r", uid, state.value, fault)
-        return "", WorkerInfo(uid, state)
-
-
-def _whole_entry(row: dict[str, Any], uid: str, state: Readiness) -> tuple[str, WorkerInfo]:
-    endpoint = row["endpoint"]
-    if not isinstance(endpoint, str):
-        raise ValueError("endpoint is not a text")
-    host, _, port = endpoint.rpartition(":")
-    if (endpoint or state is not Readiness.GONE) and not (host and 0 < int(port) < 65536):
-        raise ValueError(f"endpoint {endpoint!r}")
-    info = WorkerInfo(
-        uid,
-        state,
-        str(row.get("az") or ""),
-        str(row.get("model") or ""),
-        int(row.get("pod_group") or 0),
-        float(row.get("capacity_hint") or 1.0),
-        float(row.get("boot_ms") or 0.0),
-    )
-    return endpoint, info
+    @property
+    def is_listed(self) -> bool:
+        """Whether the discovery service names it, and not as gone."""
+        return self.readiness is not Readiness.GONE
 
 
 class Registry:
-    """Applies changes and answers for each backend whether it may still be sent to."""
+    """Applies watch events, and says of each endpoint whether it may still be sent to.
+
+    A cordoned endpoint is in maintenance: it counts as draining, whatever the discovery service says, until
+    it is uncordoned.
+    """
 
-    def __init__(self, clock: Callable[[], float], drain_grace: float) -> None:
+    def __init__(self, clock: Callable[[], float], drain_grace_ms: float) -> None:
+        """`drain_grace_ms`: for how long a draining endpoint may still be sent to."""
         self._clock = clock
-        self._grace = max(drain_grace - DRAIN_MARGIN_MS, 0.0)
-        self.backends: dict[str, Backend] = {}
-        # Put out of rotation by the operators: drained whatever discovery says, until they are put back.
-        self.by_hand: set[str] = set()
-        self.suspended = False  # the list is too old to send by: every worker counts as draining
+        self._grace_ms = max(drain_grace_ms - DRAIN_MARGIN_MS, 0.0)
+        self.endpoints: dict[str, Endpoint] = {}
+        self.cordoned: set[str] = set()  # may name endpoints that are not listed yet
+        self._suspended = False
+
+    # ---- The endpoint list ----
 
     def apply(
-        self, change: Change, restored: bool = False, late: bool = False
+        self, event: WatchEvent, restored: bool = False, late: bool = False
     ) -> tuple[Scope, tuple[WorkerInfo, ...]]:
-        """Take a change and say it again for the decisions. `late`: it may have counted as told before."""
-        named = {info.name for _, info in change.entries}
-        if change.full:
-            for backend in self.backends.values():
-                if backend.uid not in named:
-                    self._mark(backend, Readiness.GONE, late)
-        for endpoint, info in change.entries:
-            known = self.backends.get(info.name)
-            if known is None:
-                known = self.backends[info.name] = Backend(info.name, endpoint, info.readiness, info)
-                log.info("backend %s at %s: new, %s", info.name, endpoint, info.readiness.value)
-            known.endpoint = endpoint or known.endpoint
-            known.info = info
-            self._mark(known, info.readiness, late)
+        """Apply a watch event; returns what to pass on to the decisions.
+
+        `restored`: the list is one kept from before. `late`: its changes may have counted as notified before.
+        """
+        if event.is_full:
+            self._mark_unnamed_as_gone(event, late)
+        for listed in event.endpoints:
+            self._apply_entry(listed, late)
         self._forget_long_gone()
-        scope = Scope.RESTORED if restored else Scope.FULL if change.full else Scope.CHANGES
-        return scope, tuple(self._as_held(info) for _, info in change.entries)
+        return _scope_of(event, restored), tuple(self._effective(listed.info) for listed in event.endpoints)
 
-    def told_to_decisions(self) -> tuple[WorkerInfo, ...]:
-        """The whole list as the decisions are told it now."""
-        return tuple(self._as_held(backend.info) for backend in self.backends.values())
+    def effective_endpoints(self) -> tuple[WorkerInfo, ...]:
+        """All endpoints in the form for the decisions."""
+        return tuple(self._effective(endpoint.info) for endpoint in self.endpoints.values())
 
-    def _as_held(self, info: WorkerInfo) -> WorkerInfo:
-        """What the decisions are told: one out by hand drains, whatever discovery's news."""
-        held_back = self.suspended or info.name in self.by_hand
-        if held_back and info.readiness is Readiness.READY:
-            return replace(info, readiness=Readiness.DRAINING)
-        return info
+    def targets(self) -> list[dict[str, Any]]:
+        """The endpoints that are not gone, in the form in which the discovery service sends a list."""
+        return [to_target(e.uid, e.address, e.readiness, e.info) for e in self._listed()]
+
+    @property
+    def listed_count(self) -> int:
+        """How many endpoints the discovery service names, draining ones included."""
+        return len(self._listed())
 
-    def document(self) -> list[dict[str, Any]]:
-        """The list as the service tells it: those that are not gone, with what it said of each."""
-        return [
-            {
-                "uid": b.uid, "endpoint": b.endpoint, "state": b.readiness.value, "az": b.info.zone,
-                "model": b.info.kind, "pod_group": b.info.cell, "capacity_hint": b.info.weight,
-                "boot_ms": b.info.online_since,
-            }
-            for b in self.backends.values() if b.readiness is not Readiness.GONE
-        ]  # fmt: skip
-
-    def put_out(self, uid: str) -> WorkerInfo | None:
-        """Out of rotation by hand, from now on; None if it is unknown. A second call changes nothing."""
-        backend = self.backends.get(uid)
-        if backend is None and uid not in self.by_hand:
+    def address(self, uid: str) -> str | None:
+        """The address of an endpoint whose first byte may be sent now; None where it may not."""
+        endpoint = self.endpoints.get(uid)
+        # The decisions learn of a cordon or a suspension at once: there is no grace.
+        if endpoint is None or self._suspended or uid in self.cordoned:
             return None
-        if uid not in self.by_hand:
-            self.by_hand.add(uid)
-            log.info("backend %s: out of rotation by hand", uid)
-        if backend is None:
-            return WorkerInfo(uid, Readiness.GONE)
-        if backend.leaving_since is None:
-            backend.leaving_since = self._clock()
-        return self._as_held(backend.info)
-
-    def put_back(self, uid: str) -> WorkerInfo | None:
-        """Back in rotation, as discovery said last; None if it is unknown. One call undoes all calls out."""
-        backend = self.backends.get(uid)
-        if backend is None and uid not in self.by_hand:
+        if endpoint.drains_since is not None and self._clock() - endpoint.drains_since >= self._grace_ms:
             return None
-        if uid in self.by_hand:
-            self.by_hand.discard(uid)
-            log.info("backend %s: back in rotation", uid)
-        if backend is None:
-            return WorkerInfo(uid, Readiness.GONE)
-        if backend.readiness is Readiness.READY:
-            backend.leaving_since = None
-        return self._as_held(backend.info)
+        return endpoint.address or None
+
+    def _listed(self) -> list[Endpoint]:
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.is_listed]
+
+    def _apply_entry(self, listed: ListedEndpoint, late: bool) -> None:
+        uid, readiness = listed.info.name, listed.info.readiness
+        known = self.endpoints.get(uid)
+        address = listed.address or (known.address if known else "")
+        if known is None:
+            log.info("endpoint added: uid=%s address=%s state=%s", uid, address, readiness.value)
+        else:
+            _log_state_change(known, address, readiness)
+        drains_since = self._drain_start(uid, known.drains_since if known else None, readiness, late)
+        self.endpoints[uid] = Endpoint(uid, address, readiness, listed.info, drains_since)
+
+    def _mark_unnamed_as_gone(self, event: WatchEvent, late: bool) -> None:
+        named = {listed.info.name for listed in event.endpoints}
+        for known in [e for e in self.endpoints.values() if e.uid not in named]:
+            _log_state_change(known, known.address, Readiness.GONE)
+            drains_since = self._drain_start(known.uid, known.drains_since, Readiness.GONE, late)
+            self.endpoints[known.uid] = replace(known, readiness=Readiness.GONE, drains_since=drains_since)
+
+    def _drain_start(
+        self, uid: str, drains_since: float | None, readiness: Readiness, late: bool
+    ) -> float | None:
+        if readiness is Readiness.READY and uid not in self.cordoned:
+            return None
+        if drains_since is not None:
+            return drains_since
+        # How much of the grace is left of a change that a dead watch held back is not known: none is taken.
+        return self._clock() - (self._grace_ms if late else 0.0)
+
+    def _forget_long_gone(self) -> None:
+        now = self._clock()
+        long_gone = [
+            endpoint.uid
+            for endpoint in self.endpoints.values()
+            if not endpoint.is_listed and now - (endpoint.drains_since or now) > self._grace_ms
+        ]
+        for uid in long_gone:
+            del self.endpoints[uid]
+
+    # ---- Suspension: the list is too old to send by ----
 
     @property
-    def listed(self) -> int:
-        """Backends in the list: all that discovery names and has not told gone."""
-        return sum(b.readiness is not Readiness.GONE for b in self.backends.values())
+    def suspended(self) -> bool:
+        """Whether every endpoint counts as draining, because the list is too old to send by."""
+        return self._suspended
+
+    def suspend(self) -> None:
+        """Let no endpoint be sent to until `resume`."""
+        self._suspended = True
+
+    def resume(self) -> None:
+        """The list is young enough again to send by."""
+        self._suspended = False
+
+    # ---- Maintenance ----
 
     @property
-    def out_by_hand(self) -> int:
-        """Listed backends that are out of rotation by hand."""
-        return sum(
-            b.readiness is not Readiness.GONE and b.uid in self.by_hand for b in self.backends.values()
-        )
-
-    def _mark(self, backend: Backend, readiness: Readiness, late: bool) -> None:
-        if readiness is Readiness.READY and backend.uid not in self.by_hand:
-            backend.leaving_since = None
-        elif backend.leaving_since is None:
-            # News that a silent watch held back: how much of the grace is left is not known, so none is.
-            backend.leaving_since = self._clock() - (self._grace if late else 0.0)
-        if backend.readiness is not readiness:
-            log.info("backend %s at %s: %s", backend.uid, backend.endpoint, readiness.value)
-        backend.readiness = readiness
+    def cordoned_count(self) -> int:
+        """How many listed endpoints are cordoned."""
+        return sum(endpoint.uid in self.cordoned for endpoint in self._listed())
 
-    def _forget_long_gone(self) -> None:
-        now = self._clock()
-        for uid in [
-            b.uid
-            for b in self.backends.values()
-            if b.readiness is Readiness.GONE and now - (b.leaving_since or now) > self._grace
-        ]:
-            del self.backends[uid]
+    def is_known(self, uid: str) -> bool:
+        """Whether the endpoint is listed, or was of late, or is cordoned."""
+        return uid in self.endpoints or uid in self.cordoned
 
-    def address(self, uid: str) -> str | None:
-        """Where the backend listens, if its first byte may be sent to it now."""
-        backend = self.backends.get(uid)
-        # Out by hand, or the list suspended: the decisions were told at once.
-        if backend is None or self.suspended or uid in self.by_hand:
+    def cordon(self, uid: str) -> WorkerInfo | None:
+        """Cordon an endpoint; a second call changes nothing.
+
+        Returns what to pass on to the decisions; None where the endpoint is unknown.
+        """
+        if not self.is_known(uid):
             return None
-        if backend.leaving_since is not None and self._clock() - backend.leaving_since >= self._grace:
+        if uid not in self.cordoned:
+            self.cordoned.add(uid)
+            log.info("endpoint cordoned: uid=%s", uid)
+        endpoint = self.endpoints.get(uid)
+        if endpoint is None:
+            return WorkerInfo(uid, Readiness.GONE)
+        if endpoint.drains_since is None:
+            self.endpoints[uid] = replace(endpoint, drains_since=self._clock())
+        return self._effective(endpoint.info)
+
+    def uncordon(self, uid: str) -> WorkerInfo | None:
+        """Use an endpoint again as the discovery service says; one call undoes all calls of `cordon`.
+
+        Returns what to pass on to the decisions; None where the endpoint is unknown.
+        """
+        if not self.is_known(uid):
             return None
-        return backend.endpoint or None
+        if uid in self.cordoned:
+            self.cordoned.discard(uid)
+            log.info("endpoint uncordoned: uid=%s", uid)
+        endpoint = self.endpoints.get(uid)
+        if endpoint is None:
+            return WorkerInfo(uid, Readiness.GONE)
+        if endpoint.readiness is Readiness.READY:
+            self.endpoints[uid] = replace(endpoint, drains_since=None)
+        return self._effective(endpoint.info)
+
+    def _effective(self, info: WorkerInfo) -> WorkerInfo:
+        """The form for the decisions: a cordoned or suspended endpoint drains."""
+        held_back = self._suspended or info.name in self.cordoned
+        if held_back and info.readiness is Readiness.READY:
+            return replace(info, readiness=Readiness.DRAINING)
+        return info
+
+
+def _log_state_change(known: Endpoint, address: str, readiness: Readiness) -> None:
+    if known.readiness is not readiness:
+        log.info("endpoint state changed: uid=%s address=%s state=%s", known.uid, address, readiness.value)
+
+
+def _scope_of(event: WatchEvent, restored: bool) -> Scope:
+    if restored:
+        return Scope.RESTORED
+    return Scope.FULL if event.is_full else Scope.CHANGES
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -11,6 +11,7 @@
 import socket
 import struct
 import tomllib
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -19,7 +20,7 @@
 from oxbowyard.clients.session import ClientSessions
 from oxbowyard.daemon.assembly import Assembly
 from oxbowyard.daemon.config import load
-from oxbowyard.discovery.registry import parse_list
+from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.gearman import config as gearman
 from oxbowyard.listeners.acceptor import Acceptor
 from oxbowyard.waiting.settings import WaitingSettings
@@ -155,9 +156,14 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
         rows = [{"uid": name, **row} for name in names]
-        change = parse_list({"rev": 1, "all": True, "targets": rows})
+        change = parse_endpoint_list({"rev": 1, "all": True, "targets": rows})
         self.scheduler.learn(*self.parts.registry.apply(change))
 
+    def move_endpoint(self, name: str, address: str) -> None:
+        """The worker listens elsewhere, and no watch event has said so."""
+        endpoints = self.parts.registry.endpoints
+        endpoints[name] = replace(endpoints[name], address=address)
+
     def client(self, front: str = "http") -> socket.socket:
         """A new connection; the system takes it, the loop has not seen it yet."""
         acceptor = self.acceptor if front == "http" else self.parts.gearman._acceptor  # type: ignore[union-attr]
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -10,12 +10,13 @@
 from oxbowyard.backends.http import HttpBackends
 from oxbowyard.core.req import Ending, FetchNotes, Req
 from oxbowyard.decision.facade import Result
-from oxbowyard.discovery.registry import DRAIN_MARGIN_MS, Registry, parse_list
+from oxbowyard.discovery.endpoint_list import parse_endpoint_list
+from oxbowyard.discovery.registry import DRAIN_MARGIN_MS, Registry
 
 
 def listed(registry: Registry, port: int, state: str) -> None:
     row = {"uid": "w", "endpoint": f"127.0.0.1:{port}", "state": state}
-    registry.apply(parse_list({"rev": 1, "all": True, "targets": [row]}))
+    registry.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": [row]}))
 
 
 def test_nothing_is_sent_once_the_drain_second_has_passed_while_connecting() -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from player import ROOT, SETTINGS
 
 from oxbowyard.daemon.config import BadConfig, load
-from oxbowyard.discovery.poll_schedule import CallSchedule
+from oxbowyard.discovery.poll_schedule import PollSchedule
 
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
 
@@ -74,10 +74,10 @@
 
 def test_a_lost_watch_is_given_up_before_all_counts_as_told() -> None:
     """Its 8 s and the 2.5 s past them were more than the 10 s after which all counts as told."""
-    schedule = CallSchedule(True, 3, Random(1), 10_000.0)
-    assert schedule.wait_ms + schedule.timeout(0.0, False) * 1000 < 10_000
-    assert CallSchedule(True, 3, Random(1), 3_900.0).wait_ms == 900
-    assert CallSchedule(False, 3, Random(1), 4_000.0).wait_ms == 2000  # an agent's list is told as it comes
+    schedule = PollSchedule(True, 3, Random(1), 10_000.0)
+    assert schedule.wait_ms + schedule.timeout_s(0.0, False) * 1000 < 10_000
+    assert PollSchedule(True, 3, Random(1), 3_900.0).wait_ms == 900
+    assert PollSchedule(False, 3, Random(1), 4_000.0).wait_ms == 2000  # an agent's list is told as it comes
 
 
 FIGURES = [
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 from test_replacement import Stand, free_port, status, wait_until
 
 from oxbowyard.daemon.descriptors import Descriptors
-from oxbowyard.discovery.poll_schedule import TOLD_WITHIN_S
+from oxbowyard.discovery.poll_schedule import NOTIFIED_WITHIN_S
 
 LIMIT = 96
 SHARED = Descriptors.share_out(LIMIT, 20_000)
@@ -116,8 +116,8 @@
         held = Path(f"/proc/{program.process.pid}/fd")
         wait_until(lambda: len(list(held.iterdir())) > LIMIT // 2, PATIENCE)
         stack.enter_context(discovery.start())
-        wait_until(lambda: discovery.calls >= 1, TOLD_WITHIN_S)
-        program.wait_for("list rev 2, full")
+        wait_until(lambda: discovery.calls >= 1, NOTIFIED_WITHIN_S)
+        program.wait_for("endpoint list applied: revision=2 scope=full")
         assert status(admin, "/control/ready") == 200, "the operators are answered beside a crowd"
         worker.may_end.set()
         for client in asking[:4]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 from oxbowyard.daemon.program import SETTLE, Program, Read
 from oxbowyard.decision.facade import Result
 from oxbowyard.decision.interface import Repeat
-from oxbowyard.discovery.registry import parse_list
+from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.gearman.packet import REQ, Type, encode
 from oxbowyard.listeners.acceptor import Acceptor
 
@@ -393,7 +393,7 @@
         stage.worker.answer = False
         where = "{}:{}".format(*worker.sockets[0].getsockname()[:2])
         entry = {"uid": "w1", "endpoint": where, "state": "ready"}
-        change = parse_list({"rev": 1, "all": True, "targets": [entry]})
+        change = parse_endpoint_list({"rev": 1, "all": True, "targets": [entry]})
         program._parts.scheduler.learn(*program._parts.registry.apply(change))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
@@ -580,7 +580,7 @@
 
         server = await asyncio.start_server(spoil, "127.0.0.1", 0)
         where = "{}:{}".format(*server.sockets[0].getsockname()[:2])
-        stage.parts.registry.backends["w1"].endpoint = where
+        stage.move_endpoint("w1", where)
         notes = FetchNotes(30.0, lambda: None)
         req = Req("a1", "preview", 30.0, "/preview", b"hello")
         endings: list[Ending] = [await stage.parts.backends.fetch("w1", req, notes)]
@@ -601,7 +601,7 @@
         req = Req("a1", "preview", 30.0, "/preview", b"hello")
         fetch = asyncio.create_task(stage.parts.backends.fetch("w1", req, FetchNotes(30.0, lambda: None)))
         await turns()
-        stage.parts.registry.backends["w1"].endpoint = "127.0.0.1:9"
+        stage.move_endpoint("w1", "127.0.0.1:9")
         stage.loop.way.set()
         assert (await fetch).result is Result.NOT_SENT and stage.worker.ran == 0
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -167,7 +167,7 @@
 
         assert members[2].call("PUT", "/control/scan-workers/w1/offline")[0] == 200
         until(lambda: outs() == [1] * 5, "all have drained it")
-        times = [re.search(r"(\S+ \S+) .*backend w1: out of rotation", m.log()) for m in members]
+        times = [re.search(r"(\S+ \S+) .*endpoint cordoned: uid=w1\b", m.log()) for m in members]
         stamps = [datetime.strptime(m[1], "%Y-%m-%d %H:%M:%S,%f") for m in times if m]
         assert len(stamps) == 5 and (max(stamps) - min(stamps)).total_seconds() < 1.0
         members[3].kill()
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -18,7 +18,8 @@
 from oxbowyard.core.retune import live_part_only, retune
 from oxbowyard.decision.facade import Readiness, WorkerInfo
 from oxbowyard.decision.interface import JobClass, Repeat
-from oxbowyard.discovery.registry import Change, Registry
+from oxbowyard.discovery.endpoint_list import ListedEndpoint, WatchEvent
+from oxbowyard.discovery.registry import Registry
 from oxbowyard.handover.files import STALE, Marks
 from oxbowyard.handover.steps import WAIT_MOST, Handover, Step
 from oxbowyard.listeners.acceptor import Acceptor
@@ -80,9 +81,11 @@
 # ---- Out of rotation by hand ----
 
 
-def listing(*rows: tuple[str, Readiness]) -> Change:
-    entries = tuple((f"10.0.0.{i}:80", WorkerInfo(uid, state)) for i, (uid, state) in enumerate(rows))
-    return Change(1, True, entries)
+def listing(*rows: tuple[str, Readiness]) -> WatchEvent:
+    endpoints = tuple(
+        ListedEndpoint(f"10.0.0.{i}:80", WorkerInfo(uid, state)) for i, (uid, state) in enumerate(rows)
+    )
+    return WatchEvent(1, True, endpoints)
 
 
 class Clock:
@@ -95,26 +98,26 @@
 
 def test_one_out_by_hand_drains_whatever_discovery_says() -> None:
     clock = Clock()
-    registry = Registry(clock, drain_grace=1000.0)
+    registry = Registry(clock, drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    held = registry.put_out("w1")
+    held = registry.cordon("w1")
     assert held is not None and held.readiness is Readiness.DRAINING
     assert registry.address("w1") is None  # the decisions are told at once: nothing new goes there
     _, told = registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
     assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
-    assert (registry.listed, registry.out_by_hand) == (2, 1)
-    back = registry.put_back("w1")
+    assert (registry.listed_count, registry.cordoned_count) == (2, 1)
+    back = registry.uncordon("w1")
     assert back is not None and back.readiness is Readiness.READY and registry.address("w1") is not None
-    assert registry.put_out("w9") is None and registry.put_back("w9") is None
+    assert registry.cordon("w9") is None and registry.uncordon("w9") is None
 
 
 def test_calls_out_twice_and_one_back() -> None:
-    registry = Registry(Clock(), drain_grace=1000.0)
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY)))
-    registry.put_out("w1")
-    registry.put_out("w1")
-    registry.put_back("w1")
-    assert registry.by_hand == set() and registry.out_by_hand == 0
+    registry.cordon("w1")
+    registry.cordon("w1")
+    registry.uncordon("w1")
+    assert registry.cordoned == set() and registry.cordoned_count == 0
 
 
 def test_a_process_beside_keeps_and_takes_the_calls(tmp_path: Path) -> None:
@@ -123,7 +126,7 @@
     told: list[tuple[str, list[WorkerInfo]]] = []
     sides = []
     for name in ("old", "new"):
-        registry = Registry(Clock(), drain_grace=1000.0)
+        registry = Registry(Clock(), drain_grace_ms=1000.0)
         registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
         learn = lambda scope, infos, name=name: told.append((name, list(infos)))  # noqa: E731
         sides.append((registry, Maintenance(registry, learn, MaintenanceFile(path))))
@@ -132,10 +135,10 @@
     assert new_rotation.out("w2")  # before it has read the other's call: both stay
     new_rotation.follow()
     old_rotation.follow()
-    assert old.by_hand == new.by_hand == {"w1", "w2"}
+    assert old.cordoned == new.cordoned == {"w1", "w2"}
     assert new_rotation.back("w1")
     old_rotation.follow()
-    assert old.by_hand == {"w2"} and old.address("w1") is not None
+    assert old.cordoned == {"w2"} and old.address("w1") is not None
     assert ("old", [WorkerInfo("w1", Readiness.READY)]) in told
     assert not old_rotation.out("w9")
 
@@ -143,7 +146,7 @@
 def test_a_start_reads_what_was_put_out_before_any_list(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('["w1"]')
-    registry = Registry(Clock(), drain_grace=1000.0)
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path)).follow()
     _, told = registry.apply(listing(("w1", Readiness.READY)))
     assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
@@ -175,36 +178,36 @@
     """Whoever is out stays out, who is in stays in, and the next call keeps what is in hand."""
     path = tmp_path / "disk" / "out.json"
     path.parent.mkdir()
-    registry = Registry(Clock(), drain_grace=1000.0)
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
     maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
     maintenance.out("w1")
     BREAKS[how](path)
     for _ in range(3):
         maintenance.follow()
-        assert registry.by_hand == {"w1"} and registry.address("w2") is not None
+        assert registry.cordoned == {"w1"} and registry.address("w2") is not None
     assert maintenance.out("w2")
     maintenance.follow()
-    assert registry.by_hand == {"w1", "w2"}
-    fresh = Registry(Clock(), drain_grace=1000.0)
+    assert registry.cordoned == {"w1", "w2"}
+    fresh = Registry(Clock(), drain_grace_ms=1000.0)
     Maintenance(fresh, lambda scope, infos: None, MaintenanceFile(path)).follow()
-    assert fresh.by_hand in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
-    assert fresh.by_hand or not path.is_file()
+    assert fresh.cordoned in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
+    assert fresh.cordoned or not path.is_file()
 
 
 def test_a_file_not_ours_puts_nobody_out_and_one_taken_away_puts_all_back(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('{"w1": tru')
-    registry = Registry(Clock(), drain_grace=1000.0)
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
     maintenance.follow()
-    assert registry.by_hand == set()
+    assert registry.cordoned == set()
     path.write_text('["w1"]')
     maintenance.follow()
-    assert registry.by_hand == {"w1"}
+    assert registry.cordoned == {"w1"}
     path.unlink()
     maintenance.follow()
-    assert registry.by_hand == set()
+    assert registry.cordoned == set()
 
 
 # ---- A second process on the same address ----
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -236,7 +236,7 @@
         for member in members:
             made.write(member)
             member.start()
-        until(lambda: any("discovery does not answer" in m.log() for m in members), "it was asked")
+        until(lambda: any("discovery unavailable" in m.log() for m in members), "it was asked")
         assert not any(ready([m]) for m in members)
         service.service.cut_short = False
         until(lambda: told(members) and ready(members), "all serve")
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -16,9 +16,10 @@
 from virtual import play
 
 from oxbowyard.decision.facade import Readiness, Scope, WorkerInfo
-from oxbowyard.discovery.poll_schedule import CallSchedule
-from oxbowyard.discovery.registry import Change, Registry, parse_list
-from oxbowyard.discovery.watch import DiscoveryClient
+from oxbowyard.discovery.client import DiscoveryClient
+from oxbowyard.discovery.endpoint_list import WatchEvent, parse_endpoint_list
+from oxbowyard.discovery.poll_schedule import PollSchedule
+from oxbowyard.discovery.registry import Registry
 
 GRACE = 0.8  # seconds: the shortest drain grace met so far
 WHOLE = 10_000  # more bytes than any answer has
@@ -115,7 +116,7 @@
 
 
 async def _started(
-    service: Discovery, seen: Seen, pace: CallSchedule
+    service: Discovery, seen: Seen, pace: PollSchedule
 ) -> tuple[asyncio.Server, asyncio.Task[None]]:
     server = await asyncio.start_server(service.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()[:2]
@@ -143,7 +144,7 @@
 
     async def scene() -> None:
         discovery, seen = Discovery(dict.fromkeys(at, stop), reset), Seen()
-        schedule = CallSchedule(schedulers > 0, schedulers, Random(3), 10_000.0)
+        schedule = PollSchedule(schedulers > 0, schedulers, Random(3), 10_000.0)
         server, task = await _started(discovery, seen, schedule)
         while not discovery.silent_at:
             await asyncio.sleep(0.01)
@@ -167,7 +168,7 @@
     async def scene() -> None:
         silent = {} if overloaded else dict.fromkeys(range(2, 40), 0)
         service, seen = Discovery(silent), Seen()
-        server, task = await _started(service, seen, CallSchedule(True, 40, Random(3), 10_000.0))
+        server, task = await _started(service, seen, PollSchedule(True, 40, Random(3), 10_000.0))
         while len(service.calls) < 3:
             await asyncio.sleep(0.01)
         service.overloaded, since = overloaded, seen.loop.time()
@@ -189,7 +190,7 @@
 def test_news_that_a_dead_watch_held_back_has_no_grace_left(late: bool) -> None:
     async def scene() -> None:
         discovery, seen = Discovery({2: 0} if late else {}), Seen()
-        server, task = await _started(discovery, seen, CallSchedule(False, 3, Random(3)))
+        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
         while len(discovery.calls) < 3:
             await asyncio.sleep(0.01)
         discovery.change(entry(state="draining"))
@@ -211,8 +212,8 @@
 
 @pytest.mark.parametrize("row", [*ABSURD, 7, None, "w2"])
 def test_an_entry_of_a_wrong_type_is_left_out_and_the_rest_counts(row: object) -> None:
-    change = parse_list({"rev": 1, "all": True, "targets": [row, entry()]})
-    assert [info.name for _, info in change.entries] == ["w1"]
+    event = parse_endpoint_list({"rev": 1, "all": True, "targets": [row, entry()]})
+    assert [listed.info.name for listed in event.endpoints] == ["w1"]
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -225,20 +226,21 @@
     """The entry used to be left out, and the worker was sent to for as long as the list stood."""
     now = [0.0]
     registry = Registry(lambda: now[0], 1000.0)
-    registry.apply(parse_list({"rev": 1, "all": True, "targets": [entry()]}))
+    registry.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": [entry()]}))
     row = entry(state=state, **broken)
-    registry.apply(parse_list({"rev": 2, "all": False, "targets": [row]}))
+    registry.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": [row]}))
     assert registry.address("w1") == "10.0.0.1:80", "within its grace it may be sent to where it is"
     now[0] = 1000.0
     assert registry.address("w1") is None
-    registry.apply(parse_list({"rev": 3, "all": False, "targets": [entry("w3", state, endpoint=None)]}))
+    row = entry("w3", state, endpoint=None)
+    registry.apply(parse_endpoint_list({"rev": 3, "all": False, "targets": [row]}))
     assert registry.address("w3") is None, "no endpoint is known of it"
 
 
 def test_a_figure_beyond_all_numbers_is_a_broken_entry() -> None:
     row = json.loads(json.dumps(entry("w2", pod_group=0)).replace('"pod_group": 0', '"pod_group": 1e999'))
-    change = parse_list({"rev": 1, "all": True, "targets": [row, entry()]})
-    assert [info.name for _, info in change.entries] == ["w1"]
+    event = parse_endpoint_list({"rev": 1, "all": True, "targets": [row, entry()]})
+    assert [listed.info.name for listed in event.endpoints] == ["w1"]
 
 
 def test_a_fault_while_a_list_is_taken_does_not_end_the_watch() -> None:
@@ -251,7 +253,7 @@
             seen.fault = lambda: None
             raise KeyError("a fault of ours")
 
-        server, task = await _started(discovery, seen, CallSchedule(False, 3, Random(3)))
+        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
         while len(discovery.calls) < 3:
             await asyncio.sleep(0.01)
         seen.fault = broken
@@ -266,7 +268,7 @@
 def test_an_older_list_is_asked_for_again_before_it_counts() -> None:
     async def scene() -> None:
         discovery, seen = Discovery({}), Seen()
-        server, task = await _started(discovery, seen, CallSchedule(False, 3, Random(3)))
+        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
         discovery.change(entry(state="draining"))
         await asyncio.sleep(1.0)
         # One answer from before the drain, whole and well-formed, as from a lagging copy: the drain stays.
@@ -287,8 +289,8 @@
     registry = Registry(lambda: 0.0, 1000.0)
     for state, endpoint in (("ready", "10.0.0.1:80"), ("gone", "10.0.0.1:80"), ("ready", "10.0.0.2:80")):
         registry.apply(
-            parse_list({"rev": 1, "all": False, "targets": [entry(state=state, endpoint=endpoint)]})
+            parse_endpoint_list({"rev": 1, "all": False, "targets": [entry(state=state, endpoint=endpoint)]})
         )
     assert registry.address("w1") == "10.0.0.2:80"
-    registry.apply(Change(2, True, ()))  # an empty whole list: all are gone, and so said
-    assert registry.backends["w1"].readiness is Readiness.GONE
+    registry.apply(WatchEvent(2, True, ()))  # an empty whole list: all are gone, and so said
+    assert registry.endpoints["w1"].readiness is Readiness.GONE
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -13,9 +13,9 @@
 from virtual import play
 
 from oxbowyard.decision.facade import Scope, WorkerInfo
-from oxbowyard.discovery.poll_schedule import BEGINS_PER_S, TOLD_WITHIN_S, CallSchedule
+from oxbowyard.discovery.client import DiscoveryClient
+from oxbowyard.discovery.poll_schedule import NOTIFIED_WITHIN_S, OPENED_WATCHES_PER_S, PollSchedule
 from oxbowyard.discovery.registry import Registry
-from oxbowyard.discovery.watch import DiscoveryClient
 
 CALLERS, GRACE_MS = 40, 1000.0
 DRAIN_AT = 30.0  # seconds: by then most have a watch that goes on
@@ -112,7 +112,7 @@
                         GRACE_MS / 1000 - 0.1, lambda: bound.append(registry.address("w1") is None)
                     )
 
-            pace = CallSchedule(True, CALLERS, Random(i))
+            pace = PollSchedule(True, CALLERS, Random(i))
             client = DiscoveryClient(f"127.0.0.1:{port}", registry, learn, schedule=pace)
             client.restore({"rev": 1, "all": True, "targets": [entry("ready")]})
             tasks.append(asyncio.create_task(client.run()))
@@ -123,8 +123,8 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await runner.cleanup()
-        assert max(service.calls.values()) <= BEGINS_PER_S, "calls spread"
-        assert max(service.calls) < TOLD_WITHIN_S, "and each had its answer before its old list expired"
+        assert max(service.calls.values()) <= OPENED_WATCHES_PER_S, "calls spread"
+        assert max(service.calls) < NOTIFIED_WITHIN_S, "and each had its answer before its old list expired"
         assert len(heard) == CALLERS, "all hear the drain"
         assert service.told >= CALLERS, "each was told by a call of its own"
         assert bound == [True] * CALLERS, "none late for the drain"
@@ -154,7 +154,7 @@
 
         for i in range(RESTARTED):
             registry = Registry(lambda: loop.time() * 1000, GRACE_MS)
-            schedule = CallSchedule(True, 200, Random(i), 10_000.0)
+            schedule = PollSchedule(True, 200, Random(i), 10_000.0)
             client = DiscoveryClient(f"127.0.0.1:{port}", registry, lambda *_: None, schedule=schedule)
             if known:
                 client.restore({"rev": 1, "all": True, "targets": [entry("ready")]})
