--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -22,9 +22,9 @@
 from ..core.retune import live_part_only, retune
 from ..decision.interface import Settings
 from ..gearman.config import GearmanConfig
-from ..handover.files import BEAT_EVERY, Marks
 from ..handover.learned import LearnedFile
-from ..handover.steps import Handover, Step
+from ..handover.pid_files import BEAT_EVERY, Marks
+from ..handover.protocol import Handover, Step
 from ..listeners.acceptor import Acceptor
 from .assembly import Assembly, first_list, membership
 from .collector import collect_when_few, spare_full_passes
--- a/oxbowyard/handover/steps.py
+++ b/oxbowyard/handover/protocol.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .files import Marks
+from .pid_files import Marks
 
 log = logging.getLogger("oxbowyard.succession")  # as operators know it
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -20,8 +20,8 @@
 from oxbowyard.decision.interface import JobClass, Repeat
 from oxbowyard.discovery.endpoint_list import ListedEndpoint, WatchEvent
 from oxbowyard.discovery.registry import Registry
-from oxbowyard.handover.files import STALE, Marks
-from oxbowyard.handover.steps import WAIT_MOST, Handover, Step
+from oxbowyard.handover.pid_files import STALE, Marks
+from oxbowyard.handover.protocol import WAIT_MOST, Handover, Step
 from oxbowyard.listeners.acceptor import Acceptor
 
 NEW = JobClass("new", aim=500, deadline=4000, repeat=Repeat.FREE)
