--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -22,9 +22,9 @@
 from ..core.retune import live_part_only, retune
 from ..decision.interface import Settings
 from ..gearman.config import GearmanConfig
-from ..handover.learned import LearnedFile
-from ..handover.pid_files import BEAT_EVERY, Marks
-from ..handover.protocol import Handover, Step
+from ..handover.learned import EstimatesFile
+from ..handover.pid_files import HEARTBEAT_INTERVAL_S, PidFiles
+from ..handover.protocol import Action, Handover
 from ..listeners.acceptor import Acceptor
 from .assembly import Assembly, first_list, membership
 from .collector import collect_when_few, spare_full_passes
@@ -96,7 +96,7 @@
         self._acceptor: Acceptor | None = None
         folder = Path(tempfile.gettempdir())
         started = asyncio.get_running_loop().time()
-        self._handover = Handover(Marks(folder, config.name, os.getpid()), started)
+        self._handover = Handover(PidFiles(folder, config.name, os.getpid()), started)
         self._files = Files()
         self._in_force = config.settings  # its classes and fetches change with SIGHUP
         self._settling: asyncio.TimerHandle | None = None
@@ -106,7 +106,7 @@
         self._parts = Assembly(
             config, self._started.gearman, self._settled, self._started.waiting, self._kept
         )
-        self._learned = LearnedFile(folder, config.name, os.getpid(), self._parts.clock)
+        self._learned = EstimatesFile(folder, config.name, os.getpid(), self._parts.clock)
         hand = MaintenanceFile(Path(tempfile.gettempdir()) / f"oxbowyard-{config.name}-out-by-hand.json")
         self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.learn, hand)
         self._membership: MembershipPart | None = None
@@ -157,7 +157,7 @@
 
     def _is_ready(self) -> bool:
         """For the operators: this process serves, is not told to stop, and has no other one to wait for."""
-        return self._is_up() and not self._told_to_stop.is_set() and self._handover.may_say_yes
+        return self._is_up() and not self._told_to_stop.is_set() and self._handover.may_report_ready
 
     def _enter(self, state: State) -> None:
         log.info("state %s -> %s", self.state.value, state.value)
@@ -188,18 +188,19 @@
         loop = asyncio.get_running_loop()
         adopted = False
         while True:
-            await asyncio.sleep(BEAT_EVERY)
-            if self._handover.waiting and not adopted:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            if self._handover.is_waiting and not adopted:
                 adopted = self._adopt()
-            step = self._handover.look(loop.time(), self._parts.scheduler.open_count)
-            if step is Step.HAND_OVER and self.state in (State.SERVING, State.RELOADING) and self._acceptor:
+            action = self._handover.poll(loop.time(), self._parts.scheduler.open_count)
+            serves = self.state in (State.SERVING, State.RELOADING)
+            if action is Action.HAND_OVER and serves and self._acceptor:
                 self._enter(State.HANDING)
                 self._hand_learned()
                 await self._acceptor.shut()
                 self._sessions.wind_down()
                 self._sessions.close_idle()
                 await self._further.hand_over()
-            elif step is Step.RESUME and self.state is State.HANDING:
+            elif action is Action.RESUME and self.state is State.HANDING:
                 log.warning("the new process went before it took over: this one takes clients again")
                 await self._resume()
 
--- a/oxbowyard/handover/__init__.py
+++ b/oxbowyard/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one scheduler at a replacement: the old one hands over before the new one says yes."""
+"""Handover at a replacement: an old process passes its clients and estimates to the one that succeeds it."""
--- a/oxbowyard/handover/learned.py
+++ b/oxbowyard/handover/learned.py
@@ -1,8 +1,8 @@
-"""The file in `$TMPDIR` by which an old process hands what it has learned to the one that replaces it.
+"""The file in `$TMPDIR` by which an old process hands its estimates over to the process that succeeds it.
 
-Two lines of JSON: a header with the version, the successor's pid and a checksum, then the estimates with
-their time. It is written whole or not at all. Whatever is damaged, of another version, for another process or
-too old is not believed: the successor then begins without estimates, as at any start.
+It is two lines of JSON: a header with the version, the successor's pid and a checksum, then the estimates
+with their time. It is written whole or not at all. A file that is damaged, of another version, for another
+process or too old is rejected: the successor then begins without estimates, as at any start.
 """
 
 from __future__ import annotations
@@ -20,110 +20,114 @@
 
 from ..decision.snapshot import VERSION, Snapshot
 
-log = logging.getLogger("oxbowyard.succession")  # as operators know it
+log = logging.getLogger("oxbowyard.handover")
 
-MAX_BYTES = 1 << 20
-MAX_AGE_MS = 10_000.0  # a worker's load and health say nothing after that
+MAX_FILE_BYTES = 1 << 20
+CHECKSUM_BYTES = 16
+MAX_AGE_MS = 10_000.0  # older estimates of a worker's load and health mean nothing
 CLOCK_TOLERANCE_MS = 500.0  # each process reads the system's time at its own start
 
 
-class Unusable(ValueError):
-    """The file can't be believed; the text says why."""
+class UnusableFileError(ValueError):
+    """The file is rejected; the text says why."""
 
 
 def encode(snapshot: Snapshot, successor: int) -> bytes:
-    """The file's text."""
+    """The file's content, for the successor with this pid."""
     body = orjson.dumps(snapshot, option=orjson.OPT_SERIALIZE_DATACLASS)
     header = {"version": VERSION, "successor": successor, "checksum": _checksum(body)}
     return orjson.dumps(header) + b"\n" + body
 
 
 def decode(text: bytes, pid: int, now: float) -> Snapshot:
-    """The estimates for this process; `now` in Unix milliseconds. Raises Unusable."""
-    head, _, body = text.partition(b"\n")
+    """The estimates out of a file's content.
+
+    `pid` is this process's, `now` is in Unix milliseconds. Raises UnusableFileError, and ValueError where the
+    second line is no JSON.
+    """
+    first_line, _, body = text.partition(b"\n")
     try:
-        header = orjson.loads(head)
+        header = orjson.loads(first_line)
     except ValueError:
-        raise Unusable("no header") from None
+        raise UnusableFileError("no header") from None
     if not isinstance(header, dict) or header.get("version") != VERSION:
-        raise Unusable("another version")
+        raise UnusableFileError("another version")
     if header.get("successor") != pid:
-        raise Unusable(f"for process {header.get('successor')!r}")
+        raise UnusableFileError(f"for process {header.get('successor')!r}")
     if header.get("checksum") != _checksum(body):
-        raise Unusable("damaged")
-    snapshot: Snapshot = _read(Snapshot, orjson.loads(body))
+        raise UnusableFileError("damaged")
+    snapshot: Snapshot = _decode_value(Snapshot, orjson.loads(body))
     if not -CLOCK_TOLERANCE_MS <= now - snapshot.at <= MAX_AGE_MS:
-        raise Unusable(f"{now - snapshot.at:.0f} ms old")
+        raise UnusableFileError(f"{now - snapshot.at:.0f} ms old")
     return snapshot
 
 
 def _checksum(body: bytes) -> str:
-    return hashlib.blake2b(body, digest_size=16).hexdigest()
+    return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest()
 
 
-def _read(form: Any, value: Any) -> Any:
-    """A value of this type, out of what JSON holds; raises Unusable."""
-    origin, inside = get_origin(form), get_args(form)
-    if hasattr(form, "__dataclass_fields__"):
-        hints = get_type_hints(form)
-        if not isinstance(value, dict) or value.keys() != {f.name for f in fields(form)}:
-            raise Unusable(f"no {form.__name__}")
-        return form(**{name: _read(hints[name], part) for name, part in value.items()})
+def _decode_value(expected: Any, value: Any) -> Any:
+    """A value of the expected type, out of decoded JSON; raises UnusableFileError."""
+    origin, arguments = get_origin(expected), get_args(expected)
+    if hasattr(expected, "__dataclass_fields__"):
+        hints = get_type_hints(expected)
+        if not isinstance(value, dict) or value.keys() != {f.name for f in fields(expected)}:
+            raise UnusableFileError(f"no {expected.__name__}")
+        return expected(**{name: _decode_value(hints[name], item) for name, item in value.items()})
     if origin is dict and isinstance(value, dict):
-        return {str(name): _read(inside[1], part) for name, part in value.items()}
+        return {str(name): _decode_value(arguments[1], item) for name, item in value.items()}
     if origin is list and isinstance(value, list):
-        return [_read(inside[0], part) for part in value]
-    if origin is tuple and isinstance(value, list) and len(value) == len(inside):
-        return tuple(_read(kind, part) for kind, part in zip(inside, value, strict=True))
-    if form is float:
-        return _number(value)
-    if origin is None and isinstance(form, type) and type(value) is form:
+        return [_decode_value(arguments[0], item) for item in value]
+    if origin is tuple and isinstance(value, list) and len(value) == len(arguments):
+        return tuple(_decode_value(kind, item) for kind, item in zip(arguments, value, strict=True))
+    if expected is float:
+        return _decode_number(value)
+    if origin is None and isinstance(expected, type) and type(value) is expected:
         return value
-    if type(None) in inside and (value is None or isinstance(value, str)):
+    if type(None) in arguments and (value is None or isinstance(value, str)):
         return value
-    raise Unusable(f"{value!r:.40} is no {form}")
+    raise UnusableFileError(f"{value!r:.40} is no {expected}")
 
 
-def _number(value: Any) -> float:
-    if (
-        value is None
-    ):  # JSON has no infinity: where these estimates have one it stands for "never" or "none yet"
+def _decode_number(value: Any) -> float:
+    if value is None:  # JSON has no infinity, which stands for "never" or "none yet" in these estimates
         return math.inf
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise Unusable(f"{value!r:.40} is no number")
+        raise UnusableFileError(f"{value!r:.40} is no number")
     return float(value)
 
 
-class LearnedFile:
-    """Writes and reads it. A fault of the disk is logged, and nothing else depends on it."""
+class EstimatesFile:
+    """Writes and reads the file. An error of the disk is logged, and nothing else depends on it."""
 
     def __init__(self, folder: Path, name: str, pid: int, clock: Callable[[], float]) -> None:
+        """`name` is the scheduler's, `pid` this process's; `clock` gives Unix time in milliseconds."""
         self._path = folder / f"oxbowyard-{name}-learned"
         self._pid = pid
         self._clock = clock
-        self._told = ""  # why it was not believed, once each
+        self._last_reason = ""  # of a rejection: each is logged once
 
     def write(self, snapshot: Snapshot, successor: int) -> None:
-        """For the successor, in place of what was there."""
-        part = self._path.with_name(f"{self._path.name}.{self._pid}")
+        """Write the estimates for the successor with this pid, in place of what was there."""
+        temporary = self._path.with_name(f"{self._path.name}.{self._pid}")
         try:
-            part.write_bytes(encode(snapshot, successor))
-            os.replace(part, self._path)
-        except (OSError, TypeError) as fault:
-            log.error("what was learned is not handed over: %s", fault)
+            temporary.write_bytes(encode(snapshot, successor))
+            os.replace(temporary, self._path)
+        except (OSError, TypeError) as error:
+            log.error("estimates not handed over: error=%s", error)
 
     def read(self) -> Snapshot | None:
-        """What the old process has written for this one; None if there is nothing to believe."""
+        """The estimates that the old process has written for this one; None where there are none to use."""
         try:
             with self._path.open("rb") as file:
-                text = file.read(MAX_BYTES + 1)
-            if len(text) > MAX_BYTES:
-                raise Unusable("too long")
+                text = file.read(MAX_FILE_BYTES + 1)
+            if len(text) > MAX_FILE_BYTES:
+                raise UnusableFileError("too long")
             return decode(text, self._pid, self._clock())
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as fault:
-            if self._told != str(fault):
-                self._told = str(fault)
-                log.warning("what the old process has learned is not believed: %s", fault)
+        except (OSError, ValueError) as error:
+            if self._last_reason != str(error):
+                self._last_reason = str(error)
+                log.warning("estimates of the old process rejected: reason=%s", error)
             return None
--- a/oxbowyard/handover/pid_files.py
+++ b/oxbowyard/handover/pid_files.py
@@ -1,7 +1,7 @@
 """The files in `$TMPDIR` by which an old and a new process of one scheduler find each other.
 
-Each names a process by its pid and is touched while that process lives; a file that nobody has touched for
-`STALE` seconds belongs to a process that is gone, as after a kill, and counts for nothing.
+Each file names a process by its pid, and that process touches it as a heartbeat. A file that nobody has
+touched for `STALE_AFTER_S` belongs to a process that is gone, as after a kill, and is ignored.
 """
 
 from __future__ import annotations
@@ -13,57 +13,64 @@
 from collections.abc import Callable
 from pathlib import Path
 
-log = logging.getLogger("oxbowyard.succession")  # as operators know it
+log = logging.getLogger("oxbowyard.handover")
 
-BEAT_EVERY = 0.2  # seconds between touches of a process's own file, and looks at the other's
-STALE = 1.0  # seconds untouched after which a file's process is taken for gone
-MOST_BYTES = 64  # a pid in text; more is no file of ours
+HEARTBEAT_INTERVAL_S = 0.2  # between touches of a process's own file, and looks at the other's
+STALE_AFTER_S = 1.0
+MAX_PID_FILE_BYTES = 64  # a longer file is not one of these
 
 
-class Marks:
-    """`serving`: the process that has the scheduler's clients. `successor`: one that waits to take over.
-    `handed`: the successor that the old process has handed over to."""
+class PidFiles:
+    """The three files of one scheduler.
+
+    `serving` names the process that has the scheduler's clients, `successor` one that waits to take over,
+    `handed_over` the successor to which the old process has handed over.
+    """
 
     def __init__(self, folder: Path, name: str, pid: int, clock: Callable[[], float] = time.time) -> None:
+        """`name` is the scheduler's, `pid` this process's; `clock` gives Unix time in seconds."""
         self.pid = pid
         self._clock = clock
         self.serving = folder / f"oxbowyard-{name}-serving"
         self.successor = folder / f"oxbowyard-{name}-successor"
-        self.handed = folder / f"oxbowyard-{name}-handed"
+        self.handed_over = folder / f"oxbowyard-{name}-handed"
 
-    def named(self, path: Path, fresh: bool = True) -> int | None:
-        """The pid that a file names, if it is there (and touched of late, where `fresh`)."""
+    def read_pid(self, path: Path, ignore_stale: bool = True) -> int | None:
+        """The pid that a file names; None where it is absent, malformed or, by default, stale."""
         try:
             with path.open("rb") as file:
-                text = file.read(MOST_BYTES)
-            if fresh and self._clock() - path.stat().st_mtime > STALE:
+                text = file.read(MAX_PID_FILE_BYTES)
+            if ignore_stale and self._clock() - path.stat().st_mtime > STALE_AFTER_S:
                 return None
             return int(text)
-        except (OSError, ValueError):  # absent, half written, or not ours
+        except (OSError, ValueError):
             return None
 
-    def other(self, path: Path) -> int | None:
-        """The pid of another living process that a file names."""
-        pid = self.named(path)
+    def other_process(self, path: Path) -> int | None:
+        """The pid of a living process that a file names, where that is not this process."""
+        pid = self.read_pid(path)
         return pid if pid is not None and pid != self.pid else None
 
     def write(self, path: Path, pid: int | None = None) -> None:
-        """Name a process, own by default; whole or not at all for a reader at the same moment."""
-        part = path.with_name(f"{path.name}.{self.pid}")
+        """Name a process, by default this one. A reader sees the file whole or not at all."""
+        temporary = path.with_name(f"{path.name}.{self.pid}")
         try:
-            part.write_text(str(self.pid if pid is None else pid))
-            os.replace(part, path)
-        except OSError as fault:  # then the other process waits until its time is up
-            log.error("cannot write %s: %s", path.name, fault)
+            temporary.write_text(str(self.pid if pid is None else pid))
+            os.replace(temporary, path)
+        except OSError as error:  # the other process then waits for as long as it may
+            log.error("handover file not written: file=%s error=%s", path.name, error)
 
     def touch(self, path: Path) -> None:
-        """Say that the process the file names, this one, still lives."""
-        if self.named(path, fresh=False) == self.pid:
+        """Renew the heartbeat of a file that names this process."""
+        if self._is_own(path):
             with contextlib.suppress(OSError):
                 os.utime(path)
 
     def remove(self, path: Path) -> None:
-        """Take the file away if it names this process."""
-        if self.named(path, fresh=False) == self.pid:
+        """Remove a file that names this process."""
+        if self._is_own(path):
             with contextlib.suppress(OSError):
                 path.unlink()
+
+    def _is_own(self, path: Path) -> bool:
+        return self.read_pid(path, ignore_stale=False) == self.pid
--- a/oxbowyard/handover/protocol.py
+++ b/oxbowyard/handover/protocol.py
@@ -1,4 +1,4 @@
-"""What each of the two processes does next, from what the files say: no I/O here but through `Marks`."""
+"""The protocol of a handover: what each of the two processes does next. Its I/O is that of `PidFiles`."""
 
 from __future__ import annotations
 
@@ -6,85 +6,111 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .pid_files import Marks
+from .pid_files import PidFiles
 
-log = logging.getLogger("oxbowyard.succession")  # as operators know it
+log = logging.getLogger("oxbowyard.handover")
 
-WAIT_MOST = 4.5  # seconds from its start that a new process waits for the old one: its yes is owed within 6
+MAX_WAIT_S = 4.5  # of a new process for the old one, from its start: it owes its readiness within 6 s
 
 
-class Step(Enum):
-    """What the program is to do after a look at the files."""
+class State(Enum):
+    """Where one process stands."""
 
-    NOTHING = "nothing"
-    TAKE_OVER = "take over"  # a new process: say yes from now on
-    HAND_OVER = "hand over"  # the old process: a successor waits; stop taking clients
-    RESUME = "resume"  # the old process: the successor went before it took over; take clients again
+    WAITING = "waiting"  # a successor that has not taken over
+    SERVING = "serving"
+    HANDING_OVER = "handing over"  # the old process: a successor waits, requests are still in flight
+    HANDED_OVER = "handed over"  # the old process has notified the successor that it holds nothing
+
+
+class Action(Enum):
+    """What the program has to do after a poll of the files."""
+
+    NONE = "none"
+    TAKE_OVER = "take over"  # a new process: report readiness from now on
+    HAND_OVER = "hand over"  # the old process: a successor waits, stop accepting clients
+    RESUME = "resume"  # the old process: the successor ended before it took over, accept clients again
 
 
 @dataclass(slots=True)
 class Handover:
-    """One process's side. A process that starts while another serves is a successor until it takes over."""
+    """One process's side. A process that starts while another serves is its successor until it takes over."""
 
-    files: Marks
-    started: float  # clock seconds of the program's start
-    waiting: bool = False  # a successor that has not taken over
-    handing: bool = False  # the old process, handing over
-    handed: bool = False  # the old process has said that it holds nothing any more
+    files: PidFiles
+    started_at: float  # the program's start, in seconds on the clock of `poll`
+    state: State = State.SERVING
 
     def start(self) -> None:
-        """At the program's start: a successor, if another process serves."""
-        serving = self.files.other(self.files.serving)
-        if serving is None:
+        """Begin to serve, or to wait as the successor of the process that serves."""
+        serving_pid = self.files.other_process(self.files.serving)
+        if serving_pid is None:
             self._take_over()
             return
-        log.info("process %d serves: this one takes over once it has handed over", serving)
-        self.waiting = True
+        log.info("successor waits for the serving process to hand over: pid=%d", serving_pid)
+        self.state = State.WAITING
         self.files.write(self.files.successor)
 
+    @property
+    def is_waiting(self) -> bool:
+        """Whether this process is a successor that has not taken over."""
+        return self.state is State.WAITING
+
     @property
     def successor(self) -> int | None:
-        """The process that waits to take over from this one, if there is one."""
-        return self.files.other(self.files.successor)
+        """The pid of the process that waits to take over from this one, if there is one."""
+        return self.files.other_process(self.files.successor)
 
     @property
-    def may_say_yes(self) -> bool:
-        """Whether the operators may be told that this process is ready."""
-        return not self.waiting and not self.handing
+    def may_report_ready(self) -> bool:
+        """Whether this process may be reported ready to the operators."""
+        return self.state is State.SERVING
+
+    def poll(self, now: float, in_flight: int) -> Action:
+        """Look at the files; to be called every `HEARTBEAT_INTERVAL_S`.
+
+        `now`: seconds, on the clock of `started_at`. `in_flight`: the requests that this process holds.
+        """
+        if self.state is State.WAITING:
+            return self._poll_as_successor(now)
+        self.files.touch(self.files.serving)
+        if self.state is State.SERVING:
+            return self._poll_as_serving()
+        return self._poll_as_predecessor(in_flight)
+
+    def end(self) -> None:
+        """Leave no file that names this process."""
+        for path in (self.files.serving, self.files.successor):
+            self.files.remove(path)
 
-    def look(self, now: float, holds: int) -> Step:
-        """Every `BEAT_EVERY`: `holds` is how many reqs this process holds."""
+    def _poll_as_successor(self, now: float) -> Action:
+        files = self.files
+        files.touch(files.successor)
+        handed_over = files.read_pid(files.handed_over) == files.pid
+        waited_too_long = now - self.started_at >= MAX_WAIT_S
+        if not (handed_over or waited_too_long or files.other_process(files.serving) is None):
+            return Action.NONE
+        log.info("successor took over: handed_over=%s", "yes" if handed_over else "no")
+        self._take_over()
+        return Action.TAKE_OVER
+
+    def _poll_as_serving(self) -> Action:
+        if self.successor is None:
+            return Action.NONE
+        self.state = State.HANDING_OVER
+        return Action.HAND_OVER
+
+    def _poll_as_predecessor(self, in_flight: int) -> Action:
         files = self.files
-        if self.waiting:
-            files.touch(files.successor)
-            handed = files.named(files.handed) == files.pid
-            if handed or now - self.started >= WAIT_MOST or files.other(files.serving) is None:
-                log.info("takes over: %s", "handed over" if handed else "the old process did not hand over")
-                self._take_over()
-                return Step.TAKE_OVER
-            return Step.NOTHING
-        files.touch(files.serving)
-        if not self.handing:
-            if self.successor is not None:
-                self.handing = True
-                return Step.HAND_OVER
-            return Step.NOTHING
         successor = self.successor
-        if successor is None and files.named(files.serving, fresh=False) == files.pid:
-            self.handing = self.handed = False  # it went before it took over: nobody else has the clients
-            return Step.RESUME
-        if successor is not None and holds == 0 and not self.handed:
-            self.handed = True
-            files.write(files.handed, successor)
-        return Step.NOTHING
+        if successor is None and files.read_pid(files.serving, ignore_stale=False) == files.pid:
+            self.state = State.SERVING  # it ended before it took over: nobody else has the clients
+            return Action.RESUME
+        if successor is not None and in_flight == 0 and self.state is State.HANDING_OVER:
+            self.state = State.HANDED_OVER
+            files.write(files.handed_over, successor)
+        return Action.NONE
 
     def _take_over(self) -> None:
-        self.waiting = False
+        self.state = State.SERVING
         self.files.write(self.files.serving)
         self.files.remove(self.files.successor)
-        self.files.remove(self.files.handed)
-
-    def end(self) -> None:
-        """At the end: leave no file that names this process."""
-        for path in (self.files.serving, self.files.successor):
-            self.files.remove(path)
+        self.files.remove(self.files.handed_over)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -13,7 +13,14 @@
 from oxbowyard.daemon.program import Program, Read
 from oxbowyard.decision import interface as fw
 from oxbowyard.decision import snapshot
-from oxbowyard.handover.learned import CLOCK_TOLERANCE_MS, MAX_AGE_MS, LearnedFile, Unusable, decode, encode
+from oxbowyard.handover.learned import (
+    CLOCK_TOLERANCE_MS,
+    MAX_AGE_MS,
+    EstimatesFile,
+    UnusableFileError,
+    decode,
+    encode,
+)
 
 SHORT = fw.JobClass("short", aim=1000, deadline=10000, repeat=fw.Repeat.FREE)
 ONCE = fw.JobClass("once", aim=4000, deadline=25000)
@@ -114,7 +121,7 @@
     text = encode(snapshot.take(old, now), PID)
     assert decode(text, PID, now).at == now
     for pid, at in ((PID + 1, now), (PID, now + MAX_AGE_MS + 1.0), (PID, now - CLOCK_TOLERANCE_MS - 1.0)):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(text, pid, at)
 
 
@@ -123,11 +130,11 @@
     now = served(old, 10)
     text = encode(snapshot.take(old, now), PID)
     for cut in range(0, len(text), 7):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(text[:cut], PID, now)
         broken = bytearray(text)
         broken[cut] ^= 1
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(bytes(broken), PID, now)
 
 
@@ -142,22 +149,22 @@
     text = encode(taken, PID)
     if "version" in change:
         text = text.replace(b'"version":1', b'"version":2', 1)
-    with pytest.raises(Unusable):
+    with pytest.raises(UnusableFileError):
         decode(text, PID, now)
 
 
 def test_a_disk_that_fails_changes_nothing_else(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     old = dispatcher(1)
     now = served(old, 10)
-    nowhere = LearnedFile(tmp_path / "absent", "n1", 1, lambda: now)
+    nowhere = EstimatesFile(tmp_path / "absent", "n1", 1, lambda: now)
     nowhere.write(snapshot.take(old, now), PID)
-    assert nowhere.read() is None and "not handed over" in caplog.text
-    LearnedFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old, now), PID)
-    successor = LearnedFile(tmp_path, "n1", PID, lambda: now)
+    assert nowhere.read() is None and "estimates not handed over: error=" in caplog.text
+    EstimatesFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old, now), PID)
+    successor = EstimatesFile(tmp_path, "n1", PID, lambda: now)
     assert successor.read() is not None
     (tmp_path / "oxbowyard-n1-learned").write_bytes(b"x" * (2 << 20))
     assert successor.read() is None and successor.read() is None
-    assert caplog.text.count("too long") == 1, "said once"
+    assert caplog.text.count("estimates of the old process rejected: reason=too long") == 1, "said once"
 
 
 def test_a_fault_of_ours_in_either_process_does_not_hold_up_the_replacement(
@@ -178,7 +185,7 @@
         scheduler.adopt = broken  # type: ignore[method-assign,assignment]
         assert program._adopt(), "it is not tried again and again"
         scheduler.snapshot = broken  # type: ignore[method-assign]
-        program._handover.files.other = lambda path: PID  # type: ignore[method-assign]
+        program._handover.files.other_process = lambda path: PID  # type: ignore[method-assign]
         program._hand_learned()
         await program._close()
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -20,8 +20,8 @@
 from oxbowyard.decision.interface import JobClass, Repeat
 from oxbowyard.discovery.endpoint_list import ListedEndpoint, WatchEvent
 from oxbowyard.discovery.registry import Registry
-from oxbowyard.handover.pid_files import STALE, Marks
-from oxbowyard.handover.protocol import WAIT_MOST, Handover, Step
+from oxbowyard.handover.pid_files import STALE_AFTER_S, PidFiles
+from oxbowyard.handover.protocol import MAX_WAIT_S, Action, Handover
 from oxbowyard.listeners.acceptor import Acceptor
 
 NEW = JobClass("new", aim=500, deadline=4000, repeat=Repeat.FREE)
@@ -249,53 +249,53 @@
 
 
 def sides(folder: Path) -> tuple[Handover, Handover]:
-    return Handover(Marks(folder, "n1", 100), 0.0), Handover(Marks(folder, "n1", 200), 10.0)
+    return Handover(PidFiles(folder, "n1", 100), 0.0), Handover(PidFiles(folder, "n1", 200), 10.0)
 
 
 def test_a_lone_process_takes_over_at_once(tmp_path: Path) -> None:
     alone, _ = sides(tmp_path)
     alone.start()
-    assert alone.may_say_yes and alone.files.named(alone.files.serving) == 100
+    assert alone.may_report_ready and alone.files.read_pid(alone.files.serving) == 100
 
 
 def test_the_yes_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    assert not new.may_say_yes
-    assert old.look(1.0, holds=3) is Step.HAND_OVER and not old.may_say_yes
-    assert old.look(1.2, holds=1) is Step.NOTHING
-    assert new.look(10.2, holds=0) is Step.NOTHING and not new.may_say_yes
-    assert old.look(1.4, holds=0) is Step.NOTHING
-    assert new.look(10.4, holds=0) is Step.TAKE_OVER and new.may_say_yes
-    assert old.look(1.6, holds=0) is Step.NOTHING  # the clients are the new one's: no taking them back
+    assert not new.may_report_ready
+    assert old.poll(1.0, in_flight=3) is Action.HAND_OVER and not old.may_report_ready
+    assert old.poll(1.2, in_flight=1) is Action.NONE
+    assert new.poll(10.2, in_flight=0) is Action.NONE and not new.may_report_ready
+    assert old.poll(1.4, in_flight=0) is Action.NONE
+    assert new.poll(10.4, in_flight=0) is Action.TAKE_OVER and new.may_report_ready
+    assert old.poll(1.6, in_flight=0) is Action.NONE  # the clients are the new one's: no taking them back
     old.end()
-    assert new.files.named(new.files.serving) == 200
+    assert new.files.read_pid(new.files.serving) == 200
 
 
 def test_the_yes_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    old.look(1.0, holds=9)
-    assert new.look(10.0 + WAIT_MOST - 0.1, holds=0) is Step.NOTHING
-    assert new.look(10.0 + WAIT_MOST, holds=0) is Step.TAKE_OVER
+    old.poll(1.0, in_flight=9)
+    assert new.poll(10.0 + MAX_WAIT_S - 0.1, in_flight=0) is Action.NONE
+    assert new.poll(10.0 + MAX_WAIT_S, in_flight=0) is Action.TAKE_OVER
 
 
 def test_the_old_process_listens_again_when_the_new_one_went(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    assert old.look(1.0, holds=2) is Step.HAND_OVER
-    stale = time.time() - STALE - 1
+    assert old.poll(1.0, in_flight=2) is Action.HAND_OVER
+    stale = time.time() - STALE_AFTER_S - 1
     os.utime(new.files.successor, (stale, stale))  # killed: nobody touches its file
-    assert old.look(1.2, holds=2) is Step.RESUME and old.may_say_yes
+    assert old.poll(1.2, in_flight=2) is Action.RESUME and old.may_report_ready
 
 
 def test_a_file_left_by_a_killed_process_is_not_waited_for(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
-    stale = time.time() - STALE - 1
+    stale = time.time() - STALE_AFTER_S - 1
     os.utime(old.files.serving, (stale, stale))
     new.start()
-    assert new.may_say_yes
+    assert new.may_report_ready
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -133,7 +133,7 @@
         taken = wait_until(lambda: status(new_door, "/control/ready") == 200, 6)
         client.join(5)
         assert answer == [200]
-        new.wait_for("takes over: handed over")
+        new.wait_for("successor took over: handed_over=yes")
         assert taken < 4.0
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(5) == 0
