--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -16,7 +16,7 @@
 from ..clients.limits import MAX_BODIES_MEMORY_SHARE
 from ..clients.session import ClientSessions, Waiting
 from ..control.admin_server import AdminSessions
-from ..control.figures import Counted, Files, figures
+from ..control.counters import Counted, Files, figures
 from ..control.handlers import AdminHandlers, Sources
 from ..control.maintenance import FOLLOW_EVERY, Maintenance, MaintenanceFile
 from ..core.retune import live_part_only, retune
