--- a/oxbowyard/control/__init__.py
+++ b/oxbowyard/control/__init__.py
@@ -1,2 +1,1 @@
-"""The operators' door: a second address where staff ask whether a process is ready, read its figures and put
-backends out of rotation by hand."""
+"""The admin API, on an address of its own: readiness, counters, members, and endpoints in maintenance."""
--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door on aiohttp's low-level server: one call a connection, each answered at once."""
+"""The admin API's connections, on aiohttp's low-level server: one request each, answered at once."""
 
 from __future__ import annotations
 
@@ -15,55 +15,66 @@
 
 log = logging.getLogger("oxbowyard.control")
 
-MAX_CALLERS = 32  # connections held at once by default; past it the one silent longest is closed for room
-SILENT_FOR = 0.2  # seconds a silent caller may stay when another needs its room
-MOST_CALL_BODY = 4096  # bytes: the calls have no body; a large one is no call of ours, and is not read
+MAX_CONNECTIONS = 32  # by default; past it the connection that is silent longest is evicted for a new one
+MIN_SILENCE_S = 0.2  # before a silent connection may be evicted
+MAX_BODY_BYTES = 4096  # requests have no body: what announces a larger one is not read
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
-    """What a call is answered with: a status and a body."""
+class AdminResponse:
+    """The answer to one request."""
 
     status: int
     body: bytes = b""
-    kind: str = "text/plain"
+    content_type: str = "text/plain"
 
 
-Ask = Callable[[str, str], Reply]  # method and path to a reply; raises nothing
+AdminHandler = Callable[[str, str], AdminResponse]  # method and path to a response
 
 
-class AdminSessions(ConnectionSet):
-    """Holds the callers' connections. Each answer closes its connection: one call to one connection."""
+class AdminConnections(ConnectionSet):
+    """The open connections of the admin API. Each answer closes its connection."""
 
-    def __init__(self, ask: Ask, most: int = MAX_CALLERS) -> None:
-        super().__init__(self._handle, most)
-        self._ask = ask
+    def __init__(self, handler: AdminHandler, max_connections: int = MAX_CONNECTIONS) -> None:
+        """`handler` answers every request; `max_connections` may be open at once."""
+        super().__init__(self._handle, max_connections)
+        self._handler = handler
 
     def evict_idle_connection(self) -> bool:
-        """Close the caller silent longest: one that says nothing holds a place for nothing."""
+        """Close the connection that is silent longest; returns whether there was one to close."""
         now = asyncio.get_running_loop().time()
         silent = [c for c in self._open if c.phase in (Phase.SILENT, Phase.UNFINISHED)]
-        least = min(silent, key=lambda c: c.since, default=None)
-        if least is None or now - least.since < SILENT_FOR:
+        longest = min(silent, key=lambda connection: connection.since, default=None)
+        if longest is None or now - longest.since < MIN_SILENCE_S:
             return False
-        self._evict(least)
+        self._evict(longest)
         return True
 
     async def close(self) -> None:
-        """End every caller's connection."""
+        """Close every connection."""
         for connection in list(self._open):
             connection.force_close()
 
     async def _handle(self, request: BaseRequest) -> web.StreamResponse:
-        # No body is read: the calls have none, and what a caller sends on goes with the connection.
-        try:
-            if (request.content_length or 0) > MOST_CALL_BODY or request.headers.get("Transfer-Encoding"):
-                reply = Reply(413, b"a call has no body\n")
-            else:
-                reply = self._ask(request.method, request.path)
-        except Exception:  # guards the door: a fault of ours is a no, never a silence
-            log.exception("fault while answering %s %s", request.method, request.path)
-            reply = Reply(500, b"internal fault\n")
-        response = web.Response(status=reply.status, body=reply.body, content_type=reply.kind)
+        answer = self._answer(request)
+        response = web.Response(status=answer.status, body=answer.body, content_type=answer.content_type)
         response.force_close()
         return response
+
+    def _answer(self, request: BaseRequest) -> AdminResponse:
+        try:
+            if _has_body(request):  # it is not read: it goes with the connection
+                return AdminResponse(413, b"a call has no body\n")
+            return self._handler(request.method, request.path)
+        except Exception:  # guards the admin API: an error of ours is answered too
+            log.exception(
+                "internal error while answering the admin API: method=%s path=%s",
+                request.method,
+                request.path,
+            )
+            return AdminResponse(500, b"internal fault\n")
+
+
+def _has_body(request: BaseRequest) -> bool:
+    too_long = (request.content_length or 0) > MAX_BODY_BYTES
+    return too_long or bool(request.headers.get("Transfer-Encoding"))
--- a/oxbowyard/control/counters.py
+++ b/oxbowyard/control/counters.py
@@ -1,4 +1,4 @@
-"""The figures that the door tells, counted from the start of the process."""
+"""The counters that the admin API shows, counted from the start of the process."""
 
 from __future__ import annotations
 
@@ -10,37 +10,40 @@
 from ..core.req import Kind
 from ..discovery.registry import Registry
 
-NAMES = {Kind.SERVED: "fulfilled", Kind.REFUSED: "throttled", Kind.FAILED: "faulted"}
+# The platform's keys; a request whose client has disconnected is counted under none of them.
+KEY_OF_ANSWER = {Kind.SERVED: "fulfilled", Kind.REFUSED: "throttled", Kind.FAILED: "faulted"}
 
 
 @dataclass(slots=True)
-class Files:
-    """Configuration files read again at SIGHUP: taken, and turned down whole."""
+class ConfigurationReloads:
+    """How many configurations SIGHUP has brought into force, and how many were rejected as a whole."""
 
     accepted: int = 0
     invalid: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Counted:
-    """What the figures are read from."""
+class CounterSources:
+    """What the counters are read from."""
 
     measure: ServiceMeasure
-    relayed: Counter[str]
+    relayed: Counter[str]  # attempts sent whole, by class
     registry: Registry
-    files: Files
+    reloads: ConfigurationReloads
 
 
-def figures(counted: Counted, open_requests: int) -> Mapping[str, object]:
-    """One JSON object. A req whose client went is counted under none of the three."""
-    answers = counted.measure.answers_of()
-    told: dict[str, object] = {
-        name: {cls: counts[kind] for cls, counts in answers.items()} for kind, name in NAMES.items()
+def read_counters(sources: CounterSources, open_requests: int) -> Mapping[str, object]:
+    """All counters by the platform's keys; `open_requests` are accepted and not answered yet."""
+    answers = sources.measure.answers_of()
+    by_class: dict[str, object] = {
+        key: {job_class: counts[kind] for job_class, counts in answers.items()}
+        for kind, key in KEY_OF_ANSWER.items()
+    }
+    return by_class | {
+        "relayed": sources.relayed.total(),  # attempts, not jobs
+        "open_requests": open_requests,
+        "registry_entries": sources.registry.listed_count,
+        "out_of_rotation": sources.registry.cordoned_count,
+        "cfg_accepted": sources.reloads.accepted,
+        "cfg_invalid": sources.reloads.invalid,
     }
-    told["relayed"] = counted.relayed.total()  # of all classes: attempts, not jobs
-    told["open_requests"] = open_requests
-    told["registry_entries"] = counted.registry.listed_count
-    told["out_of_rotation"] = counted.registry.cordoned_count
-    told["cfg_accepted"] = counted.files.accepted
-    told["cfg_invalid"] = counted.files.invalid
-    return told
--- a/oxbowyard/control/handlers.py
+++ b/oxbowyard/control/handlers.py
@@ -1,4 +1,4 @@
-"""What the door's calls mean: the paths, and what each asks of the program."""
+"""The admin API's requests: their paths, and what each asks of the program."""
 
 from __future__ import annotations
 
@@ -7,61 +7,77 @@
 
 import orjson
 
-from .admin_server import Reply
+from .admin_server import AdminResponse
 from .maintenance import Maintenance
 
-READY = "/control/ready"
-COUNTERS = "/control/counters"
-WORKERS = "/control/scan-workers/"  # then ID/offline or ID/online
-MEMBERS = "/control/members"
-MOST_UID = 256  # characters of a backend's uid in a path; a longer one is no uid of the list
+READY_PATH = "/control/ready"
+COUNTERS_PATH = "/control/counters"
+MEMBERS_PATH = "/control/members"
+WORKERS_PREFIX = "/control/scan-workers/"  # followed by UID/offline or UID/online
+OFFLINE = "offline"
+ONLINE = "online"
+MAX_UID_LENGTH = 256  # characters
+
+NOT_FOUND = AdminResponse(404, b"no such call\n")
 
 
 @dataclass(slots=True, frozen=True)
 class Sources:
-    """Where the answers come from."""
+    """What the answers are read from, and what the requests act on."""
 
     is_ready: Callable[[], bool]
-    figures: Callable[[], Mapping[str, object]]
+    counters: Callable[[], Mapping[str, object]]
     maintenance: Maintenance | None = None
     members: Callable[[], Mapping[str, object]] | None = None  # where schedulers know each other
 
 
 class AdminHandlers:
-    """Answers the operators' calls. A yes is 2xx; a no is 4xx, or 503 for a process that is not ready."""
+    """Answers the operators' requests: success is 2xx, refusal 4xx, and 503 a process that is not ready."""
 
     def __init__(self, sources: Sources) -> None:
         self._sources = sources
 
-    def __call__(self, method: str, path: str) -> Reply:
-        """Answer one call; an unknown path gets 404, a wrong method 405."""
-        if path == READY:
-            return _get(method) or self._ready()
-        if path == COUNTERS:
-            return _get(method) or Reply(200, orjson.dumps(self._sources.figures()), "application/json")
-        if path == MEMBERS and self._sources.members is not None:
-            return _get(method) or Reply(200, orjson.dumps(self._sources.members()), "application/json")
-        if path.startswith(WORKERS):
-            return self._worker(method, path.removeprefix(WORKERS))
-        return Reply(404, b"no such call\n")
-
-    def _ready(self) -> Reply:
-        return Reply(200, b"ready\n") if self._sources.is_ready() else Reply(503, b"not ready\n")
-
-    def _worker(self, method: str, rest: str) -> Reply:
-        uid, _, what = rest.rpartition("/")
-        if what not in ("offline", "online") or not uid or "/" in uid or len(uid) > MOST_UID:
-            return Reply(404, b"no such call\n")
+    def __call__(self, method: str, path: str) -> AdminResponse:
+        """Answer one request; an unknown path gets 404, a wrong method 405."""
+        if path == READY_PATH:
+            return _require_get(method) or self._ready()
+        if path == COUNTERS_PATH:
+            return _require_get(method) or _json_response(self._sources.counters())
+        if path == MEMBERS_PATH and self._sources.members is not None:
+            return _require_get(method) or _json_response(self._sources.members())
+        if path.startswith(WORKERS_PREFIX):
+            return self._set_maintenance(method, path.removeprefix(WORKERS_PREFIX))
+        return NOT_FOUND
+
+    def _ready(self) -> AdminResponse:
+        if self._sources.is_ready():
+            return AdminResponse(200, b"ready\n")
+        return AdminResponse(503, b"not ready\n")
+
+    def _set_maintenance(self, method: str, rest: str) -> AdminResponse:
+        """Cordon or uncordon one endpoint; `rest` of the path is UID/offline or UID/online."""
+        uid, _, wanted = rest.rpartition("/")
+        if wanted not in (OFFLINE, ONLINE) or not _is_uid(uid):
+            return NOT_FOUND
         if method != "PUT":
-            return Reply(405, b"ask with PUT\n")
+            return AdminResponse(405, b"ask with PUT\n")
         maintenance = self._sources.maintenance
         if maintenance is None:
-            return Reply(404, b"no scan workers here\n")
-        done = maintenance.out(uid) if what == "offline" else maintenance.back(uid)
-        if not done:
-            return Reply(404, f"scan worker {uid} is not known\n".encode())
-        return Reply(200, f"scan worker {uid} {what}\n".encode())
+            return AdminResponse(404, b"no scan workers here\n")
+        is_known = maintenance.cordon(uid) if wanted == OFFLINE else maintenance.uncordon(uid)
+        if not is_known:
+            return AdminResponse(404, f"scan worker {uid} is not known\n".encode())
+        return AdminResponse(200, f"scan worker {uid} {wanted}\n".encode())
+
+
+def _is_uid(text: str) -> bool:
+    return bool(text) and "/" not in text and len(text) <= MAX_UID_LENGTH
+
+
+def _json_response(document: Mapping[str, object]) -> AdminResponse:
+    return AdminResponse(200, orjson.dumps(document), "application/json")
 
 
-def _get(method: str) -> Reply | None:
-    return None if method in ("GET", "HEAD") else Reply(405, b"ask with GET\n")
+def _require_get(method: str) -> AdminResponse | None:
+    """The refusal of another method; None for GET and HEAD."""
+    return None if method in ("GET", "HEAD") else AdminResponse(405, b"ask with GET\n")
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -167,7 +167,7 @@
             version=VERSION.rpartition(" ")[2], random=SystemRandom(), clock=parts.clock, state=state,
             held=lambda: scheduler.open_count, slots=parts.slots, workers=lambda: parts.registry.listed_count,
             troubles=scheduler.troubles, hear=scheduler.hear, reckon=reckon,
-            drained=lambda: maintenance.by_hand, drain=maintenance.take,
+            drained=lambda: maintenance.cordoned, drain=maintenance.apply_from_peer,
         ),
     )  # fmt: skip
 
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -15,10 +15,11 @@
 
 from ..clients.limits import MAX_BODIES_MEMORY_SHARE
 from ..clients.session import ClientSessions, Waiting
-from ..control.admin_server import AdminSessions
-from ..control.counters import Counted, Files, figures
+from ..control.admin_server import AdminConnections
+from ..control.cordon_file import CordonFile
+from ..control.counters import ConfigurationReloads, CounterSources, read_counters
 from ..control.handlers import AdminHandlers, Sources
-from ..control.maintenance import FOLLOW_EVERY, Maintenance, MaintenanceFile
+from ..control.maintenance import SYNC_INTERVAL_S, Maintenance
 from ..core.retune import live_part_only, retune
 from ..decision.interface import Settings
 from ..gearman.config import GearmanConfig
@@ -97,7 +98,7 @@
         folder = Path(tempfile.gettempdir())
         started = asyncio.get_running_loop().time()
         self._handover = Handover(PidFiles(folder, config.name, os.getpid()), started)
-        self._files = Files()
+        self._reloads = ConfigurationReloads()
         self._in_force = config.settings  # its classes and fetches change with SIGHUP
         self._settling: asyncio.TimerHandle | None = None
         self._longest = max(c.deadline for c in config.settings.classes) / 1000  # of all classes so far
@@ -107,8 +108,8 @@
             config, self._started.gearman, self._settled, self._started.waiting, self._kept
         )
         self._learned = EstimatesFile(folder, config.name, os.getpid(), self._parts.clock)
-        hand = MaintenanceFile(Path(tempfile.gettempdir()) / f"oxbowyard-{config.name}-out-by-hand.json")
-        self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.learn, hand)
+        cordon_file = CordonFile(Path(tempfile.gettempdir()) / f"oxbowyard-{config.name}-out-by-hand.json")
+        self._maintenance = Maintenance(self._parts.registry, self._parts.scheduler.learn, cordon_file)
         self._membership: MembershipPart | None = None
         if self._started.membership is not None:
             self._membership = membership(
@@ -142,18 +143,18 @@
 
     def _control(self) -> Sources:
         parts = self._parts
-        counted = Counted(parts.measure, parts.backends.relayed, parts.registry, self._files)
+        counters = CounterSources(parts.measure, parts.backends.relayed, parts.registry, self._reloads)
         return Sources(
             self._is_ready,
-            lambda: figures(counted, parts.scheduler.open_count),
+            lambda: read_counters(counters, parts.scheduler.open_count),
             self._maintenance,
             self._membership.view if self._membership else None,
         )
 
-    async def _follow_hand(self) -> None:
+    async def _sync_maintenance(self) -> None:
         while True:
-            await asyncio.sleep(FOLLOW_EVERY)
-            self._maintenance.follow()
+            await asyncio.sleep(SYNC_INTERVAL_S)
+            self._maintenance.sync_from_file()
 
     def _is_ready(self) -> bool:
         """For the operators: this process serves, is not told to stop, and has no other one to wait for."""
@@ -252,17 +253,17 @@
             self._admin_acceptor = Acceptor(
                 "control",
                 *self._config.admin,
-                AdminSessions(AdminHandlers(self._control()), self._parts.descriptors.admin),
+                AdminConnections(AdminHandlers(self._control()), self._parts.descriptors.admin),
             )
             self._admin_acceptor.open()
         if self._parts.gearman:
             self._parts.gearman.listen()
-        self._maintenance.follow()  # before the first list: one put out before a replacement stays out
+        self._maintenance.sync_from_file()  # before the first list: what was cordoned stays so
         if self._membership is not None:
             self._maintenance.on_change = self._membership.drained
         await self._further.open()
         self._parts.start()
-        self._parts.add_chore(self._follow_hand())
+        self._parts.add_chore(self._sync_maintenance())
         self._parts.add_chore(self._watch_lag())
         self._parts.add_chore(self._tell())
         if (room := self._parts.waiting) is not None:
@@ -294,10 +295,10 @@
             if (missing := lacks(self._config, read.config)) is not None:
                 raise BadConfig(f"the file lacks {missing}")
         except BadConfig as fault:
-            self._files.invalid += 1
+            self._reloads.invalid += 1
             log.error("configuration not usable, going on with the one in force: %s", fault)
             return
-        self._files.accepted += 1
+        self._reloads.accepted += 1
         config = read.config
         fixed = needs_restart(self._config, config) + self._retune(config.settings)
         for name in ("gearman", "waiting", "durable", "membership", "start"):
--- a/oxbowyard/discovery/registry.py
+++ b/oxbowyard/discovery/registry.py
@@ -47,7 +47,7 @@
         self._clock = clock
         self._grace_ms = max(drain_grace_ms - DRAIN_MARGIN_MS, 0.0)
         self.endpoints: dict[str, Endpoint] = {}
-        self.cordoned: set[str] = set()  # may name endpoints that are not listed yet
+        self.cordoned: set[str] = set()  # may name endpoints that are not listed
         self._suspended = False
 
     # ---- The endpoint list ----
@@ -152,7 +152,7 @@
         """How many listed endpoints are cordoned."""
         return sum(endpoint.uid in self.cordoned for endpoint in self._listed())
 
-    def is_known(self, uid: str) -> bool:
+    def _is_known(self, uid: str) -> bool:
         """Whether the endpoint is listed, or was of late, or is cordoned."""
         return uid in self.endpoints or uid in self.cordoned
 
@@ -161,7 +161,7 @@
 
         Returns what to pass on to the decisions; None where the endpoint is unknown.
         """
-        if not self.is_known(uid):
+        if not self._is_known(uid):
             return None
         if uid not in self.cordoned:
             self.cordoned.add(uid)
@@ -173,12 +173,16 @@
             self.endpoints[uid] = replace(endpoint, drains_since=self._clock())
         return self._effective(endpoint.info)
 
+    def cordon_unlisted(self, uid: str) -> None:
+        """Cordon an endpoint that is unknown as yet: it drains from its first listing."""
+        self.cordoned.add(uid)
+
     def uncordon(self, uid: str) -> WorkerInfo | None:
         """Use an endpoint again as the discovery service says; one call undoes all calls of `cordon`.
 
         Returns what to pass on to the decisions; None where the endpoint is unknown.
         """
-        if not self.is_known(uid):
+        if not self._is_known(uid):
             return None
         if uid in self.cordoned:
             self.cordoned.discard(uid)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""Operating days without the wire: classes retuned live, workers out by hand, a second process beside."""
+"""Operating days without the wire: classes retuned live, workers in maintenance, a second process beside."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 import pytest
 from test_core import FREE, ONCE, SETTINGS, Stage, lost
 
-from oxbowyard.control.maintenance import Maintenance, MaintenanceFile
+from oxbowyard.control.cordon_file import CordonFile
+from oxbowyard.control.maintenance import Maintenance
 from oxbowyard.core.req import Kind
 from oxbowyard.core.retune import live_part_only, retune
 from oxbowyard.decision.facade import Readiness, WorkerInfo
@@ -78,7 +79,7 @@
     asyncio.run(play())
 
 
-# ---- Out of rotation by hand ----
+# ---- Maintenance mode ----
 
 
 def listing(*rows: tuple[str, Readiness]) -> WatchEvent:
@@ -96,7 +97,7 @@
         return self.now
 
 
-def test_one_out_by_hand_drains_whatever_discovery_says() -> None:
+def test_a_cordoned_endpoint_drains_whatever_discovery_says() -> None:
     clock = Clock()
     registry = Registry(clock, drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
@@ -111,7 +112,7 @@
     assert registry.cordon("w9") is None and registry.uncordon("w9") is None
 
 
-def test_calls_out_twice_and_one_back() -> None:
+def test_one_uncordon_undoes_two_cordons() -> None:
     registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY)))
     registry.cordon("w1")
@@ -120,7 +121,7 @@
     assert registry.cordoned == set() and registry.cordoned_count == 0
 
 
-def test_a_process_beside_keeps_and_takes_the_calls(tmp_path: Path) -> None:
+def test_two_processes_share_their_cordons_by_the_file(tmp_path: Path) -> None:
     """Old and new process of one scheduler, each with its registry, one file between them."""
     path = tmp_path / "out.json"
     told: list[tuple[str, list[WorkerInfo]]] = []
@@ -129,25 +130,25 @@
         registry = Registry(Clock(), drain_grace_ms=1000.0)
         registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
         learn = lambda scope, infos, name=name: told.append((name, list(infos)))  # noqa: E731
-        sides.append((registry, Maintenance(registry, learn, MaintenanceFile(path))))
-    (old, old_rotation), (new, new_rotation) = sides
-    assert old_rotation.out("w1")
-    assert new_rotation.out("w2")  # before it has read the other's call: both stay
-    new_rotation.follow()
-    old_rotation.follow()
+        sides.append((registry, Maintenance(registry, learn, CordonFile(path))))
+    (old, old_maintenance), (new, new_maintenance) = sides
+    assert old_maintenance.cordon("w1")
+    assert new_maintenance.cordon("w2")  # before it has read the other's call: both stay
+    new_maintenance.sync_from_file()
+    old_maintenance.sync_from_file()
     assert old.cordoned == new.cordoned == {"w1", "w2"}
-    assert new_rotation.back("w1")
-    old_rotation.follow()
+    assert new_maintenance.uncordon("w1")
+    old_maintenance.sync_from_file()
     assert old.cordoned == {"w2"} and old.address("w1") is not None
     assert ("old", [WorkerInfo("w1", Readiness.READY)]) in told
-    assert not old_rotation.out("w9")
+    assert not old_maintenance.cordon("w9")
 
 
-def test_a_start_reads_what_was_put_out_before_any_list(tmp_path: Path) -> None:
+def test_a_start_reads_what_is_cordoned_before_any_list(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('["w1"]')
     registry = Registry(Clock(), drain_grace_ms=1000.0)
-    Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path)).follow()
+    Maintenance(registry, lambda scope, infos: None, CordonFile(path)).sync_from_file()
     _, told = registry.apply(listing(("w1", Readiness.READY)))
     assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
 
@@ -174,39 +175,39 @@
 
 
 @pytest.mark.parametrize("how", BREAKS)
-def test_a_file_that_cannot_tell_changes_nobody(tmp_path: Path, how: str) -> None:
+def test_an_unreadable_cordon_file_changes_nothing(tmp_path: Path, how: str) -> None:
     """Whoever is out stays out, who is in stays in, and the next call keeps what is in hand."""
     path = tmp_path / "disk" / "out.json"
     path.parent.mkdir()
     registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
-    maintenance.out("w1")
+    maintenance = Maintenance(registry, lambda scope, infos: None, CordonFile(path))
+    maintenance.cordon("w1")
     BREAKS[how](path)
     for _ in range(3):
-        maintenance.follow()
+        maintenance.sync_from_file()
         assert registry.cordoned == {"w1"} and registry.address("w2") is not None
-    assert maintenance.out("w2")
-    maintenance.follow()
+    assert maintenance.cordon("w2")
+    maintenance.sync_from_file()
     assert registry.cordoned == {"w1", "w2"}
     fresh = Registry(Clock(), drain_grace_ms=1000.0)
-    Maintenance(fresh, lambda scope, infos: None, MaintenanceFile(path)).follow()
+    Maintenance(fresh, lambda scope, infos: None, CordonFile(path)).sync_from_file()
     assert fresh.cordoned in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
     assert fresh.cordoned or not path.is_file()
 
 
-def test_a_file_not_ours_puts_nobody_out_and_one_taken_away_puts_all_back(tmp_path: Path) -> None:
+def test_a_file_not_ours_cordons_nothing_and_one_removed_uncordons_all(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('{"w1": tru')
     registry = Registry(Clock(), drain_grace_ms=1000.0)
-    maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
-    maintenance.follow()
+    maintenance = Maintenance(registry, lambda scope, infos: None, CordonFile(path))
+    maintenance.sync_from_file()
     assert registry.cordoned == set()
     path.write_text('["w1"]')
-    maintenance.follow()
+    maintenance.sync_from_file()
     assert registry.cordoned == {"w1"}
     path.unlink()
-    maintenance.follow()
+    maintenance.sync_from_file()
     assert registry.cordoned == set()
 
 
@@ -258,7 +259,7 @@
     assert alone.may_report_ready and alone.files.read_pid(alone.files.serving) == 100
 
 
-def test_the_yes_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
+def test_readiness_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
@@ -273,7 +274,7 @@
     assert new.files.read_pid(new.files.serving) == 200
 
 
-def test_the_yes_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
+def test_readiness_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
