--- a/oxbowyard/control/counters.py
+++ b/oxbowyard/control/counters.py
@@ -6,12 +6,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ..core.measure import ServiceMeasure
-from ..core.req import Kind
+from ..core.request import AnswerKind
+from ..core.service_measure import ServiceMeasure
 from ..discovery.registry import Registry
 
 # The platform's keys; a request whose client has disconnected is counted under none of them.
-KEY_OF_ANSWER = {Kind.SERVED: "fulfilled", Kind.REFUSED: "throttled", Kind.FAILED: "faulted"}
+KEY_OF_ANSWER = {
+    AnswerKind.SERVED: "fulfilled",
+    AnswerKind.REJECTED: "throttled",
+    AnswerKind.FAILED: "faulted",
+}
 
 
 @dataclass(slots=True)
@@ -34,7 +38,7 @@
 
 def read_counters(sources: CounterSources, open_requests: int) -> Mapping[str, object]:
     """All counters by the platform's keys; `open_requests` are accepted and not answered yet."""
-    answers = sources.measure.answers_of()
+    answers = sources.measure.answers_by_class()
     by_class: dict[str, object] = {
         key: {job_class: counts[kind] for job_class, counts in answers.items()}
         for kind, key in KEY_OF_ANSWER.items()
--- a/oxbowyard/handover/learned.py
+++ b/oxbowyard/handover/learned.py
@@ -12,13 +12,12 @@
 import math
 import os
 from collections.abc import Callable
-from dataclasses import fields
 from pathlib import Path
 from typing import Any, get_args, get_origin, get_type_hints
 
 import orjson
 
-from ..decision.snapshot import VERSION, Snapshot
+from ..decision.snapshot import STORED_KEYS, VERSION, Snapshot
 
 log = logging.getLogger("oxbowyard.handover")
 
@@ -34,7 +33,7 @@
 
 def encode(snapshot: Snapshot, successor: int) -> bytes:
     """The file's content, for the successor with this pid."""
-    body = orjson.dumps(snapshot, option=orjson.OPT_SERIALIZE_DATACLASS)
+    body = orjson.dumps(_stored_form(snapshot))
     header = {"version": VERSION, "successor": successor, "checksum": _checksum(body)}
     return orjson.dumps(header) + b"\n" + body
 
@@ -57,8 +56,9 @@
     if header.get("checksum") != _checksum(body):
         raise UnusableFileError("damaged")
     snapshot: Snapshot = _decode_value(Snapshot, orjson.loads(body))
-    if not -CLOCK_TOLERANCE_MS <= now - snapshot.at <= MAX_AGE_MS:
-        raise UnusableFileError(f"{now - snapshot.at:.0f} ms old")
+    age_ms = now - snapshot.taken_at_ms
+    if not -CLOCK_TOLERANCE_MS <= age_ms <= MAX_AGE_MS:
+        raise UnusableFileError(f"{age_ms:.0f} ms old")
     return snapshot
 
 
@@ -66,14 +66,26 @@
     return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).hexdigest()
 
 
+def _stored_form(value: Any) -> Any:
+    """The value as JSON stores it: each dataclass is an object with its stored keys."""
+    if (keys := STORED_KEYS.get(type(value))) is not None:
+        return {key: _stored_form(getattr(value, name)) for name, key in keys.items()}
+    if isinstance(value, dict):
+        return {name: _stored_form(item) for name, item in value.items()}
+    if isinstance(value, list):
+        return [_stored_form(item) for item in value]
+    return value
+
+
 def _decode_value(expected: Any, value: Any) -> Any:
     """A value of the expected type, out of decoded JSON; raises UnusableFileError."""
     origin, arguments = get_origin(expected), get_args(expected)
     if hasattr(expected, "__dataclass_fields__"):
         hints = get_type_hints(expected)
-        if not isinstance(value, dict) or value.keys() != {f.name for f in fields(expected)}:
+        keys = STORED_KEYS[expected]
+        if not isinstance(value, dict) or value.keys() != set(keys.values()):
             raise UnusableFileError(f"no {expected.__name__}")
-        return expected(**{name: _decode_value(hints[name], item) for name, item in value.items()})
+        return expected(**{name: _decode_value(hints[name], value[key]) for name, key in keys.items()})
     if origin is dict and isinstance(value, dict):
         return {str(name): _decode_value(arguments[1], item) for name, item in value.items()}
     if origin is list and isinstance(value, list):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -157,7 +157,7 @@
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
         rows = [{"uid": name, **row} for name in names]
         change = parse_endpoint_list({"rev": 1, "all": True, "targets": rows})
-        self.scheduler.learn(*self.parts.registry.apply(change))
+        self.scheduler.update_endpoints(*self.parts.registry.apply(change))
 
     def move_endpoint(self, name: str, address: str) -> None:
         """The worker listens elsewhere, and no watch event has said so."""
