--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -22,9 +22,9 @@
 from ..core.service_measure import ServiceMeasure
 from ..decision.facade import Facade
 from ..decision.settings import JobClass, Repeat, Settings
-from ..discovery.call_schedule import CallSchedule
+from ..discovery.client import DiscoveryClient
+from ..discovery.poll_schedule import PollSchedule
 from ..discovery.registry import Registry
-from ..discovery.watch import DiscoveryClient
 from ..gearman.config import KIND, GearmanConfig
 from ..gearman.front import GearmanFront
 from ..gearman.jobs import Jobs
@@ -219,7 +219,7 @@
     scheduler: Scheduler,
     on_settled: Callable[[], None],
 ) -> DiscoveryClient:
-    schedule = CallSchedule(
+    schedule = PollSchedule(
         settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every
     )
     return DiscoveryClient(config.discovery, registry, scheduler.update_endpoints, on_settled, schedule)
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -10,8 +10,9 @@
 
 from ..clients.limits import MAX_BODIES_MEMORY_SHARE
 from ..clients.session import ClientSessions
-from ..control.figures import Files
-from ..control.maintenance import Maintenance, MaintenanceFile
+from ..control.cordon_file import CordonFile
+from ..control.counters import ConfigurationReloads
+from ..control.maintenance import Maintenance
 from ..listeners.acceptor import Acceptor
 from .composition import Subsystems, compose
 from .config import Config
@@ -41,7 +42,7 @@
     membership: MembershipComponent | None
     longest_deadline_s: float  # of all classes that were in force so far
     stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    reload_counts: Files = field(default_factory=Files)
+    reload_counts: ConfigurationReloads = field(default_factory=ConfigurationReloads)
     acceptor: Acceptor | None = None
     admin_acceptor: Acceptor | None = None
 
@@ -65,7 +66,7 @@
     states = StateMachine()
     store = open_store(loaded.durable, take_over) if loaded.durable else None
     subsystems = compose(config, loaded.gearman, states.discovery_settled, loaded.waiting, store)
-    maintenance_file = MaintenanceFile(folder / f"oxbowyard-{config.name}-out-by-hand.json")
+    maintenance_file = CordonFile(folder / f"oxbowyard-{config.name}-out-by-hand.json")
     maintenance = Maintenance(subsystems.registry, subsystems.scheduler.update_endpoints, maintenance_file)
 
     components: list[Component] = []
--- a/oxbowyard/daemon/hot_restart.py
+++ b/oxbowyard/daemon/hot_restart.py
@@ -11,9 +11,9 @@
 import logging
 import os
 
-from ..handover.files import BEAT_EVERY, Marks
-from ..handover.learned import LearnedFile
-from ..handover.steps import Handover, Step
+from ..handover.learned import EstimatesFile
+from ..handover.pid_files import HEARTBEAT_INTERVAL_S, PidFiles
+from ..handover.protocol import Action, Handover
 from .context import ProgramContext
 from .states import State
 
@@ -27,14 +27,14 @@
         """`started_at` is the event loop's time at the program's start, in seconds."""
         self._context = context
         name = context.config.name
-        self.handover = Handover(Marks(context.folder, name, os.getpid()), started_at)
-        self.estimates_file = LearnedFile(context.folder, name, os.getpid(), context.subsystems.clock)
+        self.handover = Handover(PidFiles(context.folder, name, os.getpid()), started_at)
+        self.estimates_file = EstimatesFile(context.folder, name, os.getpid(), context.subsystems.clock)
         self._adopted = False
 
     @property
     def may_say_ready(self) -> bool:
         """Whether the operators may be told that this process is ready."""
-        return self.handover.may_say_yes
+        return self.handover.may_report_ready
 
     def begin(self) -> None:
         """Find out whether another process serves, and follow it in the background."""
@@ -48,13 +48,14 @@
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(BEAT_EVERY)
-            if self.handover.waiting and not self._adopted:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            if self.handover.is_waiting and not self._adopted:
                 self._adopted = self.adopt_estimates()
-            step = self.handover.look(loop.time(), self._context.subsystems.scheduler.open_request_count)
-            if step is Step.HAND_OVER:
+            open_requests = self._context.subsystems.scheduler.open_request_count
+            action = self.handover.poll(loop.time(), open_requests)
+            if action is Action.HAND_OVER:
                 await self._hand_over()
-            elif step is Step.RESUME and self._context.states.current is State.HANDING_OVER:
+            elif action is Action.RESUME and self._context.states.current is State.HANDING_OVER:
                 log.warning("the new process exited before it took over: accepting clients again")
                 await self.resume()
 
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -60,7 +60,7 @@
 
     def set_scheduler_count(schedulers: int) -> None:
         scheduler.set_scheduler_count(schedulers)
-        subsystems.discovery.reckon(schedulers)
+        subsystems.discovery.set_scheduler_count(schedulers)
 
     return MembershipComponent(
         settings,
@@ -75,12 +75,12 @@
             state=state,
             open_request_count=lambda: scheduler.open_request_count,
             slots=subsystems.slots,
-            worker_count=lambda: subsystems.registry.listed,
+            worker_count=lambda: subsystems.registry.listed_count,
             own_faults=scheduler.worker_faults,
             apply_peer_faults=scheduler.apply_peer_faults,
             set_scheduler_count=set_scheduler_count,
-            drained_workers=lambda: maintenance.by_hand,
-            set_drained=maintenance.take,
+            drained_workers=lambda: maintenance.cordoned,
+            set_drained=maintenance.apply_from_peer,
         ),
     )
 
@@ -99,9 +99,8 @@
         return discovery.adopt(document, cold_since, newer_may_be_asked)
 
     def service_list() -> ServiceList | None:
-        if discovery.told is None:
-            return None
-        return ServiceList(discovery.told, registry.document())
+        revision = discovery.latest_revision
+        return None if revision is None else ServiceList(revision, registry.targets())
 
     dependencies = StartDependencies(
         name=config.name,
@@ -114,5 +113,6 @@
         peers=membership.documents if membership else None,
     )
     component = StartComponent(settings, dependencies)
-    discovery.turn, discovery.on_told = component.wait_for_admission, component.service_answered
+    discovery.admit_first_poll = component.wait_for_admission
+    discovery.on_answer = component.service_answered
     return component
--- a/oxbowyard/daemon/startup.py
+++ b/oxbowyard/daemon/startup.py
@@ -15,10 +15,10 @@
 import asyncio
 from collections.abc import Callable
 
-from ..control.admin_server import AdminSessions
-from ..control.figures import Counted, figures
+from ..control.admin_server import AdminConnections
+from ..control.counters import CounterSources, read_counters
 from ..control.handlers import AdminHandlers, Sources
-from ..control.maintenance import FOLLOW_EVERY, Maintenance
+from ..control.maintenance import SYNC_INTERVAL_S, Maintenance
 from ..listeners.acceptor import Acceptor
 from .context import ProgramContext
 from .garbage_collection import disable_full_passes, run_full_passes
@@ -32,7 +32,7 @@
     be had. `is_ready` is what the admin API answers."""
     acceptor = context.bind_clients()
     _listen(context, is_ready)
-    context.maintenance.follow()
+    context.maintenance.sync_from_file()
     if context.membership is not None:
         context.maintenance.on_change = context.membership.on_drain_changed
     await context.components.open()
@@ -52,7 +52,7 @@
     stop = asyncio.ensure_future(context.stop_requested.wait())
     try:
         await asyncio.wait({listed, stop}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-        if not context.subsystems.registry.backends:
+        if not context.subsystems.registry.endpoints:
             await asyncio.wait({listed, stop}, return_when=asyncio.FIRST_COMPLETED)
     finally:
         listed.cancel()
@@ -63,7 +63,7 @@
     subsystems = context.subsystems
     if context.config.admin is not None:
         handlers = AdminHandlers(_admin_sources(context, is_ready))
-        sessions = AdminSessions(handlers, subsystems.descriptors.admin)
+        sessions = AdminConnections(handlers, subsystems.descriptors.admin)
         context.admin_acceptor = Acceptor("control", *context.config.admin, sessions)
         context.admin_acceptor.open()
     if subsystems.gearman:
@@ -72,12 +72,12 @@
 
 def _admin_sources(context: ProgramContext, is_ready: Callable[[], bool]) -> Sources:
     subsystems = context.subsystems
-    counted = Counted(
+    counters = CounterSources(
         subsystems.measure, subsystems.backends.sent_attempts, subsystems.registry, context.reload_counts
     )
     return Sources(
         is_ready,
-        lambda: figures(counted, subsystems.scheduler.open_request_count),
+        lambda: read_counters(counters, subsystems.scheduler.open_request_count),
         context.maintenance,
         context.membership.view if context.membership else None,
     )
@@ -100,5 +100,5 @@
 async def _follow_maintenance(maintenance: Maintenance) -> None:
     """Take over what another process of this scheduler puts into maintenance, and back."""
     while True:
-        await asyncio.sleep(FOLLOW_EVERY)
-        maintenance.follow()
+        await asyncio.sleep(SYNC_INTERVAL_S)
+        maintenance.sync_from_file()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -11,6 +11,7 @@
 import socket
 import struct
 import tomllib
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -19,7 +20,7 @@
 from oxbowyard.clients.session import ClientSessions
 from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import load
-from oxbowyard.discovery.registry import parse_list
+from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.gearman import config as gearman
 from oxbowyard.listeners.acceptor import Acceptor
 from oxbowyard.waiting.settings import WaitingSettings
@@ -140,6 +141,11 @@
         self._server: asyncio.Server | None = None
         self.clients: list[socket.socket] = []
 
+    def move_endpoint(self, name: str, address: str) -> None:
+        """The worker listens elsewhere, and no watch event has said so."""
+        endpoints = self.subsystems.registry.endpoints
+        endpoints[name] = replace(endpoints[name], address=address)
+
     async def begin(self, listed: bool = True, names: tuple[str, ...] = ("w1",)) -> None:
         """Both fronts and the worker listen; the list names it, perhaps several times."""
         self._server = await asyncio.start_server(self.worker.serve, "127.0.0.1", 0)
@@ -155,7 +161,7 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
         rows = [{"uid": name, **row} for name in names]
-        change = parse_list({"rev": 1, "all": True, "targets": rows})
+        change = parse_endpoint_list({"rev": 1, "all": True, "targets": rows})
         self.scheduler.update_endpoints(*self.subsystems.registry.apply(change))
 
     def client(self, front: str = "http") -> socket.socket:
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -25,7 +25,14 @@
     WorkerInfo,
 )
 from oxbowyard.decision.settings import JobClass, Repeat
-from oxbowyard.handover.learned import CLOCK_TOLERANCE_MS, MAX_AGE_MS, LearnedFile, Unusable, decode, encode
+from oxbowyard.handover.learned import (
+    CLOCK_TOLERANCE_MS,
+    MAX_AGE_MS,
+    EstimatesFile,
+    UnusableFileError,
+    decode,
+    encode,
+)
 
 SHORT = JobClass("short", aim=1000, deadline=10000, repeat=Repeat.FREE)
 ONCE = JobClass("once", aim=4000, deadline=25000)
@@ -146,7 +153,7 @@
     text = encode(snapshot.take(old.state, now), PID)
     assert decode(text, PID, now).taken_at_ms == now
     for pid, at in ((PID + 1, now), (PID, now + MAX_AGE_MS + 1.0), (PID, now - CLOCK_TOLERANCE_MS - 1.0)):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(text, pid, at)
 
 
@@ -155,11 +162,11 @@
     now = served(old, 10)
     text = encode(snapshot.take(old.state, now), PID)
     for cut in range(0, len(text), 7):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(text[:cut], PID, now)
         broken = bytearray(text)
         broken[cut] ^= 1
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableFileError):
             decode(bytes(broken), PID, now)
 
 
@@ -174,22 +181,22 @@
     text = encode(taken, PID)
     if "version" in change:
         text = text.replace(b'"version":1', b'"version":2', 1)
-    with pytest.raises(Unusable):
+    with pytest.raises(UnusableFileError):
         decode(text, PID, now)
 
 
 def test_a_disk_that_fails_changes_nothing_else(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     old = dispatcher(1)
     now = served(old, 10)
-    nowhere = LearnedFile(tmp_path / "absent", "n1", 1, lambda: now)
+    nowhere = EstimatesFile(tmp_path / "absent", "n1", 1, lambda: now)
     nowhere.write(snapshot.take(old.state, now), PID)
-    assert nowhere.read() is None and "not handed over" in caplog.text
-    LearnedFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old.state, now), PID)
-    successor = LearnedFile(tmp_path, "n1", PID, lambda: now)
+    assert nowhere.read() is None and "estimates not handed over: error=" in caplog.text
+    EstimatesFile(tmp_path, "n1", 1, lambda: now).write(snapshot.take(old.state, now), PID)
+    successor = EstimatesFile(tmp_path, "n1", PID, lambda: now)
     assert successor.read() is not None
     (tmp_path / "oxbowyard-n1-learned").write_bytes(b"x" * (2 << 20))
     assert successor.read() is None and successor.read() is None
-    assert caplog.text.count("too long") == 1, "said once"
+    assert caplog.text.count("estimates of the old process rejected: reason=too long") == 1, "said once"
 
 
 def test_a_fault_of_ours_in_either_process_does_not_hold_up_the_replacement(
@@ -210,7 +217,7 @@
         scheduler.restore = broken  # type: ignore[method-assign,assignment]
         assert program.hot_restart.adopt_estimates(), "it is not tried again and again"
         scheduler.snapshot = broken  # type: ignore[method-assign]
-        program.hot_restart.handover.files.other = lambda path: PID  # type: ignore[method-assign]
+        program.hot_restart.handover.files.other_process = lambda path: PID  # type: ignore[method-assign]
         program.hot_restart.hand_over_estimates()
         await abort_startup(program.context)
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""Operating days without the wire: classes retuned live, workers out by hand, a second process beside."""
+"""Operating days without the wire: classes retuned live, workers in maintenance, a second process beside."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 import pytest
 from test_core import FREE, ONCE, SETTINGS, Stage, lost
 
-from oxbowyard.control.maintenance import Maintenance, MaintenanceFile
+from oxbowyard.control.cordon_file import CordonFile
+from oxbowyard.control.maintenance import Maintenance
 from oxbowyard.core.request import AnswerKind
 from oxbowyard.core.settings_update import plan_settings_update, restart_only_changes
 from oxbowyard.decision.facade import Readiness, WorkerInfo
 from oxbowyard.decision.settings import JobClass, Repeat
-from oxbowyard.discovery.registry import Change, Registry
-from oxbowyard.handover.files import STALE, Marks
-from oxbowyard.handover.steps import WAIT_MOST, Handover, Step
+from oxbowyard.discovery.endpoint_list import ListedEndpoint, WatchEvent
+from oxbowyard.discovery.registry import Registry
+from oxbowyard.handover.pid_files import STALE_AFTER_S, PidFiles
+from oxbowyard.handover.protocol import MAX_WAIT_S, Action, Handover
 from oxbowyard.listeners.acceptor import Acceptor
 
 NEW = JobClass("new", aim=500, deadline=4000, repeat=Repeat.FREE)
@@ -79,12 +81,14 @@
     asyncio.run(play())
 
 
-# ---- Out of rotation by hand ----
+# ---- Maintenance mode ----
 
 
-def listing(*rows: tuple[str, Readiness]) -> Change:
-    entries = tuple((f"10.0.0.{i}:80", WorkerInfo(uid, state)) for i, (uid, state) in enumerate(rows))
-    return Change(1, True, entries)
+def listing(*rows: tuple[str, Readiness]) -> WatchEvent:
+    endpoints = tuple(
+        ListedEndpoint(f"10.0.0.{i}:80", WorkerInfo(uid, state)) for i, (uid, state) in enumerate(rows)
+    )
+    return WatchEvent(1, True, endpoints)
 
 
 class Clock:
@@ -95,58 +99,58 @@
         return self.now
 
 
-def test_one_out_by_hand_drains_whatever_discovery_says() -> None:
+def test_a_cordoned_endpoint_drains_whatever_discovery_says() -> None:
     clock = Clock()
-    registry = Registry(clock, drain_grace=1000.0)
+    registry = Registry(clock, drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    held = registry.put_out("w1")
+    held = registry.cordon("w1")
     assert held is not None and held.readiness is Readiness.DRAINING
     assert registry.address("w1") is None  # the decisions are told at once: nothing new goes there
     _, told = registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
     assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
-    assert (registry.listed, registry.out_by_hand) == (2, 1)
-    back = registry.put_back("w1")
+    assert (registry.listed_count, registry.cordoned_count) == (2, 1)
+    back = registry.uncordon("w1")
     assert back is not None and back.readiness is Readiness.READY and registry.address("w1") is not None
-    assert registry.put_out("w9") is None and registry.put_back("w9") is None
+    assert registry.cordon("w9") is None and registry.uncordon("w9") is None
 
 
-def test_calls_out_twice_and_one_back() -> None:
-    registry = Registry(Clock(), drain_grace=1000.0)
+def test_one_uncordon_undoes_two_cordons() -> None:
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY)))
-    registry.put_out("w1")
-    registry.put_out("w1")
-    registry.put_back("w1")
-    assert registry.by_hand == set() and registry.out_by_hand == 0
+    registry.cordon("w1")
+    registry.cordon("w1")
+    registry.uncordon("w1")
+    assert registry.cordoned == set() and registry.cordoned_count == 0
 
 
-def test_a_process_beside_keeps_and_takes_the_calls(tmp_path: Path) -> None:
+def test_two_processes_share_their_cordons_by_the_file(tmp_path: Path) -> None:
     """Old and new process of one scheduler, each with its registry, one file between them."""
     path = tmp_path / "out.json"
     told: list[tuple[str, list[WorkerInfo]]] = []
     sides = []
     for name in ("old", "new"):
-        registry = Registry(Clock(), drain_grace=1000.0)
+        registry = Registry(Clock(), drain_grace_ms=1000.0)
         registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
         learn = lambda scope, infos, name=name: told.append((name, list(infos)))  # noqa: E731
-        sides.append((registry, Maintenance(registry, learn, MaintenanceFile(path))))
-    (old, old_rotation), (new, new_rotation) = sides
-    assert old_rotation.out("w1")
-    assert new_rotation.out("w2")  # before it has read the other's call: both stay
-    new_rotation.follow()
-    old_rotation.follow()
-    assert old.by_hand == new.by_hand == {"w1", "w2"}
-    assert new_rotation.back("w1")
-    old_rotation.follow()
-    assert old.by_hand == {"w2"} and old.address("w1") is not None
+        sides.append((registry, Maintenance(registry, learn, CordonFile(path))))
+    (old, old_maintenance), (new, new_maintenance) = sides
+    assert old_maintenance.cordon("w1")
+    assert new_maintenance.cordon("w2")  # before it has read the other's call: both stay
+    new_maintenance.sync_from_file()
+    old_maintenance.sync_from_file()
+    assert old.cordoned == new.cordoned == {"w1", "w2"}
+    assert new_maintenance.uncordon("w1")
+    old_maintenance.sync_from_file()
+    assert old.cordoned == {"w2"} and old.address("w1") is not None
     assert ("old", [WorkerInfo("w1", Readiness.READY)]) in told
-    assert not old_rotation.out("w9")
+    assert not old_maintenance.cordon("w9")
 
 
-def test_a_start_reads_what_was_put_out_before_any_list(tmp_path: Path) -> None:
+def test_a_start_reads_what_is_cordoned_before_any_list(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('["w1"]')
-    registry = Registry(Clock(), drain_grace=1000.0)
-    Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path)).follow()
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
+    Maintenance(registry, lambda scope, infos: None, CordonFile(path)).sync_from_file()
     _, told = registry.apply(listing(("w1", Readiness.READY)))
     assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
 
@@ -173,40 +177,40 @@
 
 
 @pytest.mark.parametrize("how", BREAKS)
-def test_a_file_that_cannot_tell_changes_nobody(tmp_path: Path, how: str) -> None:
+def test_an_unreadable_cordon_file_changes_nothing(tmp_path: Path, how: str) -> None:
     """Whoever is out stays out, who is in stays in, and the next call keeps what is in hand."""
     path = tmp_path / "disk" / "out.json"
     path.parent.mkdir()
-    registry = Registry(Clock(), drain_grace=1000.0)
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
-    maintenance.out("w1")
+    maintenance = Maintenance(registry, lambda scope, infos: None, CordonFile(path))
+    maintenance.cordon("w1")
     BREAKS[how](path)
     for _ in range(3):
-        maintenance.follow()
-        assert registry.by_hand == {"w1"} and registry.address("w2") is not None
-    assert maintenance.out("w2")
-    maintenance.follow()
-    assert registry.by_hand == {"w1", "w2"}
-    fresh = Registry(Clock(), drain_grace=1000.0)
-    Maintenance(fresh, lambda scope, infos: None, MaintenanceFile(path)).follow()
-    assert fresh.by_hand in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
-    assert fresh.by_hand or not path.is_file()
-
-
-def test_a_file_not_ours_puts_nobody_out_and_one_taken_away_puts_all_back(tmp_path: Path) -> None:
+        maintenance.sync_from_file()
+        assert registry.cordoned == {"w1"} and registry.address("w2") is not None
+    assert maintenance.cordon("w2")
+    maintenance.sync_from_file()
+    assert registry.cordoned == {"w1", "w2"}
+    fresh = Registry(Clock(), drain_grace_ms=1000.0)
+    Maintenance(fresh, lambda scope, infos: None, CordonFile(path)).sync_from_file()
+    assert fresh.cordoned in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
+    assert fresh.cordoned or not path.is_file()
+
+
+def test_a_file_not_ours_cordons_nothing_and_one_removed_uncordons_all(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('{"w1": tru')
-    registry = Registry(Clock(), drain_grace=1000.0)
-    maintenance = Maintenance(registry, lambda scope, infos: None, MaintenanceFile(path))
-    maintenance.follow()
-    assert registry.by_hand == set()
+    registry = Registry(Clock(), drain_grace_ms=1000.0)
+    maintenance = Maintenance(registry, lambda scope, infos: None, CordonFile(path))
+    maintenance.sync_from_file()
+    assert registry.cordoned == set()
     path.write_text('["w1"]')
-    maintenance.follow()
-    assert registry.by_hand == {"w1"}
+    maintenance.sync_from_file()
+    assert registry.cordoned == {"w1"}
     path.unlink()
-    maintenance.follow()
-    assert registry.by_hand == set()
+    maintenance.sync_from_file()
+    assert registry.cordoned == set()
 
 
 # ---- A second process on the same address ----
@@ -248,53 +252,53 @@
 
 
 def sides(folder: Path) -> tuple[Handover, Handover]:
-    return Handover(Marks(folder, "n1", 100), 0.0), Handover(Marks(folder, "n1", 200), 10.0)
+    return Handover(PidFiles(folder, "n1", 100), 0.0), Handover(PidFiles(folder, "n1", 200), 10.0)
 
 
 def test_a_lone_process_takes_over_at_once(tmp_path: Path) -> None:
     alone, _ = sides(tmp_path)
     alone.start()
-    assert alone.may_say_yes and alone.files.named(alone.files.serving) == 100
+    assert alone.may_report_ready and alone.files.read_pid(alone.files.serving) == 100
 
 
-def test_the_yes_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
+def test_readiness_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    assert not new.may_say_yes
-    assert old.look(1.0, holds=3) is Step.HAND_OVER and not old.may_say_yes
-    assert old.look(1.2, holds=1) is Step.NOTHING
-    assert new.look(10.2, holds=0) is Step.NOTHING and not new.may_say_yes
-    assert old.look(1.4, holds=0) is Step.NOTHING
-    assert new.look(10.4, holds=0) is Step.TAKE_OVER and new.may_say_yes
-    assert old.look(1.6, holds=0) is Step.NOTHING  # the clients are the new one's: no taking them back
+    assert not new.may_report_ready
+    assert old.poll(1.0, in_flight=3) is Action.HAND_OVER and not old.may_report_ready
+    assert old.poll(1.2, in_flight=1) is Action.NONE
+    assert new.poll(10.2, in_flight=0) is Action.NONE and not new.may_report_ready
+    assert old.poll(1.4, in_flight=0) is Action.NONE
+    assert new.poll(10.4, in_flight=0) is Action.TAKE_OVER and new.may_report_ready
+    assert old.poll(1.6, in_flight=0) is Action.NONE  # the clients are the new one's: no taking them back
     old.end()
-    assert new.files.named(new.files.serving) == 200
+    assert new.files.read_pid(new.files.serving) == 200
 
 
-def test_the_yes_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
+def test_readiness_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    old.look(1.0, holds=9)
-    assert new.look(10.0 + WAIT_MOST - 0.1, holds=0) is Step.NOTHING
-    assert new.look(10.0 + WAIT_MOST, holds=0) is Step.TAKE_OVER
+    old.poll(1.0, in_flight=9)
+    assert new.poll(10.0 + MAX_WAIT_S - 0.1, in_flight=0) is Action.NONE
+    assert new.poll(10.0 + MAX_WAIT_S, in_flight=0) is Action.TAKE_OVER
 
 
 def test_the_old_process_listens_again_when_the_new_one_went(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
-    assert old.look(1.0, holds=2) is Step.HAND_OVER
-    stale = time.time() - STALE - 1
+    assert old.poll(1.0, in_flight=2) is Action.HAND_OVER
+    stale = time.time() - STALE_AFTER_S - 1
     os.utime(new.files.successor, (stale, stale))  # killed: nobody touches its file
-    assert old.look(1.2, holds=2) is Step.RESUME and old.may_say_yes
+    assert old.poll(1.2, in_flight=2) is Action.RESUME and old.may_report_ready
 
 
 def test_a_file_left_by_a_killed_process_is_not_waited_for(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
-    stale = time.time() - STALE - 1
+    stale = time.time() - STALE_AFTER_S - 1
     os.utime(old.files.serving, (stale, stale))
     new.start()
-    assert new.may_say_yes
+    assert new.may_report_ready
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -21,11 +21,12 @@
 import scenes
 from player import ROOT, SETTINGS
 
-from oxbowyard.control.maintenance import MaintenanceFile
+from oxbowyard.control.cordon_file import CordonFile
 from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
 from oxbowyard.decision.platform_settings import settings_of
 from oxbowyard.decision.settings import JobClass, Repeat, Settings
-from oxbowyard.discovery.registry import Registry, parse_list
+from oxbowyard.discovery.endpoint_list import parse_endpoint_list
+from oxbowyard.discovery.registry import Registry
 from oxbowyard.durable.ledger import pack, parents_of, unpack
 from oxbowyard.handover.learned import decode, encode
 from oxbowyard.operator.file import OperatorConfig, OperatorFileError, load
@@ -105,19 +106,19 @@
 def write_list(path: Path, rev: int, rows: list[dict[str, Any]]) -> None:
     """Take a list from discovery, as the program does, and keep it on disk."""
     registry = Registry(lambda: CLOCK_MS, 1000.0)
-    registry.apply(parse_list({"rev": rev, "all": True, "targets": rows}))
-    registry.put_out("w3")
-    write_snapshot(path, "default", WALL_S, rev, registry.document())
+    registry.apply(parse_endpoint_list({"rev": rev, "all": True, "targets": rows}))
+    registry.cordon("w3")
+    write_snapshot(path, "default", WALL_S, rev, registry.targets())
 
 
 def out_by_hand(path: Path) -> set[str]:
     """The workers that the file names."""
-    return set(MaintenanceFile(path).read() or ())
+    return set(CordonFile(path).read() or ())
 
 
 def change_out_by_hand(path: Path, uid: str, out: bool) -> None:
     """Add one to the file or take it away."""
-    MaintenanceFile(path).change(uid, out)
+    CordonFile(path).update(uid, out)
 
 
 def learned_again(text: bytes, now: float) -> bytes:
