--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -9,6 +9,8 @@
 from oxbowyard.gearman.admin import VERSION
 
 ROOT = Path(__file__).parent.parent / "oxbowyard"
+ARCHITECTURE = ROOT.parent / "docs" / "architecture.md"
+PICTURE_BEGINS, PICTURE_ENDS = "<!-- packages -->\n", "<!-- end of packages -->"
 INSIDE = {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if p.is_dir()}
 WIRES = {"aiohttp", "yarl", "orjson", "socket", "http"}
 
@@ -98,3 +100,67 @@
     named = set(tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"])
     found = {"oxbowyard"} | {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if (p / "__init__.py").exists()}
     assert named == found
+
+
+def package_graph() -> dict[str, set[str]]:
+    """What each package, or module beside them, imports of the others; `oxbowyard` itself is left out."""
+    edges: dict[str, set[str]] = {}
+    for name, others in graph().items():
+        if name == "oxbowyard":
+            continue
+        package = name.split(".")[1]
+        inside = edges.setdefault(package, set())
+        inside |= {other.split(".")[1] for other in others if other != "oxbowyard"} - {package}
+    return edges
+
+
+def reachable(edges: dict[str, set[str]], start: str) -> set[str]:
+    """All that a package imports, by others too."""
+    found: set[str] = set()
+    left = [start]
+    while left:
+        for other in edges[left.pop()] - found:
+            found.add(other)
+            left.append(other)
+    return found
+
+
+def direct_edges(edges: dict[str, set[str]]) -> list[tuple[str, str]]:
+    """The imports that do not follow from others, in the order of their names."""
+    return [
+        (package, other)
+        for package in sorted(edges)
+        for other in sorted(edges[package])
+        if not any(other in reachable(edges, between) for between in edges[package] - {other})
+    ]
+
+
+def picture() -> str:
+    """The packages and their imports as a Mermaid graph."""
+    edges = package_graph()
+    direct = direct_edges(edges)
+    alone = sorted(set(edges) - {package for edge in direct for package in edge})
+    lines = ["flowchart TD", *(f"    {package}" for package in alone)]
+    lines += [f"    {package} --> {other}" for package, other in direct]
+    return "```mermaid\n" + "\n".join(lines) + "\n```\n"
+
+
+def write_picture() -> None:
+    """Put the picture of today's imports into the page."""
+    before, _, rest = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)
+    _, end, after = rest.partition(PICTURE_ENDS)
+    ARCHITECTURE.write_text(before + PICTURE_BEGINS + picture() + end + after)
+
+
+def test_the_picture_of_the_packages_is_that_of_the_imports() -> None:
+    shown = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)[2].partition(PICTURE_ENDS)[0]
+    assert shown == picture(), "write it anew: PYTHONPATH=.:tests python tests/test_structure.py"
+
+
+def test_an_import_that_follows_from_others_is_left_out() -> None:
+    edges = {"a": {"b", "c"}, "b": {"c"}, "c": set[str]()}
+    assert direct_edges(edges) == [("a", "b"), ("b", "c")]
+
+
+if __name__ == "__main__":
+    write_picture()
