--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -23,8 +23,8 @@
 
 from oxbowyard.control.maintenance import MaintenanceFile
 from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
-from oxbowyard.decision.facts import settings_of
-from oxbowyard.decision.interface import JobClass, Repeat, Settings
+from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.settings import JobClass, Repeat, Settings
 from oxbowyard.discovery.registry import Registry, parse_list
 from oxbowyard.durable.ledger import pack, parents_of, unpack
 from oxbowyard.handover.learned import decode, encode
@@ -137,7 +137,7 @@
     facade = Facade(settings, 1, lambda: CLOCK_MS)
     infos = [WorkerInfo(f"w{i}", kind="fast" if i % 2 else "slow", weight=1.0 + i) for i in range(4)]
     cold = WorkerInfo("w4", kind="slow", online_since=START_MS - 5000.0)
-    facade.learn(Scope.FULL, (*infos, cold))
+    facade.update_endpoints(Scope.FULL, (*infos, cold))
     facade.adopt(decode(text, PID, CLOCK_MS))
     return encode(facade.snapshot(), PID)
 
