--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 import oxbowyard.__main__ as program
-import oxbowyard.clients.waiting  # noqa: F401  # imported before the fork, once for all
-import oxbowyard.durable.keeping  # noqa: F401
+import oxbowyard.clients.waiting  # imported before the fork, once for all
+import oxbowyard.durable.keeping
 import oxbowyard.operator.file  # noqa: F401
 from oxbowyard.durable.ledger import DurableLedger
 from oxbowyard.durable.recover import Recovery
--- a/benchmarks/decision_replay.py
+++ b/benchmarks/decision_replay.py
@@ -470,7 +470,7 @@
         """Begin what fits."""
         while worker.queue and len(worker.running) < self.draw.slots and self.now >= worker.hangs_until:
             attempt = worker.queue.pop(0)
-            if attempt.over or self.random.random() < 0.01 and self.draw.fifo:
+            if attempt.over or (self.random.random() < 0.01 and self.draw.fifo):
                 continue  # at a worker that begins in turn some jobs are lost
             worker.running.append(attempt)
             self.tell(["notice", attempt.who, attempt.request, 1, worker.name, None, attempt.number])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -199,7 +199,7 @@
         got = await stage.read(client)
         assert got.count(b"HTTP/1.1 ") == 1 and stage.scheduler.open_count == 0
         if job_class == "accession":  # it ran: nobody is told that it did not
-            assert b" 200 OK" in got or b"HTTP/1.1 50" in got and b" 503 " not in got
+            assert b" 200 OK" in got or (b"HTTP/1.1 50" in got and b" 503 " not in got)
 
     play(tmp_path, scene)
 
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -112,9 +112,8 @@
 def test_what_must_not_run_twice_is_not_written_to_a_kept_connection() -> None:
     """A worker that was cut off says nothing: what was written to it may have run."""
     d = make(1)
-    assert [type(a) for a in d.handle(1, RequestReceived("a", "once", 9000.0, "k"))][
-        0
-    ] is StartAttempt  # none is kept
+    first, *_ = d.handle(1, RequestReceived("a", "once", 9000.0, "k"))
+    assert type(first) is StartAttempt  # none is kept
     d.handle(2, AttemptStarted("a", 0, "w0"))
     d.handle(300, AttemptEnded("a", 0, "w0", Result.OK, 299, True))
     close, send, *_ = d.handle(400, RequestReceived("b", "once", 9000.0, "k"))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -38,7 +38,9 @@
 def test_without_a_descriptor_the_gate_tries_again_now_and_then() -> None:
     class Sessions:
         free = 1
-        counts: Counter[str] = Counter()
+
+        def __init__(self) -> None:
+            self.counts: Counter[str] = Counter()
 
     class Listener:
         """A listener for whose next connection the system has no descriptor."""
@@ -50,15 +52,16 @@
             raise OSError(errno.EMFILE, "no descriptor")
 
     async def play() -> None:
-        acceptor = Acceptor("http", "127.0.0.1", 0, Sessions())  # type: ignore[arg-type]
+        sessions = Sessions()
+        acceptor = Acceptor("http", "127.0.0.1", 0, sessions)  # type: ignore[arg-type]
         with socket.create_connection(acceptor._listener.getsockname()):  # it stays readable all the time
             acceptor._listener = Listener(acceptor._listener)  # type: ignore[assignment]
             acceptor.open()
             await asyncio.sleep(4.5 * ACCEPT_AGAIN)
             acceptor.close()
-            assert 2 <= Sessions.counts["no descriptor"] <= 6
+            assert 2 <= sessions.counts["no descriptor"] <= 6
             await asyncio.sleep(2 * ACCEPT_AGAIN)
-            assert Sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
+            assert sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
 
     asyncio.run(play())
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -27,7 +27,7 @@
 NOWHERE = CONFIG | {"discovery": "127.0.0.1:1"}
 
 
-@pytest.fixture()
+@pytest.fixture
 def workers() -> Iterator[str]:
     """Discovery's address; its workers serve at once."""
     loop = LoopThread()
@@ -208,7 +208,7 @@
 
 def test_a_flood_and_nonsense_are_dropped_and_bounded_and_the_others_stay(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as made:
-        first, *rest = started(made, 4)
+        first, *_ = started(made, 4)
         head = Head(1, GROUP, "x", 1, "127.0.0.1:9")
         junk = [
             b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Head(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -153,7 +153,7 @@
 # ---- Groups of processes ----
 
 
-@pytest.fixture()
+@pytest.fixture
 def service() -> Iterator[ServiceThread]:
     made = ServiceThread(Service(workers(12)))
     yield made
--- a/tests/test_waiting_policy.py
+++ b/tests/test_waiting_policy.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from itertools import pairwise
 from typing import Any
 
 import pytest
@@ -155,7 +156,7 @@
     stage.run(3_300)
     times = [at for at, _, _ in stage.released]
     assert len(times) == 6 and all(name == "light" + AGED for _, _, name in stage.released)
-    assert all(b - a >= 500 - LOOK_MS for a, b in zip(times, times[1:], strict=False))
+    assert all(b - a >= 500 - LOOK_MS for a, b in pairwise(times))
     assert times[-1] - 1000 <= stage.settings.bound_s() * 1000
 
 
