--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -3,9 +3,13 @@
 from __future__ import annotations
 
 import ast
+import re
 import tomllib
 from pathlib import Path
 
+import pytest
+from sources import quoted, table_rows
+
 from oxbowyard.gearman.admin import VERSION
 
 ROOT = Path(__file__).parent.parent / "oxbowyard"
@@ -146,6 +150,24 @@
     return "```mermaid\n" + "\n".join(lines) + "\n```\n"
 
 
+PAGES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md", "docs/oncall.md"]
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_the_files_that_a_page_names_are_there(page: str) -> None:
+    """By their last parts: `core/scheduler.py`, or `choice.py` where the package is clear from the text."""
+    folders = ("oxbowyard", "tests", "benchmarks", "examples")
+    there = {path.as_posix() for folder in folders for path in (ROOT.parent / folder).rglob("*.py")}
+    named = set(re.findall(r"`([\w/]+\.py)`", (ROOT.parent / page).read_text()))
+    assert {name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in there)} == set()
+
+
+def test_the_table_of_packages_in_the_readme_is_whole() -> None:
+    rows = table_rows(ROOT.parent / "README.md", "package")
+    named = {name.rstrip("/") for row in rows for name in quoted(row.cells[0])}
+    assert named == {p.name for p in ROOT.iterdir() if (p / "__init__.py").exists()} | {"simhost.py"}
+
+
 def write_picture() -> None:
     """Put the picture of today's imports into the page."""
     before, _, rest = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)
