--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -147,11 +147,22 @@
         temporary = folder / "tmp"
         temporary.mkdir()
         env = {**os.environ, "LB_CONFIG": str(folder / "config.json"), "TMPDIR": str(temporary)}
+        self._root, self._env = root, env
         self._log = (folder / "log.txt").open("w")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "oxbowyard", *options], cwd=root, env=env, stderr=self._log
         )
 
+    def start_second(self) -> tuple[subprocess.Popen[bytes], Address]:
+        """A second process beside this one, as at a replacement, and the address of its admin API."""
+        config = json.loads((self.folder / "config.json").read_text())
+        admin = (self.admin[0], self.admin[1] + 100)
+        config["admin"] = "{}:{}".format(*admin)
+        (self.folder / "second.json").write_text(json.dumps(config))
+        env = {**self._env, "LB_CONFIG": str(self.folder / "second.json")}
+        command = [sys.executable, "-m", "oxbowyard"]
+        return subprocess.Popen(command, cwd=self._root, env=env, stderr=self._log), admin
+
     def __enter__(self) -> Scheduler:
         until(self._answers, f"it listens; {(self.folder / 'log.txt').read_text()}")
         return self
@@ -263,6 +274,45 @@
     return {"GET /control/members": told}
 
 
+def shape(value: object) -> object:
+    """The keys of a document, without its values."""
+    if isinstance(value, dict):
+        return {name: shape(item) for name, item in value.items()}
+    return [shape(item) for item in value[:1]] if isinstance(value, list) else ""
+
+
+def replacement_files(root: Path, folder: Path) -> dict[str, str]:
+    """The files by which two processes of one scheduler find each other, and the form of the estimates."""
+    names: set[str] = set()
+    told: dict[str, str] = {}
+    with Scheduler(root, folder) as old:
+        old.tell_list()
+        for number in range(10):
+            old.post("preview", f"p{number}")
+        new, admin = old.start_second()
+        try:
+
+            def taken_over() -> bool:
+                names.update(old.files())
+                try:
+                    return " 200 " in call(admin, "GET", "/control/ready")
+                except OSError:
+                    return False
+
+            until(taken_over, "the second process is ready")
+            files = old.files()
+            told["names"] = " ".join(sorted(names | files.keys()))
+            told["serving"] = str(files["oxbowyard-n1-serving"] == str(new.pid).encode())
+            told["old"] = old.ask_admin("GET", "/control/ready")
+            header, _, body = files["oxbowyard-n1-learned"].partition(b"\n")
+            told["learned"] = json.dumps([shape(json.loads(header)), shape(json.loads(body))])
+            told["exit code of the old one"] = str(old.stop())
+        finally:
+            new.kill()
+            new.wait(TIMEOUT_S)
+    return told
+
+
 JOB = {
     "class": "label-check", "id": "j1", "path": "/label-check?obj=7f", "payload": "sheet", "extra": "pages=3",
     "tenant": "archive", "priority": "high", "after": ["timed", {"id": "doubt", "when": "ended"}],
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -298,6 +298,10 @@
     assert scenes.members_answers(ROOT, tmp_path) == answers("members")
 
 
+def test_a_second_process_finds_the_files_of_the_first(tmp_path: Path) -> None:
+    assert scenes.replacement_files(ROOT, tmp_path) == answers("replacement")
+
+
 def test_the_waiting_api_answers_as_it_did_over_a_store_of_the_program_as_found(tmp_path: Path) -> None:
     store = FIXTURES / "jobs.db"
     folder = tmp_path / "program"
