--- a/oxbowyard/daemon/reporting.py
+++ b/oxbowyard/daemon/reporting.py
@@ -16,10 +16,13 @@
 LAG_WARNING_S = 0.05
 
 
-def log_summaries(context: ProgramContext, prefix: str = "") -> None:
+def log_summaries(context: ProgramContext, is_last: bool = False) -> None:
     """Log the figures so far: of the requests, of deferred jobs and of the store."""
     for summary in _summaries(context):
-        log.info("%s%s", prefix, summary)
+        if is_last:
+            log.info("last: %s", summary)
+        else:
+            log.info("%s", summary)
 
 
 async def report_periodically(context: ProgramContext) -> None:
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -30,7 +30,7 @@
     await _finish_clients(context)
     await context.components.close()
     await context.subsystems.close()
-    log_summaries(context, prefix="last: ")
+    log_summaries(context, is_last=True)
     if context.store:
         await context.store.close()
     _close_admin(context)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -3,12 +3,18 @@
 from __future__ import annotations
 
 import ast
+import re
 import tomllib
 from pathlib import Path
 
+import pytest
+from sources import quoted, table_rows
+
 from oxbowyard.gearman.admin import VERSION
 
 ROOT = Path(__file__).parent.parent / "oxbowyard"
+ARCHITECTURE = ROOT.parent / "docs" / "architecture.md"
+PICTURE_BEGINS, PICTURE_ENDS = "<!-- packages -->\n", "<!-- end of packages -->"
 INSIDE = {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if p.is_dir()}
 WIRES = {"aiohttp", "yarl", "orjson", "socket", "http"}
 
@@ -99,3 +105,85 @@
     named = set(tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"])
     found = {"oxbowyard"} | {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if (p / "__init__.py").exists()}
     assert named == found
+
+
+def package_graph() -> dict[str, set[str]]:
+    """What each package, or module beside them, imports of the others; `oxbowyard` itself is left out."""
+    edges: dict[str, set[str]] = {}
+    for name, others in graph().items():
+        if name == "oxbowyard":
+            continue
+        package = name.split(".")[1]
+        inside = edges.setdefault(package, set())
+        inside |= {other.split(".")[1] for other in others if other != "oxbowyard"} - {package}
+    return edges
+
+
+def reachable(edges: dict[str, set[str]], start: str) -> set[str]:
+    """All that a package imports, by others too."""
+    found: set[str] = set()
+    left = [start]
+    while left:
+        for other in edges[left.pop()] - found:
+            found.add(other)
+            left.append(other)
+    return found
+
+
+def direct_edges(edges: dict[str, set[str]]) -> list[tuple[str, str]]:
+    """The imports that do not follow from others, in the order of their names."""
+    return [
+        (package, other)
+        for package in sorted(edges)
+        for other in sorted(edges[package])
+        if not any(other in reachable(edges, between) for between in edges[package] - {other})
+    ]
+
+
+def picture() -> str:
+    """The packages and their imports as a Mermaid graph."""
+    edges = package_graph()
+    direct = direct_edges(edges)
+    alone = sorted(set(edges) - {package for edge in direct for package in edge})
+    lines = ["flowchart TD", *(f"    {package}" for package in alone)]
+    lines += [f"    {package} --> {other}" for package, other in direct]
+    return "```mermaid\n" + "\n".join(lines) + "\n```\n"
+
+
+PAGES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md", "docs/oncall.md"]
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_the_files_that_a_page_names_are_there(page: str) -> None:
+    """By their last parts: `core/scheduler.py`, or `choice.py` where the package is clear from the text."""
+    folders = ("oxbowyard", "tests", "benchmarks", "examples")
+    there = {path.as_posix() for folder in folders for path in (ROOT.parent / folder).rglob("*.py")}
+    named = set(re.findall(r"`([\w/]+\.py)`", (ROOT.parent / page).read_text()))
+    assert {name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in there)} == set()
+
+
+def test_the_table_of_packages_in_the_readme_is_whole() -> None:
+    rows = table_rows(ROOT.parent / "README.md", "package")
+    named = {name.rstrip("/") for row in rows for name in quoted(row.cells[0])}
+    assert named == {p.name for p in ROOT.iterdir() if (p / "__init__.py").exists()} | {"simhost.py"}
+
+
+def write_picture() -> None:
+    """Put the picture of today's imports into the page."""
+    before, _, rest = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)
+    _, end, after = rest.partition(PICTURE_ENDS)
+    ARCHITECTURE.write_text(before + PICTURE_BEGINS + picture() + end + after)
+
+
+def test_the_picture_of_the_packages_is_that_of_the_imports() -> None:
+    shown = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)[2].partition(PICTURE_ENDS)[0]
+    assert shown == picture(), "write it anew: PYTHONPATH=.:tests python tests/test_structure.py"
+
+
+def test_an_import_that_follows_from_others_is_left_out() -> None:
+    edges = {"a": {"b", "c"}, "b": {"c"}, "c": set[str]()}
+    assert direct_edges(edges) == [("a", "b"), ("b", "c")]
+
+
+if __name__ == "__main__":
+    write_picture()
