--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -83,19 +83,21 @@
 
 @app.command()
 def members(
-    door: Annotated[str | None, typer.Option(help="HOST:PORT of a scheduler's door.")] = None,
+    admin_address: Annotated[
+        str | None, typer.Option("--door", help="HOST:PORT of a scheduler's door.")
+    ] = None,
     config: Annotated[Path | None, typer.Option(envvar="LB_CONFIG", help="Or a file that names it.")] = None,
     json_: JsonFlag = False,
 ) -> None:
     """The group of schedulers as one of them sees it: who, in which state, since when and why."""
     from .members import NoAnswer, fetch_members, format_members
 
-    if door is None and config is not None:
-        door = _admin_address(config)
-    if not door:
+    if admin_address is None and config is not None:
+        admin_address = _admin_address(config)
+    if not admin_address:
         _fail("no door: give --door, or a configuration that names one as admin", EXIT_INVALID)
     try:
-        view = fetch_members(door)
+        view = fetch_members(admin_address)
     except NoAnswer as error:
         _fail(str(error), EXIT_FAILED)
     print(json.dumps(view, indent=1) if json_ else "\n".join(format_members(view)))
--- a/oxbowyard/cli/members.py
+++ b/oxbowyard/cli/members.py
@@ -17,31 +17,31 @@
     """The admin API can't be asked; its text is one line."""
 
 
-def fetch_members(door: str) -> dict[str, Any]:
+def fetch_members(address: str) -> dict[str, Any]:
     """The view of the scheduler whose admin API is at HOST:PORT. Raises NoAnswer."""
-    host, _, port = door.rpartition(":")
+    host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise NoAnswer(f"{door!r} is no address of a door, as 127.0.0.1:18090 is")
-    status, body = _get(door, host, int(port))
+        raise NoAnswer(f"{address!r} is no address of a door, as 127.0.0.1:18090 is")
+    status, body = _get(address, host, int(port))
     if status == http.HTTPStatus.NOT_FOUND:
-        raise NoAnswer(f"the scheduler at {door} has no table [membership]")
+        raise NoAnswer(f"the scheduler at {address} has no table [membership]")
     try:
         view = json.loads(body) if status == http.HTTPStatus.OK else None
     except ValueError:
         view = None
     if not isinstance(view, dict) or "members" not in view:
-        raise NoAnswer(f"the door at {door} answered {status}, which is no view of a group")
+        raise NoAnswer(f"the door at {address} answered {status}, which is no view of a group")
     return view
 
 
-def _get(door: str, host: str, port: int) -> tuple[int, bytes]:
+def _get(address: str, host: str, port: int) -> tuple[int, bytes]:
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", PATH)
         response = connection.getresponse()
         return response.status, response.read(MAX_RESPONSE_BYTES)
     except (OSError, http.client.HTTPException) as error:
-        raise NoAnswer(f"the door at {door} does not answer: {error}") from None
+        raise NoAnswer(f"the door at {address} does not answer: {error}") from None
     finally:
         connection.close()
 
--- a/oxbowyard/configuration/platform.py
+++ b/oxbowyard/configuration/platform.py
@@ -151,7 +151,7 @@
     name: str = "oxbowyard"
     listen: Address | None = None
     discovery: Address | None = None
-    admin: Address | None = None  # the operators' door; none: no door
+    admin: Address | None = None  # the admin API's address; none: it is off
     seed: Annotated[str, msgspec.Meta(pattern=HEX)] = "0"  # hex
     limits: Limits = Limits()
     known: Known | None = None  # discovery's list as this scheduler had it last
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -129,7 +129,7 @@
     registry = Registry(clock, settings.drain_grace)
     descriptors = Descriptors.share_out(
         config.sockets,
-        config.most_held,
+        config.max_held_requests,
         gearman.max_connections if gearman else 0,
         admin=config.admin is not None,
     )
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -34,7 +34,7 @@
     seed: int
     sockets: int  # file descriptors that the process may use
     memory_mb: float
-    most_held: int  # requests at once
+    max_held_requests: int  # requests at once
     settings: Settings
     by_work: bool  # a class's worth is for each unit of work, not for each request
     known: object = None  # the endpoint list that the file brings, if any
@@ -55,7 +55,7 @@
     "admin",
     "sockets",
     "memory_mb",
-    "most_held",
+    "max_held_requests",
     "by_work",
     "load_names",
 )
@@ -135,7 +135,7 @@
         seed=int(str(document.get("seed") or "0"), 16),
         sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
         memory_mb=float(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
-        most_held=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
+        max_held_requests=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
         settings=settings_of(settings),
         by_work=settings.get("worthBy") == "work",
         known=document.get("known"),
