--- a/oxbowyard/membership/table.py
+++ b/oxbowyard/membership/table.py
@@ -14,10 +14,7 @@
 
 
 class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """`[membership]`. All schedulers of a group should have the same but for their addresses.
-
-    Raises ValueError, whose text is shown to the operators, for values that contradict each other.
-    """
+    """`[membership]`. All schedulers of a group should have the same but for their addresses."""
 
     listen: Address  # UDP and TCP; an IPv4 address of this machine
     advertise: Address | None = None  # where the other members reach it; None: at `listen`
@@ -39,7 +36,7 @@
     share_troubles: bool = True  # workers that one finds faulty or warming up are avoided by the others too
 
     def __post_init__(self) -> None:
-        """Check the values against each other."""
+        """Raises ValueError, whose text is shown to the operators, for values that contradict each other."""
         if self.answer_within_s >= self.period_s:
             raise ValueError("answer_within_s must be under period_s")
         if self.split_s < self.doubt_s:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -110,6 +110,16 @@
     assert "waiting" in json.dumps(operator)
 
 
+@pytest.mark.parametrize(
+    ("option", "name"), [([], "schema-platform.json"), (["--operator"], "schema-operator.json")]
+)
+def test_the_schemas_are_those_of_the_program_as_found(option: list[str], name: str) -> None:
+    """Byte for byte, with the docstrings of the models that msgspec puts into them. The fixtures are what
+    `python -m oxbowyard.cli config schema [--operator]` printed at 52dd340."""
+    done = runner.invoke(app, ["config", "schema", *option])
+    assert done.output == (ROOT / "tests" / "fixtures" / name).read_text()
+
+
 def test_version() -> None:
     done = runner.invoke(app, ["version"])
     assert done.exit_code == 0 and done.output.startswith("oxbowyard ")
