--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -127,19 +127,8 @@
 
     measure = ServiceMeasure(classes.measured, config.by_work)
     registry = Registry(clock, settings.drain_grace)
-    descriptors = Descriptors.share_out(
-        config.sockets,
-        config.max_held_requests,
-        gearman.max_connections if gearman else 0,
-        admin=config.admin is not None,
-    )
-    backends = HttpBackends(
-        registry,
-        config.load_names,
-        settings.connect_timeout,
-        _not_idempotent(settings.classes),
-        descriptors.tails,
-    )
+    descriptors = _descriptors(config, gearman)
+    backends = _http_backends(config, settings, registry, descriptors)
     workers = Workers(gearman) if gearman else None
     scheduler = _scheduler(config, settings, _transport(backends, workers), clock, measure, descriptors)
     discovery = _discovery(config, settings, registry, scheduler, on_settled)
@@ -193,6 +182,25 @@
     )
 
 
+def _descriptors(config: Config, gearman: GearmanConfig | None) -> Descriptors:
+    connections = gearman.max_connections if gearman else 0
+    return Descriptors.share_out(
+        config.sockets, config.max_held_requests, connections, admin=config.admin is not None
+    )
+
+
+def _http_backends(
+    config: Config, settings: Settings, registry: Registry, descriptors: Descriptors
+) -> HttpBackends:
+    return HttpBackends(
+        registry,
+        config.load_names,
+        settings.connect_timeout,
+        _not_idempotent(settings.classes),
+        descriptors.tails,
+    )
+
+
 def _transport(backends: HttpBackends, workers: Workers | None) -> BackendTransport:
     """Attempts go to the worker by its kind: HTTP, or Gearman where that is on."""
     return backends if workers is None else RoutedTransport(backends, {KIND: workers})
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import tempfile
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -65,36 +66,49 @@
     states = StateMachine()
     store = open_store(loaded.durable, take_over) if loaded.durable else None
     subsystems = compose(config, loaded.gearman, states.discovery_settled, loaded.waiting, store)
-    maintenance_file = MaintenanceFile(folder / f"oxbowyard-{config.name}-out-by-hand.json")
-    maintenance = Maintenance(subsystems.registry, subsystems.scheduler.update_endpoints, maintenance_file)
-
-    components: list[Component] = []
+    maintenance = _build_maintenance(subsystems, folder)
     membership = None
     if loaded.membership is not None:
         membership = build_membership(
             loaded.membership, subsystems, maintenance, lambda: states.membership_state
         )
-        components.append(membership)
-    if loaded.start is not None:
-        components.append(build_start(loaded.start, subsystems, membership))
-
-    sessions = ClientSessions(
-        subsystems.scheduler,
-        subsystems.classes,
-        lambda: states.is_serving,
-        subsystems.descriptors.clients,
-        int(config.memory_mb * MAX_BODIES_MEMORY_SHARE * BYTES_PER_MB),
-        build_deferred_jobs_front(subsystems, loaded.durable),
-    )
     return ProgramContext(
         loaded=loaded,
         states=states,
         subsystems=subsystems,
-        sessions=sessions,
+        sessions=_build_sessions(loaded, subsystems, states),
         maintenance=maintenance,
-        components=Lifecycle(components),
+        components=Lifecycle(_components(loaded, subsystems, membership)),
         folder=folder,
         store=store,
         membership=membership,
         longest_deadline_s=max(c.deadline for c in config.settings.classes) / MS_PER_S,
     )
+
+
+def _build_maintenance(subsystems: Subsystems, folder: Path) -> Maintenance:
+    file = MaintenanceFile(folder / f"oxbowyard-{subsystems.config.name}-out-by-hand.json")
+    return Maintenance(subsystems.registry, subsystems.scheduler.update_endpoints, file)
+
+
+def _components(
+    loaded: LoadedConfiguration, subsystems: Subsystems, membership: MembershipPart | None
+) -> Iterator[Component]:
+    """The components of the operator's file in the order in which they start."""
+    if membership is not None:
+        yield membership
+    if loaded.start is not None:
+        yield build_start(loaded.start, subsystems, membership)
+
+
+def _build_sessions(
+    loaded: LoadedConfiguration, subsystems: Subsystems, states: StateMachine
+) -> ClientSessions:
+    return ClientSessions(
+        subsystems.scheduler,
+        subsystems.classes,
+        lambda: states.is_serving,
+        subsystems.descriptors.clients,
+        int(loaded.config.memory_mb * MAX_BODIES_MEMORY_SHARE * BYTES_PER_MB),
+        build_deferred_jobs_front(subsystems, loaded.durable),
+    )
