--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -19,12 +19,12 @@
 
 import oxbowyard.__main__ as program
 import oxbowyard.clients.waiting  # noqa: F401  # imported before the fork, once for all
-import oxbowyard.durable.keeping  # noqa: F401
+import oxbowyard.durable.durable_store  # noqa: F401
 import oxbowyard.operator.file  # noqa: F401
-from oxbowyard.durable.ledger import DurableLedger
-from oxbowyard.durable.recover import Recovery
+from oxbowyard.durable.journal import DurableJournal
+from oxbowyard.durable.recovery import Recovery
 from oxbowyard.store.database import Database
-from oxbowyard.waiting.room import WaitingRoom
+from oxbowyard.waiting.core_submissions import CoreSubmissions
 
 from . import crash_worker
 
@@ -55,34 +55,38 @@
     """The points after a commit, by what it held."""
     apply(database, changes)
     for change in changes:
-        kind, kept = type(change).__name__, getattr(change, "kept", None)
-        point("taken" if kind == "JobAccepted" else "answered" if kind == "Ended" else "")
+        kind, kept = type(change).__name__, getattr(change, "state", None)
+        point("taken" if kind == "JobAccepted" else "answered" if kind == "JobEnded" else "")
         if kept is not None:
             point(kept.value)  # granted, started
 
 
-def written_at_once(room: WaitingRoom, job: Any, lease: str, backend: str, then: Callable[[], None]) -> None:
+def written_at_once(
+    submissions: CoreSubmissions, job: Any, lease: str, worker: str, then: Callable[[], None]
+) -> None:
     """The defect that the audit must find: the send does not wait, and its record comes late."""
     then()
-    loop = room._loop
-    loop.call_later(0.03, lambda: room._ledger.grant(job, backend, lease))
+    loop = submissions._loop
+    loop.call_later(0.03, lambda: submissions._journal.record_grant(job, worker, lease))
 
 
-def written(room: WaitingRoom, job: Any, lease: str, backend: str, then: Callable[[], None]) -> None:
+def written(
+    submissions: CoreSubmissions, job: Any, lease: str, worker: str, then: Callable[[], None]
+) -> None:
     """A point just after the last byte was handed over."""
 
     def sent() -> None:
         then()
-        room._loop.call_later(0.001, point, "written")
+        submissions._loop.call_later(0.001, point, "written")
 
-    grant(room, job, lease, backend, sent)
+    grant(submissions, job, lease, worker, sent)
 
 
-apply, grant = Database.apply, WaitingRoom._grant
+apply, grant = Database.apply, CoreSubmissions._record_lease
 Database.apply = after_commit  # type: ignore[method-assign,assignment]
-before(DurableLedger, "grant", "before grant")
-before(Recovery, "_put_back", "recovering")
-before(DurableLedger, "record", "before record")
+before(DurableJournal, "record_grant", "before grant")
+before(Recovery, "_restore", "recovering")
+before(DurableJournal, "record_change", "before record")
 
 
 def live(order: dict[str, Any]) -> None:
@@ -93,7 +97,7 @@
         crash_worker.main(Path(order["folder"]), order["port"], order["seed"])
         os._exit(0)
     AT, NTH = order["at"], order["nth"]
-    setattr(WaitingRoom, "_grant", written_at_once if order["broken"] else written)  # noqa: B010
+    setattr(CoreSubmissions, "_record_lease", written_at_once if order["broken"] else written)  # noqa: B010
     log = os.open(order["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
     os.dup2(log, 1)
     os.dup2(log, 2)
--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -19,8 +19,8 @@
 from oxbowyard.daemon.collector import spare_full_passes
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
 from oxbowyard.decision.settings import JobClass, Settings
-from oxbowyard.waiting.order import Final, Parent, State, Wait
-from oxbowyard.waiting.room import WaitingRoom
+from oxbowyard.waiting.job import Dependency, JobResult, JobState, WaitOptions
+from oxbowyard.waiting.job_queue import JobQueue
 from oxbowyard.waiting.settings import WaitingSettings
 
 CLASSES = (JobClass("once", aim=1000, deadline=5000),)
@@ -51,32 +51,32 @@
     scheduler = Scheduler(settings, Facade(settings, 1, clock), worker, clock, measure, Limits())
     most = 2 * jobs
     limits = WaitingSettings(max_jobs=most, max_jobs_per_class=most, max_ended=most, max_children=most)
-    room = WaitingRoom(limits, CLASSES, scheduler, clock)
+    room = JobQueue(limits, CLASSES, scheduler, clock)
     scheduler.update_endpoints(Scope.FULL, (WorkerInfo("w"),))
     ends = 0
 
-    def ended(final: Final) -> None:
+    def ended(final: JobResult) -> None:
         nonlocal ends
         ends += 1
 
     for i in range(jobs + 1):
         parent = i - 1 if shape == "chain" else 0
-        after = (Parent(f"j{parent}"),) if i else ()
-        room.hand_in([(Request(f"j{i}", "once", 5.0), Wait(after=after))], ended)
+        after = (Dependency(f"j{parent}"),) if i else ()
+        room.submit([(Request(f"j{i}", "once", 5.0), WaitOptions(dependencies=after))], ended)
     await asyncio.sleep(0.05)
     worker.result = Result.ERROR if how == "fails" else Result.OK
     start = last = time.perf_counter()
     longest = 0.0
     worker.go.set()
     if how == "stops":
-        room.wind_down()
-    while (room.held.by_state[State.HELD] if how == "is served" else jobs + 1 - ends) > 0:
+        room.stop()
+    while (room.held.by_state[JobState.BLOCKED] if how == "is served" else jobs + 1 - ends) > 0:
         await asyncio.sleep(0)
         now = time.perf_counter()
         longest, last = max(longest, now - last), now
     for i in range(jobs + 1):
         room.cancel(f"j{i}")
-    await room.idle()
+    await room.wait_until_idle()
     return longest * 1000, (last - start) * 1000, ends
 
 
--- a/benchmarks/waiting_policy.py
+++ b/benchmarks/waiting_policy.py
@@ -14,14 +14,14 @@
 import sys
 import time
 
-from oxbowyard.waiting.order import Order, Release
-from oxbowyard.waiting.pace import Room
-from oxbowyard.waiting.policy import Policy
+from oxbowyard.waiting.job import JobSubmission, SubmitJob
+from oxbowyard.waiting.policy import WaitingPolicy
+from oxbowyard.waiting.release_rate import FleetCapacity
 from oxbowyard.waiting.settings import WaitingSettings
 
 PROBES = 2_000  # operations timed at each size, on top of what waits
 PATIENCE = 3_600_000.0
-SHUT, OPEN = Room(4, 0.0, 1), Room(4, 1e9, 0)
+SHUT, OPEN = FleetCapacity(4, 0.0, 1), FleetCapacity(4, 1e9, 0)
 
 
 def memory() -> int:
@@ -45,38 +45,38 @@
         first_window=1_000_000,
     )  # fmt: skip
     room = [SHUT]
-    policy = Policy(settings, {"light": 1.0, "heavy": 8.0}, lambda name: room[0])
+    policy = WaitingPolicy(settings, {"light": 1.0, "heavy": 8.0}, lambda name: room[0])
     before, now = memory(), 0.0
     for i in range(size):
         now += 0.01
-        policy.hand_in(now, [_order(i)])
-        policy.take()
+        policy.submit(now, [_order(i)])
+        policy.take_actions()
     bytes_each = (memory() - before) / size
-    hand_in, worst_in = _timed(lambda i: policy.hand_in(now, [_order(size + i)]), policy)
+    hand_in, worst_in = _timed(lambda i: policy.submit(now, [_order(size + i)]), policy)
     cancel, worst_cancel = _timed(lambda i: policy.cancel(now, f"job-{size + i}"), policy)
     room[0] = OPEN
     released = 0
     start = time.perf_counter()
     while released < min(size, PROBES):
         policy.tick(now)
-        released += sum(isinstance(action, Release) for action in policy.take())
+        released += sum(isinstance(action, SubmitJob) for action in policy.take_actions())
     release = (time.perf_counter() - start) / released
     worst = max(worst_in, worst_cancel)
     return {"hand-in": hand_in * 1e6, "cancel": cancel * 1e6, "release": release * 1e6,
             "worst": worst * 1e6, "bytes": bytes_each}  # fmt: skip
 
 
-def _order(i: int) -> Order:
-    return Order(f"job-{i}", "light" if i % 2 else "heavy", PATIENCE)
+def _order(i: int) -> JobSubmission:
+    return JobSubmission(f"job-{i}", "light" if i % 2 else "heavy", PATIENCE)
 
 
-def _timed(operation: object, policy: Policy) -> tuple[float, float]:
+def _timed(operation: object, policy: WaitingPolicy) -> tuple[float, float]:
     assert callable(operation)
     worst = total = 0.0
     for i in range(PROBES):
         start = time.perf_counter()
         operation(i)
-        policy.take()
+        policy.take_actions()
         taken = time.perf_counter() - start
         total, worst = total + taken, max(worst, taken)
     return total / PROBES, worst
--- a/oxbowyard/clients/waiting.py
+++ b/oxbowyard/clients/waiting.py
@@ -16,9 +16,20 @@
 from aiohttp.web_request import BaseRequest
 
 from ..core.request import AnswerKind, Request, RunState
-from ..waiting.ledger import Recalled
-from ..waiting.order import HIGH, LOW, Code, End, Job, Parent, Rejected, State, Wait, When
-from ..waiting.room import WaitingRoom
+from ..waiting.job import (
+    HIGH_PRIORITY,
+    LOW_PRIORITY,
+    Dependency,
+    DependencyCondition,
+    Job,
+    JobOutcome,
+    JobRejectedError,
+    JobState,
+    RejectionCode,
+    WaitOptions,
+)
+from ..waiting.job_queue import JobQueue
+from ..waiting.journal import RecalledJob
 from .connection import Understood
 from .limits import MAX_DEADLINE_S
 from .session import WAITING_PATH, Bodies, read_body
@@ -39,12 +50,22 @@
 )
 
 STATUSES = {
-    Code.STOPPING: 503, Code.NOT_KEPT: 503, Code.RECOVERING: 503, Code.FULL: 429, Code.CLASS_FULL: 429,
-    Code.TENANT_FULL: 429, Code.BYTES_FULL: 429, Code.UNKNOWN_CLASS: 404, Code.TOO_LARGE: 413,
-    Code.BATCH_TOO_LARGE: 413, Code.DUPLICATE_ID: 409, Code.CONFLICT: 409, Code.UNKNOWN_JOB: 404,
-}  # fmt: skip
+    RejectionCode.STOPPING: 503,
+    RejectionCode.STORE_UNAVAILABLE: 503,
+    RejectionCode.RECOVERING: 503,
+    RejectionCode.QUEUE_FULL: 429,
+    RejectionCode.CLASS_FULL: 429,
+    RejectionCode.TENANT_FULL: 429,
+    RejectionCode.BYTES_FULL: 429,
+    RejectionCode.UNKNOWN_CLASS: 404,
+    RejectionCode.TOO_LARGE: 413,
+    RejectionCode.BATCH_TOO_LARGE: 413,
+    RejectionCode.DUPLICATE_ID: 409,
+    RejectionCode.CONFLICT: 409,
+    RejectionCode.UNKNOWN_JOB: 404,
+}
 UNFIT = 422  # what no later try will mend
-PRIORITIES = {"high": HIGH, "normal": None, "low": LOW}
+PRIORITIES = {"high": HIGH_PRIORITY, "normal": None, "low": LOW_PRIORITY}
 MOST_TENANT = 128
 JSON = "application/json"
 F = TypeVar("F", bound=msgspec.Struct)
@@ -126,7 +147,7 @@
 class WaitingFront:
     """The paths below /jobs."""
 
-    def __init__(self, room: WaitingRoom, classes: Collection[str], may_resolve: bool = False) -> None:
+    def __init__(self, room: JobQueue, classes: Collection[str], may_resolve: bool = False) -> None:
         self._room = room
         self._may_resolve = may_resolve
         self._classes = frozenset(classes)
@@ -145,7 +166,7 @@
             body = await read_body(request, most)  # of any method: from here on its answer is owed
             try:
                 return await self._route(request, words, parse_qs(query), body)
-            except Rejected as fault:
+            except JobRejectedError as fault:
                 return _rejected(fault)
 
     async def _route(
@@ -191,14 +212,14 @@
             jobs.append(self._from_form(form, own, print_))
         return await self._take(jobs, many)
 
-    def _from_form(self, form: JobForm, token: str, print_: bytes) -> tuple[Request, Wait]:
+    def _from_form(self, form: JobForm, token: str, print_: bytes) -> tuple[Request, WaitOptions]:
         if form.payload and form.payload_base64:
             raise Fault(400, "payload and payload_base64 exclude each other")
         payload = form.payload.encode() or form.payload_base64
         target = form.path or f"/{form.class_}" + (f"?{urlencode({'obj': form.obj})}" if form.obj else "")
         named = (ParentForm(p) if isinstance(p, str) else p for p in form.after)
-        after = tuple(Parent(read_id(p.id), When(p.when)) for p in named)
-        wait = Wait(
+        after = tuple(Dependency(read_id(p.id), DependencyCondition(p.when)) for p in named)
+        wait = WaitOptions(
             form.patience_s, after, form.delay_s, form.not_before, form.quiet, PRIORITIES[form.priority],
             _tenant(form.tenant), token, print_, durable=True,
         )  # fmt: skip
@@ -216,7 +237,7 @@
         delay = single(headers, "Wait-Delay")
         told = [f"{n}: {v}" for n, v in sorted(headers.items()) if n.lower().startswith(("wait-", "req-"))]
         told = [line for line in told if not line.lower().startswith(NEW_EACH_TIME)]
-        wait = Wait(
+        wait = WaitOptions(
             _time(patience, "Wait-Patience") if patience else None,
             _parents(single(headers, "Wait-After")),
             _time(delay, "Wait-Delay") if delay else 0.0,
@@ -249,18 +270,20 @@
         payload: bytes,
         extra: str,
         deadline: float,
-        wait: Wait,
+        wait: WaitOptions,
     ) -> Request:
         if job_class not in self._classes:
-            raise Rejected(Code.UNKNOWN_CLASS, f"no class {job_class}")
+            raise JobRejectedError(RejectionCode.UNKNOWN_CLASS, f"no class {job_class}")
         path, query = read_target(target)
         if path[1:].split("/", 1)[0] != job_class or not TARGET_FORM.fullmatch(target):
             raise Fault(400, "the path is not one of the class")
-        if id_ is not None and self._room.is_own_id(id_):  # it may be another job's, long forgotten here
-            raise Rejected(Code.DUPLICATE_ID, "ids of this form are given by the scheduler")
+        if id_ is not None and self._room.ids.is_reserved(
+            id_
+        ):  # it may be another job's, long forgotten here
+            raise JobRejectedError(RejectionCode.DUPLICATE_ID, "ids of this form are given by the scheduler")
         extras = read_extras(extra)
         return Request(
-            id=read_id(id_) if id_ is not None else self._room.new_id(),
+            id=read_id(id_) if id_ is not None else self._room.ids.new(),
             job_class=job_class,
             timeout_s=deadline,
             target=target,
@@ -269,15 +292,15 @@
             tenant=wait.tenant or None,
             slots=read_slots(extras),
             extras=extras,
-            idempotency_key=wait.token,  # a worker drops a repeat of the job, and of a hand-in of it, by this
+            idempotency_key=wait.idempotency_key,  # a worker drops a repeat of the job by this
         )
 
-    async def _take(self, jobs: list[tuple[Request, Wait]], many: bool) -> web.Response:
-        if (recalled := await self._room.look_up(jobs)) is not None:
+    async def _take(self, jobs: list[tuple[Request, WaitOptions]], many: bool) -> web.Response:
+        if (recalled := await self._room.intake.find_existing(jobs)) is not None:
             views = [_view(known) for known in recalled]
         else:
-            taken = self._room.hand_in(jobs)
-            await self._room.safe()
+            taken = self._room.submit(jobs)
+            await self._room.intake.durable()
             views = [self._view(job) for job in taken]
         if many:
             return _json(202, PageView(views, None))
@@ -288,16 +311,16 @@
     # ---- Asking ----
 
     def _view(self, job: Job) -> JobView:
-        ahead = self._room.ahead(job) if job.state in (State.READY, State.QUIET) else None
-        return _view(Recalled(job, self._room.final(job.id)), ahead)
+        ahead = self._room.position(job) if job.state in (JobState.READY, JobState.AWAITING_IDLE) else None
+        return _view(RecalledJob(job, self._room.result(job.id)), ahead)
 
-    async def _ended(self, id_: str, query: dict[str, list[str]]) -> Recalled:
+    async def _ended(self, id_: str, query: dict[str, list[str]]) -> RecalledJob:
         text = query.get("wait_ms", ["0"])[0]
         if not text.isdecimal() or len(text) > 9:
             raise Fault(400, "wait_ms is not a number of milliseconds")
         known = await self._known(id_)
-        if known.final is None and self._room.find(id_) is not None:
-            return Recalled(known.job, await self._room.wait(id_, int(text) / 1000))
+        if known.result is None and self._room.find(id_) is not None:
+            return RecalledJob(known.job, await self._room.wait(id_, int(text) / 1000))
         return known
 
     async def _ask(self, id_: str, query: dict[str, list[str]]) -> web.Response:
@@ -306,37 +329,38 @@
 
     async def _result(self, id_: str, query: dict[str, list[str]]) -> web.Response:
         known = await self._ended(id_, query)
-        final = known.final
+        final = known.result
         if final is None:
             return _json(202, self._view(known.job))
         answer = final.answer()
         if answer.kind is AnswerKind.CLIENT_DISCONNECTED:
             return Understood(status=410, text="cancelled\n")
-        headers = answer_headers(answer) | {"Job-End": final.end.value, "Job-Ran": final.ran.value}
+        headers = answer_headers(answer) | {"Job-End": final.outcome.value, "Job-Ran": final.run_state.value}
         body = answer.body
-        if final.end is not End.SERVED:
-            body = f"{final.reason}{'; it never ran' if final.ran is RunState.NEVER_RAN else ''}\n".encode()
+        if final.outcome is not JobOutcome.SERVED:
+            never_ran = "; it never ran" if final.run_state is RunState.NEVER_RAN else ""
+            body = f"{final.reason}{never_ran}\n".encode()
         return web.Response(status=STATUS[answer.kind], headers=headers, body=body)
 
     # ---- Proof ----
 
     async def _late_end(self, id_: str, body: bytes) -> web.Response:
         form = _decoded(body, EndForm)
-        end = {"done": End.SERVED, "failed": End.FAILED, "returned": None}[form.state]
-        reason = "" if end is End.SERVED else "its worker said so, late"
-        done = self._room.deliver(id_, form.lease, end, form.result.encode(), reason)
+        end = {"done": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "returned": None}[form.state]
+        reason = "" if end is JobOutcome.SERVED else "its worker said so, late"
+        done = self._room.deliver_late_result(id_, form.lease, end, form.result.encode(), reason)
         return await self._proven(id_, done)
 
     async def _resolve(self, id_: str, body: bytes) -> web.Response:
         form = _decoded(body, ResolveForm)
-        end = {"served": End.SERVED, "failed": End.FAILED, "never_ran": None}[form.end]
+        end = {"served": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "never_ran": None}[form.end]
         if not form.by or len(form.by) > MOST_TENANT or not form.by.isprintable():
             raise Fault(400, "by is the name of whoever says so")
         done = self._room.resolve(id_, form.by, end, form.result.encode(), form.reason)
         return await self._proven(id_, done)
 
     async def _proven(self, id_: str, done: bool) -> web.Response:
-        await self._room.safe()
+        await self._room.intake.durable()
         known = await self._known(id_)
         return _json(200 if done else 409, _view(known))
 
@@ -353,26 +377,26 @@
     async def _cancel(self, id_: str) -> web.Response:
         job = self._room.cancel(id_)
         if job is not None:
-            if job.durable and job.end is not None:
-                await self._room.safe()
-            return _json(200 if job.end is not None else 202, self._view(job))
+            if job.durable and job.outcome is not None:
+                await self._room.intake.durable()
+            return _json(200 if job.outcome is not None else 202, self._view(job))
         return _json(409, _view(await self._known(id_)))
 
-    async def _known(self, id_: str) -> Recalled:
+    async def _known(self, id_: str) -> RecalledJob:
         known = await self._room.recall(id_)
         if known is None:
-            raise Rejected(Code.UNKNOWN_JOB, "no such job, or its end is no longer kept")
+            raise JobRejectedError(RejectionCode.UNKNOWN_JOB, "no such job, or its end is no longer kept")
         return known
 
 
-def _view(known: Recalled, ahead: int | None = None) -> JobView:
-    job, final = known.job, known.final
-    view = JobView(job.id, job.job_class, job.state.value, ahead, job.asks)
+def _view(known: RecalledJob, ahead: int | None = None) -> JobView:
+    job, final = known.job, known.result
+    view = JobView(job.id, job.job_class, job.state.value, ahead, job.submissions)
     if final is not None:
-        view.end, view.ran, view.reason = final.end.value, final.ran.value, final.reason or None
-        view.retry_after_s, view.by = final.retry_after or None, final.by or None
-    elif job.state is State.DOUBT:
-        view.ran, view.reason = job.ran.value, job.reason
+        view.end, view.ran, view.reason = final.outcome.value, final.run_state.value, final.reason or None
+        view.retry_after_s, view.by = final.retry_after_s or None, final.resolved_by or None
+    elif job.state is JobState.INDETERMINATE:
+        view.ran, view.reason = job.run_state.value, job.reason
     return view
 
 
@@ -385,7 +409,7 @@
 
 def _filter(query: dict[str, list[str]]) -> Callable[[Job], bool]:
     states = query.get("state", [])
-    if set(states) - {state.value for state in State}:
+    if set(states) - {state.value for state in JobState}:
         raise Fault(400, "no such state")
     classes, tenants = query.get("class", []), query.get("tenant", [])
     return lambda job: (
@@ -395,11 +419,11 @@
     )
 
 
-def _rejected(fault: Rejected) -> web.Response:
+def _rejected(fault: JobRejectedError) -> web.Response:
     body = msgspec.json.encode({"error": fault.code.value, "text": fault.text})
     response = Understood(status=STATUSES.get(fault.code, UNFIT), body=body, content_type=JSON)
-    if fault.retry_after:
-        response.headers["Retry-After"] = f"{fault.retry_after:.3f}"
+    if fault.retry_after_s:
+        response.headers["Retry-After"] = f"{fault.retry_after_s:.3f}"
     return response
 
 
@@ -441,7 +465,7 @@
     return value
 
 
-def _parents(text: str | None) -> tuple[Parent, ...]:
+def _parents(text: str | None) -> tuple[Dependency, ...]:
     """As `ID, ID;ended, ...`."""
     parents = []
     for part in (text or "").split(","):
@@ -450,5 +474,5 @@
             continue
         if when not in ("", "served", "ended"):
             raise Fault(400, "Wait-After is malformed")
-        parents.append(Parent(read_id(id_.strip()), When(when or "served")))
+        parents.append(Dependency(read_id(id_.strip()), DependencyCondition(when or "served")))
     return tuple(parents)
--- a/oxbowyard/daemon/assembly.py
+++ b/oxbowyard/daemon/assembly.py
@@ -28,12 +28,12 @@
 from .descriptors import Descriptors
 
 if TYPE_CHECKING:  # its libraries are there, and taken in, only where the operator's file has its table
-    from ..durable.keeping import Keeping
+    from ..durable.durable_store import DurableStore
     from ..membership.table import MembershipSettings
     from ..peers.part import MembershipPart
     from ..start.part import StartPart
     from ..start.table import StartSettings
-    from ..waiting.room import WaitingRoom
+    from ..waiting.job_queue import JobQueue
     from ..waiting.settings import WaitingSettings
 
 log = logging.getLogger("oxbowyard.daemon")
@@ -48,7 +48,7 @@
         gearman: GearmanConfig | None = None,
         on_settled: Callable[[], None] = lambda: None,
         waiting: WaitingSettings | None = None,
-        kept: Keeping | None = None,
+        kept: DurableStore | None = None,
         clock: Callable[[], float] | None = None,
     ) -> None:
         """`clock` gives Unix time in milliseconds that only advances; None: the system's."""
@@ -61,10 +61,11 @@
         settings = _with_functions(config.settings, gearman)
         plain = measured = settings.classes
         if waiting is not None:
-            from ..waiting.room import with_aged
+            from ..waiting.job_queue import with_aged_classes
 
-            measured = with_aged(plain, waiting, times=0.0)  # in time is what is so for its own class
-            settings = replace(settings, classes=with_aged(plain, waiting))
+            # In time is what is so for a job's own class.
+            measured = with_aged_classes(plain, waiting, objective_deadlines=0.0)
+            settings = replace(settings, classes=with_aged_classes(plain, waiting))
         self.measure = ServiceMeasure(measured, config.by_work)
         self.registry = Registry(clock, settings.drain_grace)
         self.descriptors = Descriptors.share_out(
@@ -90,7 +91,7 @@
             config.discovery, self.registry, self.scheduler.update_endpoints, on_settled,
             CallSchedule(settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every),
         )  # fmt: skip
-        self.waiting: WaitingRoom | None = None
+        self.waiting: JobQueue | None = None
         if waiting is not None:
             self.waiting = _room(
                 waiting, plain, self.scheduler, clock, config.name, self.descriptors.requests, kept
@@ -129,8 +130,8 @@
     async def close(self) -> None:
         """Finish every req and job that was taken, then end all."""
         if self.waiting is not None:
-            self.waiting.wind_down()
-            await self.waiting.idle()
+            self.waiting.stop()
+            await self.waiting.wait_until_idle()
         await self.scheduler.wait_until_idle()
         if self.gearman:
             await self.gearman.close()
@@ -201,15 +202,15 @@
     clock: Callable[[], float],
     name: str,
     reqs: int,
-    kept: Keeping | None,
-) -> WaitingRoom:
-    from ..waiting.room import WaitingRoom, bounded
+    kept: DurableStore | None,
+) -> JobQueue:
+    from ..waiting.job_queue import JobQueue, with_bounded_window
 
-    ledger = kept.ledger if kept else None
-    room = WaitingRoom(bounded(waiting, reqs), classes, scheduler, clock, name, ledger=ledger)
+    journal = kept.journal if kept else None
+    room = JobQueue(with_bounded_window(waiting, reqs), classes, scheduler, clock, name, journal=journal)
     if kept is not None:
-        room.number_from(kept.last_number)
-        room.recovering = True
+        room.set_last_number(kept.last_number)
+        room.intake.is_recovering = True
     return room
 
 
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -32,7 +32,7 @@
 from .parts import Part, Parts
 
 if TYPE_CHECKING:  # only where the operator's file has its table
-    from ..durable.keeping import Keeping
+    from ..durable.durable_store import DurableStore
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
     from ..peers.part import MembershipPart
@@ -346,7 +346,7 @@
         self._enter(State.LEAVING)
         self._sessions.wind_down()
         if self._parts.waiting:  # at once: who waits for one of these may still ask another scheduler
-            self._parts.waiting.wind_down()
+            self._parts.waiting.stop()
         await asyncio.sleep(ACCEPT_ON)
         self._enter(State.FINISHING)
         if self._acceptor is not None:
@@ -398,10 +398,10 @@
                     log.info("bad clients of %s so far: %s", front, told)
 
 
-def _keep(durable: DurableSettings, take_over: bool) -> Keeping:
-    from ..durable.keeping import Keeping, NotOpened
+def _keep(durable: DurableSettings, take_over: bool) -> DurableStore:
+    from ..durable.durable_store import DurableStore, StoreNotOpenedError
 
     try:
-        return Keeping(durable, take_over)
-    except NotOpened as fault:
+        return DurableStore(durable, take_over)
+    except StoreNotOpenedError as fault:
         raise BadConfig(str(fault)) from None
--- a/oxbowyard/durable/__init__.py
+++ b/oxbowyard/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Durable jobs: the waiting room's ledger on a store, and the way back after a crash."""
+"""Durable jobs: the journal of waiting jobs on a store, and the recovery after a crash."""
--- /dev/null
+++ b/oxbowyard/durable/durable_store.py
@@ -0,0 +1,66 @@
+"""One open store with its writer thread and journal, from the program's start to its end."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Mapping
+from pathlib import Path
+
+from ..store.database import Database
+from ..store.record import StoreError
+from ..store.writer import LOST, Health, PruneLimits, Writer
+from ..waiting.job_queue import JobQueue
+from .journal import DurableJournal
+from .recovery import Recovery
+from .settings import DurableSettings
+
+
+class StoreNotOpenedError(Exception):
+    """The store cannot be used; the text is one line."""
+
+
+class DurableStore:
+    """The store and what uses it. To be made on the event loop that uses it."""
+
+    def __init__(
+        self, settings: DurableSettings, take_over: bool = False, wall_clock: Callable[[], float] = time.time
+    ) -> None:
+        """Open the store; `wall_clock` is Unix time in seconds. Raises StoreNotOpenedError."""
+        self._settings = settings
+        self._wall_clock = wall_clock
+        try:
+            database = Database(Path(settings.path), settings.max_store_bytes, take_over)
+            self.last_number = database.last_number()
+        except StoreError as error:
+            raise StoreNotOpenedError(f"store: {error}") from None
+        self._queue: JobQueue | None = None
+        self._writer = Writer(database, self._on_health, self._prune_limits)
+        run_id = f"{database.epoch}."
+        self.journal = DurableJournal(self._writer, run_id, settings.lease_s, wall_clock)
+
+    def _prune_limits(self) -> PruneLimits:
+        settings = self._settings
+        return PruneLimits(
+            ended_before=self._wall_clock() - settings.keep_answers_s,
+            max_results=settings.max_answers,
+            max_deletions=settings.forget_at_once,
+        )
+
+    def _on_health(self, health: Health) -> None:
+        if health in LOST and self._queue is not None:
+            self._queue.intake.journal_failed(self.journal.failure_reason())
+
+    def recovery(self, queue: JobQueue, deadlines_s: Mapping[str, float]) -> Recovery:
+        """The recovery of the jobs of earlier runs; `deadlines_s` by class."""
+        self._queue = queue
+        return Recovery(queue, self._writer, deadlines_s, self._settings.read_at_once, self._wall_clock)
+
+    def summary(self) -> str:
+        """The store's state and its commits so far, in one line."""
+        writer = self._writer
+        changes, commits = writer.committed_changes, writer.commits
+        return f"store {writer.health.value}, {changes} changes in {commits} commits"
+
+    async def close(self) -> None:
+        """Commit what is left, and release the store."""
+        await self._writer.close()
--- /dev/null
+++ b/oxbowyard/durable/journal.py
@@ -0,0 +1,244 @@
+"""The journal of waiting jobs on a store: each change is on disk before anybody is told of it."""
+
+from __future__ import annotations
+
+import json
+import time
+from collections.abc import Callable, Sequence
+from typing import TypeVar
+
+from ..core.request import Request, RunState
+from ..store.database import Database
+from ..store.record import JobAccepted, JobEnded, JobStateChanged, Lease, StoredJob, StoredState, StoreError
+from ..store.writer import LOST, Health, Writer
+from ..waiting.job import (
+    Dependency,
+    DependencyCondition,
+    Job,
+    JobOutcome,
+    JobRejectedError,
+    JobResult,
+    JobState,
+    JobSubmission,
+    RejectionCode,
+    StateChanged,
+)
+from ..waiting.journal import LeaseTable as LeaseTableProtocol
+from ..waiting.journal import RecalledJob
+from .leases import LeaseTable
+from .recovered_jobs import GRANTED_STATES, indeterminate_reason
+
+T = TypeVar("T")
+QUERY_RETRY_AFTER_S = 1.0
+REJECTION_REASONS = {
+    Health.STALLED: "the store takes nothing: its disk is full or failing",
+    Health.BROKEN: "the store is broken",
+    Health.FENCED: "another scheduler has this store",
+    Health.CLOSED: "the store is closed",
+}
+# A job in one of these after its grant has surely never run.
+NEVER_RAN_STATES = (JobState.SCHEDULED, JobState.READY, JobState.AWAITING_IDLE)
+
+
+class DurableJournal:
+    """Translates the policy's changes to records of the store, and the store's jobs to those of the queue."""
+
+    is_durable = True
+
+    def __init__(
+        self,
+        writer: Writer,
+        run_id: str,
+        lease_s: float | None = None,
+        wall_clock: Callable[[], float] = time.time,
+    ) -> None:
+        """`lease_s` None: silent workers are not noticed. `wall_clock` is Unix time in seconds."""
+        self.leases: LeaseTableProtocol | None = None
+        if lease_s is not None:
+            self.leases = LeaseTable(lease_s * 1000)
+        self._writer = writer
+        self._wall_clock = wall_clock
+        self.run_id = run_id
+        self._granted: set[int] = set()  # jobs whose grant is recorded: their starts are recorded too
+
+    def rejection_reason(self) -> str:
+        """Why no more work is accepted; empty: it is."""
+        return REJECTION_REASONS.get(self._writer.health, "")
+
+    def failure_reason(self) -> str:
+        """Why nothing will be recorded any more; empty: it will."""
+        return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST else ""
+
+    # ---- To the store ----
+
+    def record_accepted(self, job: Job, submission: JobSubmission) -> None:
+        """Record an accepted job."""
+        request = submission.request
+        assert request is not None
+        dependencies = [[d.id, d.condition.value] for d in submission.dependencies]
+        accepted = JobAccepted(
+            job.number,
+            job.id,
+            job.job_class,
+            job.tenant,
+            job.idempotency_key,
+            job.fingerprint,
+            accepted_at=self._wall_clock(),
+            max_wait_s=submission.max_wait_ms / 1000,
+            delay_s=submission.delay_ms / 1000,
+            wait_for_idle=job.wait_for_idle,
+            priority=job.priority,
+            dependencies=json.dumps(dependencies).encode(),
+            request=encode_request(request),
+            payload=request.payload,
+        )
+        self._writer.put(accepted)
+
+    def record_change(self, change: StateChanged, result: JobResult | None) -> None:
+        """Record a change of an accepted job, if a crash would lose it."""
+        job = change.job
+        if result is not None:
+            self._granted.discard(job.number)
+            self._writer.put(self._ended(job, result))
+        elif change.state is JobState.STARTED and job.number in self._granted:
+            self._put_state(job, StoredState.STARTED)
+        elif change.state is JobState.INDETERMINATE:
+            self._put_state(job, StoredState.INDETERMINATE)
+        elif job.number in self._granted and change.state in NEVER_RAN_STATES:
+            self._granted.discard(job.number)
+            self._put_state(job, StoredState.WAITING)
+
+    def _ended(self, job: Job, result: JobResult) -> JobEnded:
+        return JobEnded(
+            job.number,
+            result.outcome.value,
+            result.run_state.value,
+            result.reason,
+            result.body,
+            result.retry_after_s,
+            self._wall_clock(),
+            result.resolved_by,
+        )
+
+    def _put_state(self, job: Job, state: StoredState) -> None:
+        self._writer.put(JobStateChanged(job.number, state, job.submissions))
+
+    def record_grant(self, job: Job, worker: str, lease: str) -> None:
+        """Record that a worker is about to have the job."""
+        self._granted.add(job.number)
+        granted = Lease(lease, worker, self._wall_clock())
+        self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submissions, granted))
+
+    def when_durable(self, callback: Callable[[], None]) -> None:
+        """Call back after the commit of all that was recorded so far; never, if there will be none."""
+        self._writer.when_durable(callback)
+
+    # ---- From the store ----
+
+    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[RecalledJob | None]:
+        """For each submission the job with its key or its id. Raises JobRejectedError."""
+
+        def find(database: Database) -> list[tuple[StoredJob, bool] | None]:
+            return [_find_one(database, submission) for submission in submissions]
+
+        found = await self._read(find)
+        return [recalled_job(*known) if known else None for known in found]
+
+    async def recall(self, id_: str) -> RecalledJob | None:
+        """A job by its id. Raises JobRejectedError."""
+        stored = await self._read(lambda database: database.find(id_))
+        return recalled_job(stored, False) if stored else None
+
+    async def _read(self, query: Callable[[Database], T]) -> T:
+        try:
+            return await self._writer.read(query)
+        except StoreError as error:
+            code = RejectionCode.STORE_UNAVAILABLE
+            raise JobRejectedError(code, str(error), QUERY_RETRY_AFTER_S) from None
+
+
+def _find_one(database: Database, submission: JobSubmission) -> tuple[StoredJob, bool] | None:
+    """The stored job, and whether its idempotency key found it."""
+    if submission.idempotency_key:
+        stored = database.by_idempotency_key(submission.tenant, submission.idempotency_key)
+        if stored is not None:
+            return stored, True
+    stored = database.find(submission.id)
+    return (stored, False) if stored else None
+
+
+def encode_request(request: Request) -> bytes:
+    """What of a request is stored besides its class and payload."""
+    fields = {
+        "target": request.target,
+        "key": request.key,
+        "slots": request.slots,
+        "extras": dict(request.extras),
+    }
+    return json.dumps(fields).encode()
+
+
+def decode_request(stored: StoredJob, deadline_s: float) -> Request:
+    """The request of a stored job; `deadline_s` is for running it."""
+    accepted = stored.accepted
+    fields = json.loads(accepted.request)
+    return Request(
+        id=accepted.id,
+        job_class=accepted.job_class,
+        timeout_s=deadline_s,
+        target=fields["target"],
+        payload=accepted.payload,
+        key=fields["key"],
+        tenant=accepted.tenant or None,
+        slots=fields["slots"],
+        extras=fields["extras"],
+        idempotency_key=accepted.idempotency_key,
+    )
+
+
+def decode_dependencies(stored: StoredJob) -> list[Dependency]:
+    """The dependencies of a stored job."""
+    rows = json.loads(stored.accepted.dependencies)
+    return [Dependency(id_, DependencyCondition(condition)) for id_, condition in rows]
+
+
+def recalled_job(stored: StoredJob, by_idempotency_key: bool) -> RecalledJob:
+    """A stored job as the queue tells of it."""
+    job = _job(stored)
+    ended = stored.ended
+    if ended is None:
+        if stored.state in GRANTED_STATES:
+            job.state = JobState.INDETERMINATE
+            job.run_state = RunState.MAY_BE_RUNNING
+            job.reason = indeterminate_reason(stored.lease)
+        return RecalledJob(job, None, by_idempotency_key)
+    job.state = JobState.ENDED
+    job.outcome = JobOutcome(ended.outcome)
+    job.run_state = RunState(ended.ran)
+    job.reason = ended.reason
+    result = JobResult(
+        job.outcome, job.run_state, ended.result, ended.reason, ended.retry_after_s, ended.resolved_by
+    )
+    return RecalledJob(job, result, by_idempotency_key)
+
+
+def _job(stored: StoredJob) -> Job:
+    accepted = stored.accepted
+    return Job(
+        accepted.id,
+        accepted.job_class,
+        accepted.tenant,
+        len(accepted.payload),
+        accepted.number,
+        accepted_at_ms=0.0,
+        wait_deadline_ms=0.0,
+        not_before_ms=0.0,
+        state=JobState.BLOCKED,
+        wait_for_idle=accepted.wait_for_idle,
+        priority=accepted.priority,
+        idempotency_key=accepted.idempotency_key,
+        fingerprint=accepted.fingerprint,
+        request=None,
+        durable=True,
+        submissions=stored.submissions,
+    )
--- a/oxbowyard/durable/recovery.py
+++ b/oxbowyard/durable/recovery.py
@@ -1,59 +1,148 @@
-"""Where a job of an earlier run surely is. No I/O, no clock.
-
-Before the last byte of a job that must not run twice is written, its grant is on disk. So a job without a
-grant surely never began, or may safely begin again; one with a grant may have run.
-"""
+"""Reads the jobs of earlier runs back into the queue, page by page, while it serves already."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+import asyncio
+import logging
+import time
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from datetime import UTC, datetime
 
-from ..core.request import RunState
-from ..store.record import JobEnded, JobState, Lease, StoredJob
-from ..waiting.kin import met
-from ..waiting.order import End, Parent
+from ..store.database import Database
+from ..store.record import JobEnded, StoredJob, StoreError
+from ..store.writer import Writer
+from ..waiting.job import JobSubmission
+from ..waiting.job_queue import JobQueue
+from .journal import decode_dependencies, decode_request
+from .recovered_jobs import OpenOrUnknown, RecoveredState, recovered_state
+
+log = logging.getLogger("oxbowyard.durable")
+
+QUEUE_FULL_RETRY_S = 0.1  # before looking again whether memory has room for more jobs
+
+Page = list[tuple[StoredJob, RecoveredState]]
+
+
+@dataclass(slots=True)
+class RecoveryCounts:
+    """What became of the jobs of earlier runs."""
+
+    resumed: int = 0
+    indeterminate: int = 0
+    dependency_failed: int = 0
+    unknown_class: int = 0
 
-GRANTED = (JobState.GRANTED, JobState.STARTED, JobState.INDETERMINATE)
 
+class Recovery:
+    """One start's recovery: it begins when it is made, and is over when `run` returns."""
 
-@dataclass(slots=True, frozen=True)
-class Place:
-    """Where a job goes on. Times in seconds."""
+    def __init__(
+        self,
+        queue: JobQueue,
+        writer: Writer,
+        deadlines_s: Mapping[str, float],
+        page_size: int,
+        wall_clock: Callable[[], float] = time.time,
+    ) -> None:
+        self._queue = queue
+        self._writer = writer
+        self._deadlines_s = deadlines_s  # by class
+        self._page_size = page_size
+        self._wall_clock = wall_clock
+        self.counts = RecoveryCounts()
+        queue.intake.is_recovering = True
 
-    patience: float  # left for waiting; 0: over
-    delay: float
-    doubt: str = ""  # why it may have run
-    after: tuple[Parent, ...] = ()  # parents that have no end
-    orphaned_by: str = ""  # a parent that ended otherwise than asked
+    async def run(self) -> None:
+        """Read all jobs back. While memory is full, the rest stays on disk."""
+        after, started_at = 0, time.monotonic()
+        last = await self._writer.read(lambda database: database.last_number())
+        while page := await self._read_page(after, last):
+            after = page[-1][0].accepted.number
+            for stored, state in page:
+                self._restore(stored, state)
+            await asyncio.sleep(0)
+            while self._queue.held.jobs >= self._queue.settings.max_jobs:
+                await asyncio.sleep(QUEUE_FULL_RETRY_S)
+        self._queue.intake.is_recovering = False
+        self._log_counts(time.monotonic() - started_at)
 
+    def _log_counts(self, duration_s: float) -> None:
+        counts = self.counts
+        if counts.resumed or counts.indeterminate:
+            log.info(
+                "jobs of earlier runs recovered: resumed=%d indeterminate=%d dependency_failed=%d "
+                "unknown_class=%d duration_s=%.1f",
+                counts.resumed,
+                counts.indeterminate,
+                counts.dependency_failed,
+                counts.unknown_class,
+                duration_s,
+            )
 
-def place(
-    stored: StoredJob, parents: Sequence[Parent], ended: Callable[[str], JobEnded | bool], now: float
-) -> Place:
-    """A job's place. `ended` tells a parent's end, True if it has none yet, False if nothing is known of it.
+    async def _read_page(self, after: int, last: int) -> Page:
+        now = self._wall_clock()
 
-    The clock may have stepped while nobody ran: what is left is never more than what there was.
-    """
+        def read(database: Database) -> Page:
+            jobs = database.open_jobs(after, self._page_size)
+            earlier = [stored for stored in jobs if stored.accepted.number <= last]
+            return [(stored, _recovered_state(database, stored, now)) for stored in earlier]
+
+        try:
+            return await self._writer.read(read)
+        except StoreError as error:
+            log.error("recovery of earlier jobs stopped: %s", error)
+            return []
+
+    def _restore(self, stored: StoredJob, state: RecoveredState) -> None:
+        accepted = stored.accepted
+        deadline_s = self._deadlines_s.get(accepted.job_class)
+        if deadline_s is None:  # the settings have changed: it stays in the store, for later ones
+            self.counts.unknown_class += 1
+            log.warning(
+                "job left in the store, unknown class: job=%s class=%s", accepted.id, accepted.job_class
+            )
+            return
+        lease = stored.lease.token if stored.lease else ""
+        failed = state.failed_dependency
+        failure = f"{failed} has ended, or is no longer known" if failed else ""
+        submission = _submission(stored, state, deadline_s)
+        reason = state.indeterminate_reason
+        self._queue.restore(submission, accepted.number, stored.submissions, lease, reason, failure)
+        if failed:
+            self.counts.dependency_failed += 1
+        elif reason:
+            self.counts.indeterminate += 1
+            log.warning(
+                "job indeterminate: job=%s class=%s reason=%s", accepted.id, accepted.job_class, reason
+            )
+        else:
+            self.counts.resumed += 1
+
+
+def _submission(stored: StoredJob, state: RecoveredState, deadline_s: float) -> JobSubmission:
     accepted = stored.accepted
-    passed = max(now - accepted.accepted_at, 0.0)
-    patience, delay = max(accepted.max_wait_s - passed, 0.0), max(accepted.delay_s - passed, 0.0)
-    if stored.state in GRANTED:
-        return Place(patience, 0.0, in_doubt(stored.lease))
-    after = []
-    for parent in parents:
-        end = ended(parent.id)
-        if end is True:
-            after.append(parent)
-        elif end is False or not met(End(end.outcome), RunState(end.ran), parent.when):
-            return Place(patience, delay, orphaned_by=parent.id)
-    return Place(patience, delay, after=tuple(after))
-
-
-def in_doubt(lease: Lease | None) -> str:
-    """Words by which a desk can act."""
-    if lease is None:
-        return "it may have run before this scheduler stopped"
-    at = datetime.fromtimestamp(lease.granted_at, UTC).isoformat(timespec="seconds")
-    return f"it was granted to {lease.worker} at {at}, and its end is not known: look whether it was done"
+    return JobSubmission(
+        accepted.id,
+        accepted.job_class,
+        state.max_wait_s * 1000,
+        len(accepted.payload),
+        state.dependencies,
+        state.delay_s * 1000,
+        accepted.wait_for_idle,
+        accepted.priority,
+        accepted.tenant,
+        accepted.idempotency_key,
+        accepted.fingerprint,
+        durable=True,
+        request=decode_request(stored, deadline_s),
+    )
+
+
+def _recovered_state(database: Database, stored: StoredJob, now: float) -> RecoveredState:
+    def find_end(id_: str) -> JobEnded | OpenOrUnknown:
+        found = database.find(id_)
+        if found is None:
+            return OpenOrUnknown.UNKNOWN
+        return found.ended or OpenOrUnknown.OPEN
+
+    return recovered_state(stored, decode_dependencies(stored), find_end, now)
--- a/oxbowyard/durable/settings.py
+++ b/oxbowyard/durable/settings.py
@@ -1,4 +1,4 @@
-"""The table `[durable]` of the operator's file: every limit with its reason."""
+"""The table `[durable]` of the operator's file: every limit with its reason. Attributes are its keys."""
 
 from __future__ import annotations
 
--- a/oxbowyard/gearman/front.py
+++ b/oxbowyard/gearman/front.py
@@ -9,7 +9,7 @@
 
 from ..listeners.acceptor import Acceptor
 from ..listeners.disconnects import peer_disconnected, unread, unsent_bytes
-from ..waiting.order import End
+from ..waiting.job import JobOutcome
 from .admin import Admin
 from .config import GearmanConfig
 from .jobs import SUBMITS, Jobs
@@ -18,7 +18,11 @@
 
 log = logging.getLogger("oxbowyard.gearman")
 
-LATE = {Type.WORK_COMPLETE: End.SERVED, Type.WORK_FAIL: End.FAILED, Type.WORK_EXCEPTION: End.FAILED}
+LATE = {
+    Type.WORK_COMPLETE: JobOutcome.SERVED,
+    Type.WORK_FAIL: JobOutcome.FAILED,
+    Type.WORK_EXCEPTION: JobOutcome.FAILED,
+}
 GRABS = (Type.GRAB_JOB, Type.GRAB_JOB_UNIQ, Type.GRAB_JOB_ALL)
 WORK = (
     Type.WORK_STATUS, Type.WORK_COMPLETE, Type.WORK_FAIL, Type.WORK_EXCEPTION, Type.WORK_DATA,
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -14,15 +14,20 @@
 from ..core.request import Answer, AnswerKind, AttemptUpdate, Request, RunState, UpdateKind
 from ..core.scheduler import Scheduler
 from ..decision.settings import Repeat
-from ..waiting.order import HIGH as LIFT_HIGH
-from ..waiting.order import LOW as LIFT_LOW
-from ..waiting.order import Code, End, Final, Wait
-from ..waiting.order import Rejected as NotTaken
+from ..waiting.job import (
+    HIGH_PRIORITY,
+    LOW_PRIORITY,
+    JobOutcome,
+    JobRejectedError,
+    JobResult,
+    RejectionCode,
+    WaitOptions,
+)
 from .config import Function, GearmanConfig
 from .packet import Rejected, Type, encode
 
 if TYPE_CHECKING:  # it is there only where the operator's file has its table
-    from ..waiting.room import WaitingRoom
+    from ..waiting.job_queue import JobQueue
 
 log = logging.getLogger("oxbowyard.gearman")
 
@@ -36,9 +41,13 @@
     Type.SUBMIT_JOB_LOW_BG: (LOW, False),
     Type.SUBMIT_JOB_EPOCH: (NORMAL, False),
 }
-LIFTS = {HIGH: LIFT_HIGH, NORMAL: None, LOW: LIFT_LOW}
+PRIORITIES = {HIGH: HIGH_PRIORITY, NORMAL: None, LOW: LOW_PRIORITY}
 MOST_EPOCH_DIGITS = 12  # of a Unix time: the year 33658 is far enough
-QUEUE_CODES = {Code.STOPPING: "SHUTTING_DOWN", Code.BAD_TIME: "INVALID_EPOCH", Code.TOO_LARGE: "TOO_LARGE"}
+QUEUE_CODES = {
+    RejectionCode.STOPPING: "SHUTTING_DOWN",
+    RejectionCode.INVALID_TIME: "INVALID_EPOCH",
+    RejectionCode.TOO_LARGE: "TOO_LARGE",
+}
 SAME_AS_WORKLOAD = b"-"  # this unique id stands for the workload itself
 UPDATE_TYPES = {UpdateKind.DATA: Type.WORK_DATA, UpdateKind.WARNING: Type.WORK_WARNING}
 
@@ -48,7 +57,7 @@
     return hashlib.blake2b(unique, digest_size=16).hexdigest() if unique else None
 
 
-def _code(fault: NotTaken) -> str:
+def _code(fault: JobRejectedError) -> str:
     return QUEUE_CODES.get(fault.code, "JOB_QUEUE_FULL")
 
 
@@ -98,12 +107,12 @@
     """All jobs that have no end yet."""
 
     def __init__(
-        self, config: GearmanConfig, scheduler: Scheduler, name: str, room: WaitingRoom | None = None
+        self, config: GearmanConfig, scheduler: Scheduler, name: str, room: JobQueue | None = None
     ) -> None:
         self._config = config
         self._room = room
         self._scheduler = scheduler
-        run = room.run if room is not None else ""  # with a store, handles of an earlier run still stand
+        run = room.ids.run_id if room is not None else ""
         self._prefix = f"H:{name}:{run}"
         self._numbers = itertools.count(1)
         self._by_handle: dict[bytes, Job] = {}
@@ -117,7 +126,7 @@
         self._keeping: set[asyncio.Task[None]] = set()
         if room is not None:
             room.adopters.append(self.adopt)
-            room.reserved.append(f"H:{name}:")
+            room.ids.reserve(f"H:{name}:")
 
     def submit(self, type_: Type, arguments: list[bytes], waiter: Waiter) -> None:
         """Take a job, or join one with the same unique id, and tell the client its handle."""
@@ -144,15 +153,17 @@
             job.task = asyncio.get_running_loop().create_task(self._serve(job, request))
             self._join(job, waiter, waits)
             return
-        wait = Wait(function.patience, not_before=not_before, lift=LIFTS[priority], durable=not waits)
+        wait = WaitOptions(
+            function.patience, not_before_unix_s=not_before, priority=PRIORITIES[priority], durable=not waits
+        )
         assert self._room is not None
-        if waits or not self._room.run:
+        if waits or not self._room.ids.run_id:
             self._queue(job, request, wait)
             self._join(job, waiter, waits)
             return
         if unique and function.job_class.repeat is not Repeat.FREE:
             # What must not run twice is the same job for a client that did not hear of its first hand-in.
-            wait = replace(wait, token=f"gearman:{function.name}:{_key(unique)}:{_key(workload)}")
+            wait = replace(wait, idempotency_key=f"gearman:{function.name}:{_key(unique)}:{_key(workload)}")
         waiter.defer()
         self._keeping.add(
             task := asyncio.get_running_loop().create_task(self._keep(job, request, wait, waiter))
@@ -166,19 +177,21 @@
             job.waiters[waiter] = None
             self._by_waiter.setdefault(waiter, {})[job] = None
 
-    async def _keep(self, job: Job, request: Request, wait: Wait, waiter: Waiter) -> None:
+    async def _keep(self, job: Job, request: Request, wait: WaitOptions, waiter: Waiter) -> None:
         """Take a job into the store; its client hears of it once it is there."""
         assert self._room is not None
         try:
-            recalled = await self._room.look_up([(request, wait)]) if wait.token else None
+            recalled = (
+                await self._room.intake.find_existing([(request, wait)]) if wait.idempotency_key else None
+            )
             if recalled:
                 self._forget(job)
                 handle = recalled[0].job.id
             else:
                 handle = self._queue(job, request, wait)
-                await self._room.safe()
+                await self._room.intake.durable()
             waiter.send(encode(Type.JOB_CREATED, handle.encode()))
-        except NotTaken as fault:
+        except JobRejectedError as fault:
             self._forget(job)
             waiter.send(encode(Type.ERROR, _code(fault).encode(), fault.text.encode()))
         except Rejected as fault:
@@ -186,7 +199,7 @@
         finally:
             waiter.resume()
 
-    def adopt(self, request: Request) -> tuple[Request, Callable[[Final], None]] | None:
+    def adopt(self, request: Request) -> tuple[Request, Callable[[JobResult], None]] | None:
         """A job of an earlier run that is one of ours: it goes on under its old handle."""
         function = self._config.functions.get(request.target)
         if function is None or function.job_class.name != request.job_class:
@@ -203,12 +216,12 @@
             raise Rejected("INVALID_EPOCH", "the time is not a whole number of seconds since 1970")
         return float(text)
 
-    def _queue(self, job: Job, request: Request, wait: Wait) -> str:
+    def _queue(self, job: Job, request: Request, wait: WaitOptions) -> str:
         """Hand a job to the waiting room; returns the id under which it is known."""
         assert self._room is not None
         try:
-            (taken,) = self._room.hand_in([(request, wait)], lambda final: self._ended(job, final))
-        except NotTaken as fault:
+            (taken,) = self._room.submit([(request, wait)], lambda final: self._ended(job, final))
+        except JobRejectedError as fault:
             self._forget(job)
             raise Rejected(_code(fault), fault.text) from None
         if taken.id != request.id:  # the same job as one that was handed in before
@@ -265,10 +278,13 @@
             self._forget(job)
         self._finish(job, answer)
 
-    def _ended(self, job: Job, final: Final) -> None:
+    def _ended(self, job: Job, final: JobResult) -> None:
         """A job of the waiting room has its end."""
         self._forget(job)
-        if final.ran is RunState.NEVER_RAN and final.end not in (End.REFUSED, End.CANCELLED):
+        if final.run_state is RunState.NEVER_RAN and final.outcome not in (
+            JobOutcome.REJECTED,
+            JobOutcome.CANCELLED,
+        ):
             job.tell(encode(Type.WORK_WARNING, job.handle, f"never ran: {final.reason}".encode()))
         self._finish(job, final.answer())
 
@@ -328,13 +344,15 @@
                 self._room.cancel(job.handle.decode(), "its client left")
             self._forget(job)
 
-    def late_end(self, handle: bytes, end: End | None, body: bytes) -> bool:
+    def late_end(self, handle: bytes, end: JobOutcome | None, body: bytes) -> bool:
         """A worker's word on a hand-out that is over: it may be the proof for a job in doubt."""
         id_, _, tail = handle.decode("latin-1").rpartition(".")
         if self._room is None or not id_:
             return False
-        reason = "" if end is End.SERVED else "its worker said so, late"
-        return self._room.deliver(id_.rpartition(".")[0].partition("~")[0], tail, end, body, reason)
+        reason = "" if end is JobOutcome.SERVED else "its worker said so, late"
+        return self._room.deliver_late_result(
+            id_.rpartition(".")[0].partition("~")[0], tail, end, body, reason
+        )
 
     # ---- What is asked about jobs ----
 
--- a/oxbowyard/gearman/workers.py
+++ b/oxbowyard/gearman/workers.py
@@ -18,7 +18,7 @@
     reason_not_to_send,
 )
 from ..decision.facade import Readiness, Result, Scope, WorkerInfo
-from ..waiting.order import AGED
+from ..waiting.job import AGED_CLASS_SUFFIX
 from .config import KIND, GearmanConfig
 from .packet import Rejected, Type, encode
 
@@ -149,7 +149,7 @@
     def _announce(self, worker: Worker) -> None:
         functions = self._config.functions
         names = [functions[f].job_class.name for f in worker.abilities if f in functions]
-        classes = frozenset(names + [name + AGED for name in names])
+        classes = frozenset(names + [name + AGED_CLASS_SUFFIX for name in names])
         if not classes and not worker.listed:
             return
         worker.listed = bool(classes)
--- a/oxbowyard/store/database.py
+++ b/oxbowyard/store/database.py
@@ -21,9 +21,9 @@
     Change,
     JobAccepted,
     JobEnded,
-    JobState,
     JobStateChanged,
     StoredJob,
+    StoredState,
     StoreError,
     StoreFailure,
 )
@@ -149,7 +149,7 @@
         match change:
             case JobAccepted():
                 self._db.execute(schema.INSERT_JOB, schema.accepted_row(change))
-            case JobStateChanged(lease=None, state=JobState.STARTED | JobState.INDETERMINATE):
+            case JobStateChanged(lease=None, state=StoredState.STARTED | StoredState.INDETERMINATE):
                 values = (change.state.value, change.submissions, change.number)
                 self._db.execute(schema.UPDATE_STATE_KEEP_LEASE, values)
             case JobStateChanged(lease=lease):
@@ -211,10 +211,10 @@
         with store_errors():
             return scalar(self._db, schema.LAST_NUMBER)
 
-    def counts(self) -> dict[JobState, int]:
+    def counts(self) -> dict[StoredState, int]:
         """The number of jobs in each state."""
         with store_errors():
-            return {JobState(state): count for state, count in self._db.execute(schema.COUNT_BY_STATE)}
+            return {StoredState(state): count for state, count in self._db.execute(schema.COUNT_BY_STATE)}
 
 
 def scalar(db: Any, query: str) -> int:
--- a/oxbowyard/store/record.py
+++ b/oxbowyard/store/record.py
@@ -1,6 +1,6 @@
 """What is stored of a job, the changes to it, and how a store may fail. Times are Unix seconds.
 
-The field names of these records are not stored; `schema` names the columns. The values of `JobState` are.
+The field names of these records are not stored; `schema` names the columns. The values of `StoredState` are.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class JobState(Enum):
+class StoredState(Enum):
     """Where a stored job was last known to be."""
 
     WAITING = "waiting"  # for its dependencies, its time or its turn: it never began
@@ -54,7 +54,7 @@
     """A job is in another state; with a lease if a worker has it now."""
 
     number: int
-    state: JobState
+    state: StoredState
     submissions: int  # how often it was submitted to the core
     lease: Lease | None = None
 
@@ -81,7 +81,7 @@
     """A job as the store has it."""
 
     accepted: JobAccepted
-    state: JobState
+    state: StoredState
     submissions: int
     lease: Lease | None
     ended: JobEnded | None
--- a/oxbowyard/store/schema.py
+++ b/oxbowyard/store/schema.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from .record import JobAccepted, JobEnded, JobState, Lease, StoredJob
+from .record import JobAccepted, JobEnded, Lease, StoredJob, StoredState
 
 APPLICATION_ID = 0x6F786279  # "oxby": tells our files from others
 SCHEMA_VERSION = 2
@@ -69,7 +69,7 @@
         job.dependencies,
         job.request,
         job.payload,
-        JobState.WAITING.value,
+        StoredState.WAITING.value,
         0,
     )
 
@@ -80,8 +80,8 @@
     accepted = JobAccepted(*accepted_fields)
     state, submissions, token, worker, granted_at = row[14:19]
     ended = None
-    if state == JobState.ENDED.value:
+    if state == StoredState.ENDED.value:
         ended_fields: tuple[Any, ...] = (accepted.number, *row[19:25], row[25] or "")
         ended = JobEnded(*ended_fields)
     lease = Lease(token, worker, granted_at) if token is not None else None
-    return StoredJob(accepted, JobState(state), submissions, lease, ended)
+    return StoredJob(accepted, StoredState(state), submissions, lease, ended)
--- a/oxbowyard/waiting/__init__.py
+++ b/oxbowyard/waiting/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait: for other jobs, a time, a quiet fleet or room. Between the fronts and the core."""
+"""Deferred jobs: they wait for other jobs, a time, an idle fleet or capacity."""
--- /dev/null
+++ b/oxbowyard/waiting/held_jobs.py
@@ -0,0 +1,109 @@
+"""What is held of waiting and ended jobs, and the limits on it."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Collection, Iterable, Sequence
+from dataclasses import dataclass, field
+
+from .job import Job, JobRejectedError, JobState, JobSubmission, RejectionCode
+from .settings import WaitingSettings
+
+
+@dataclass(slots=True)
+class HeldJobs:
+    """Counts of what is held now, for the limits and for operators."""
+
+    jobs: int = 0  # accepted and not ended
+    bytes: int = 0  # of their payloads
+    ended: int = 0  # ended and not purged
+    ended_bytes: int = 0  # of their results
+    by_class: Counter[str] = field(default_factory=Counter)
+    by_tenant: Counter[str] = field(default_factory=Counter)
+    by_state: Counter[JobState] = field(default_factory=Counter)
+
+    def add(self, job: Job) -> None:
+        """A job was accepted."""
+        self.jobs += 1
+        self.bytes += job.payload_bytes
+        self.by_class[job.job_class] += 1
+        self.by_state[job.state] += 1
+        if job.tenant:
+            self.by_tenant[job.tenant] += 1
+
+    def end(self, job: Job, result_bytes: int) -> None:
+        """A job has ended, and its result is kept."""
+        self.jobs -= 1
+        self.bytes -= job.payload_bytes
+        self.by_class[job.job_class] -= 1
+        if job.tenant:
+            self.by_tenant[job.tenant] -= 1
+            if not self.by_tenant[job.tenant]:  # tenants come and go
+                del self.by_tenant[job.tenant]
+        self.ended += 1
+        self.ended_bytes += result_bytes
+
+
+def check_submission(
+    submissions: Sequence[JobSubmission],
+    settings: WaitingSettings,
+    classes: Collection[str],
+    known_ids: Collection[str],
+    held: HeldJobs,
+) -> None:
+    """Check what is submitted together against the limits. Raises JobRejectedError."""
+    if len(submissions) > settings.max_batch:
+        text = f"a hand-in holds {settings.max_batch} jobs at most"
+        raise JobRejectedError(RejectionCode.BATCH_TOO_LARGE, text)
+    ids: set[str] = set()
+    for submission in submissions:
+        _check_one(submission, settings, classes)
+        if submission.id in known_ids or submission.id in ids:
+            raise JobRejectedError(RejectionCode.DUPLICATE_ID, f"there is a job {submission.id}")
+        ids.add(submission.id)
+    _check_capacity(submissions, settings, held)
+
+
+def queue_full(settings: WaitingSettings, code: RejectionCode, text: str) -> JobRejectedError:
+    """The error of a limit that a retry may find free."""
+    return JobRejectedError(code, text, settings.full_retry_after_s)
+
+
+def _check_one(submission: JobSubmission, settings: WaitingSettings, classes: Collection[str]) -> None:
+    if submission.job_class not in classes:
+        raise JobRejectedError(RejectionCode.UNKNOWN_CLASS, f"no class {submission.job_class}")
+    if submission.payload_bytes > settings.max_job_bytes:
+        text = f"a payload holds {settings.max_job_bytes} bytes at most"
+        raise JobRejectedError(RejectionCode.TOO_LARGE, text)
+    if not 0 < submission.max_wait_ms <= settings.max_patience_s * 1000:
+        text = f"the patience is over 0 and at most {settings.max_patience_s:g} s"
+        raise JobRejectedError(RejectionCode.INVALID_MAX_WAIT, text)
+    if not 0 <= submission.delay_ms <= settings.max_delay_s * 1000:
+        text = f"a job is due within {settings.max_delay_s:g} s at most"
+        raise JobRejectedError(RejectionCode.INVALID_TIME, text)
+
+
+def _check_capacity(submissions: Sequence[JobSubmission], settings: WaitingSettings, held: HeldJobs) -> None:
+    if held.jobs + len(submissions) > settings.max_jobs:
+        text = f"{settings.max_jobs} jobs wait already"
+        raise queue_full(settings, RejectionCode.QUEUE_FULL, text)
+    if held.bytes + sum(s.payload_bytes for s in submissions) > settings.max_held_bytes:
+        text = "the payloads of those that wait hold all the memory they may"
+        raise queue_full(settings, RejectionCode.BYTES_FULL, text)
+    for name, count in _counted(s.job_class for s in submissions).items():
+        max_jobs = settings.of(name).max_jobs or settings.max_jobs_per_class
+        if held.by_class[name] + count > max_jobs:
+            text = f"{max_jobs} jobs of class {name} wait already"
+            raise queue_full(settings, RejectionCode.CLASS_FULL, text)
+    for name, count in _counted(s.tenant for s in submissions).items():
+        if name and held.by_tenant[name] + count > settings.max_jobs_per_tenant:
+            text = f"{settings.max_jobs_per_tenant} jobs of {name} wait already"
+            raise queue_full(settings, RejectionCode.TENANT_FULL, text)
+
+
+def _counted(names: Iterable[str]) -> dict[str, int]:
+    """Names and their numbers, in the order in which they first come."""
+    counts: dict[str, int] = {}
+    for name in names:
+        counts[name] = counts.get(name, 0) + 1
+    return counts
--- /dev/null
+++ b/oxbowyard/waiting/policy_driver.py
@@ -0,0 +1,147 @@
+"""Carries out the policy's actions: submits jobs, records changes, tells results, keeps its timer."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Collection
+
+from ..core.service_measure import ServiceMeasure
+from .core_submissions import CoreSubmissions, WorkerAnswer
+from .job import Action, Job, JobOutcome, JobResult, JobState, StateChanged, SubmitJob
+from .journal import JobJournal
+from .policy import WaitingPolicy
+from .result_watchers import ResultWatchers
+from .settings import WaitingSettings
+
+log = logging.getLogger("oxbowyard.waiting")
+
+PRIORITY_UPDATE_INTERVAL_MS = 1000.0  # mean running times are taken over for the order of release
+
+
+class PolicyDriver:
+    """Connects the policy of one queue with the core, the journal and the clients that wait."""
+
+    def __init__(
+        self,
+        settings: WaitingSettings,
+        policy: WaitingPolicy,
+        journal: JobJournal,
+        watchers: ResultWatchers,
+        measure: ServiceMeasure,
+        class_names: Collection[str],
+        clock: Callable[[], float],
+    ) -> None:
+        self._settings = settings
+        self._policy = policy
+        self._journal = journal
+        self._watchers = watchers
+        self._measure = measure
+        self._class_names = class_names
+        self._clock = clock
+        self._loop = asyncio.get_running_loop()
+        self.submissions: CoreSubmissions  # set by the queue: it drives the policy in turn
+        self.results: dict[str, JobResult] = {}  # of jobs that are not purged
+        self.resolved_by: dict[str, str] = {}  # who resolved a job that is about to end
+        self.outcomes = dict.fromkeys(JobOutcome, 0)  # since the start, for operators
+        self.is_stopping = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at_ms = 0.0
+        self._is_driving = False
+        self._priorities_updated_at_ms = 0.0
+        self._idle = asyncio.Event()
+        self._idle.set()
+
+    def begin_work(self) -> None:
+        """Jobs were accepted or restored."""
+        self._idle.clear()
+
+    async def wait_until_idle(self) -> None:
+        """Wait until every job has ended, except those that the journal keeps."""
+        await self._idle.wait()
+
+    def drive(self, now: float) -> None:
+        """Carry out what the policy has decided, and set the next tick."""
+        if self._is_driving:  # a callback submits or cancels: the outer call continues with it
+            return
+        self._is_driving = True
+        try:
+            while actions := self._policy.take_actions():
+                for action in actions:
+                    self._carry_out(action)
+        finally:
+            self._is_driving = False
+        if self._is_idle():
+            self._idle.set()
+        self._set_timer(self._policy.next_tick_ms(now), now)
+
+    def _is_idle(self) -> bool:
+        """Whether nothing is owed any more but to jobs that a store keeps."""
+        if not self._policy.held.jobs:
+            return True
+        if not self._journal.is_durable or not self.is_stopping:
+            return False
+        return not self.submissions.has_running_tasks()
+
+    def _carry_out(self, action: Action) -> None:
+        try:
+            if isinstance(action, SubmitJob):
+                self.submissions.submit(action.job, action.job_class)
+            else:
+                self._apply_change(action)
+        except Exception:  # one client's fault must not cost the others their results
+            log.exception("could not carry out action=%s job=%s", type(action).__name__, action.job.id)
+
+    def _apply_change(self, change: StateChanged) -> None:
+        job = change.job
+        result = self._take_result(job) if change.state is JobState.ENDED else None
+        if job.durable:
+            self._journal.record_change(change, result)
+        if result is not None and job.durable:  # told when no crash can change it
+            self._journal.when_durable(lambda: self._conclude(job, result))
+        elif result is not None:
+            self._conclude(job, result)
+        elif change.state is JobState.INDETERMINATE:
+            self._watchers.release(job.id)
+        elif change.state is JobState.PURGED:
+            self.results.pop(job.id, None)
+
+    def _take_result(self, job: Job) -> JobResult:
+        assert job.outcome is not None
+        answer = self.submissions.answers.pop(job.id, WorkerAnswer())
+        retry_after_s = answer.retry_after_s
+        if job.outcome in (JobOutcome.WAIT_EXPIRED, JobOutcome.SHUT_DOWN):
+            retry_after_s = self._settings.full_retry_after_s
+        resolved_by = self.resolved_by.pop(job.id, "")
+        return JobResult(job.outcome, job.run_state, answer.body, job.reason, retry_after_s, resolved_by)
+
+    def _conclude(self, job: Job, result: JobResult) -> None:
+        """A job has its one end: whoever waits for it is told."""
+        if job.state is not JobState.PURGED:
+            self.results[job.id] = result
+        self.submissions.forget(job.id)
+        self.outcomes[result.outcome] += 1
+        if result.outcome is not JobOutcome.SERVED:
+            outcome = result.outcome.value
+            log.debug("job ended: job=%s class=%s outcome=%s %s", job.id, job.job_class, outcome, job.reason)
+        self._watchers.notify(job.id, result)
+
+    def _set_timer(self, at_ms: float | None, now: float) -> None:
+        if self._timer is not None:
+            if at_ms is not None and self._timer_at_ms <= at_ms:
+                return  # it fires earlier, and is set again then
+            self._timer.cancel()
+            self._timer = None
+        if at_ms is not None:
+            self._timer_at_ms = at_ms
+            self._timer = self._loop.call_later(max(at_ms - now, 0.0) / 1000, self._tick)
+
+    def _tick(self) -> None:
+        self._timer = None
+        now = self._clock()
+        if now - self._priorities_updated_at_ms >= PRIORITY_UPDATE_INTERVAL_MS:
+            self._priorities_updated_at_ms = now
+            for name in self._class_names:
+                self._policy.priorities.set_mean_work(name, self._measure.mean_run_s(name))
+        self._policy.tick(now)
+        self.drive(now)
--- /dev/null
+++ b/oxbowyard/waiting/policy_state.py
@@ -0,0 +1,166 @@
+"""The records of the waiting policy, and the changes of one job's state. No I/O, no clock.
+
+The other modules of the policy are functions over a `PolicyState`. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+
+from sortedcontainers import SortedList
+
+from ..core.request import RunState
+from .held_jobs import HeldJobs
+from .job import Action, DependencyCondition, Job, JobOutcome, JobState, StateChanged
+from .release_queues import ClassPriorities, ReleaseQueues, release_due_ms
+from .release_rate import CapacityOf, ReleaseRate
+from .settings import WaitingSettings
+
+NO_TIMER_MS = -1.0
+
+
+@dataclass(slots=True, eq=False)
+class EndedDependency:
+    """A job that has ended, whose dependents are notified step by step."""
+
+    job: Job
+    dependents: Iterator[tuple[Job, DependencyCondition]]
+
+
+@dataclass(slots=True, frozen=True)
+class RetainedResult:
+    """An ended job whose result is kept until it is purged."""
+
+    purge_at_ms: float
+    job: Job
+    result_bytes: int
+
+
+class PolicyState:
+    """All waiting jobs of one scheduler."""
+
+    def __init__(
+        self, settings: WaitingSettings, weights: Mapping[str, float], capacity_of: CapacityOf
+    ) -> None:
+        self.settings = settings
+        self.classes = frozenset(weights)
+        self.priorities = ClassPriorities(weights)
+        self.rate = ReleaseRate(settings, capacity_of)
+        self.age_limit_ms = settings.age_limit_s * 1000
+        self.idle_limit_ms = settings.quiet_limit_s * 1000
+        self.jobs: dict[str, Job] = {}
+        self.by_idempotency_key: dict[tuple[str, str], Job] = {}  # by tenant and key
+        self.timers: SortedList[tuple[float, int, Job]] = SortedList()  # due time, number, job
+        self.ready = ReleaseQueues()
+        self.awaiting_idle = ReleaseQueues()
+        self.ended_dependencies: deque[EndedDependency] = deque()
+        self.retained: deque[RetainedResult] = deque()
+        self.shutting_down: Iterator[Job] | None = None  # jobs that the shutdown still has to end
+        self.is_stopping = False
+        self.has_more_work = False  # the last call ran out of steps
+        self.last_number = 0  # of the job that was accepted last
+        self.actions: list[Action] = []
+        self.held = HeldJobs()
+
+
+def set_state(state: PolicyState, job: Job, new_state: JobState) -> None:
+    """Move a job to a state, count it and emit the change."""
+    by_state = state.held.by_state
+    by_state[job.state] -= 1
+    by_state[new_state] += 1
+    job.state = new_state
+    state.actions.append(StateChanged(job, new_state))
+
+
+def set_timer(state: PolicyState, job: Job, at_ms: float) -> None:
+    """Set a job's one timer, or cancel it with NO_TIMER_MS."""
+    if job.timer_at_ms >= 0:
+        state.timers.remove((job.timer_at_ms, job.number, job))
+    job.timer_at_ms = at_ms
+    if at_ms >= 0:
+        state.timers.add((at_ms, job.number, job))
+
+
+def unblock(state: PolicyState, job: Job, now: float) -> None:
+    """No dependency holds the job any more; perhaps its time does."""
+    job.depth = 0
+    if job.not_before_ms > now:
+        set_state(state, job, JobState.SCHEDULED)
+        set_timer(state, job, min(job.not_before_ms, job.wait_deadline_ms))
+    else:
+        make_ready(state, job, now)
+
+
+def make_ready(state: PolicyState, job: Job, now: float) -> None:
+    """Put the job into the order of release; one that was there before keeps its place."""
+    if job.ready_at_ms < 0:
+        job.ready_at_ms = now
+        job.release_due_ms = _first_due_ms(state, job, now)
+    if job.wait_for_idle and job.release_due_ms > now:
+        set_state(state, job, JobState.AWAITING_IDLE)
+        state.awaiting_idle.add(job)
+        set_timer(state, job, min(job.release_due_ms, job.wait_deadline_ms))
+    else:
+        set_state(state, job, JobState.READY)
+        state.ready.add(job)
+        set_timer(state, job, job.wait_deadline_ms)
+
+
+def _first_due_ms(state: PolicyState, job: Job, now: float) -> float:
+    if job.wait_for_idle:
+        latest = job.wait_deadline_ms - state.age_limit_ms
+        return max(min(now + state.idle_limit_ms, latest), now)
+    return release_due_ms(job, state.priorities.of(job), state.age_limit_ms)
+
+
+def fire_timer(state: PolicyState, job: Job, now: float) -> None:
+    """A job's timer fired: its wait is over, or its time has come."""
+    job.timer_at_ms = NO_TIMER_MS
+    if now >= job.wait_deadline_ms:
+        end_job(state, job, now, JobOutcome.WAIT_EXPIRED, "its patience for waiting is over")
+        return
+    if job.state is JobState.AWAITING_IDLE:  # the fleet was never idle: from now on it waits like others
+        state.awaiting_idle.remove(job)
+    make_ready(state, job, now)
+
+
+def end_job(
+    state: PolicyState,
+    job: Job,
+    now: float,
+    outcome: JobOutcome,
+    reason: str,
+    run_state: RunState = RunState.NEVER_RAN,
+    result_bytes: int = 0,
+) -> None:
+    """Give a job its one outcome; its dependents are notified in later steps."""
+    _withdraw(state, job)
+    job.outcome = outcome
+    job.run_state = run_state
+    job.reason = reason
+    job.request = None
+    state.held.end(job, result_bytes)
+    set_state(state, job, JobState.ENDED)
+    purge_at_ms = now + state.settings.keep_ended_s * 1000
+    state.retained.append(RetainedResult(purge_at_ms, job, result_bytes))
+    if job.dependents:
+        state.ended_dependencies.append(EndedDependency(job, iter(job.dependents)))
+        job.dependents = None
+
+
+def mark_indeterminate(state: PolicyState, job: Job, reason: str) -> None:
+    """A job may have run, and its end is not known: it waits for proof, and so do its dependents."""
+    job.run_state = RunState.MAY_BE_RUNNING
+    job.reason = reason
+    set_state(state, job, JobState.INDETERMINATE)
+
+
+def _withdraw(state: PolicyState, job: Job) -> None:
+    """Take a job out of the queue that it stands in."""
+    if job.state is JobState.READY:
+        state.ready.remove(job)
+    elif job.state is JobState.AWAITING_IDLE:
+        state.awaiting_idle.remove(job)
+    set_timer(state, job, NO_TIMER_MS)
--- /dev/null
+++ b/oxbowyard/waiting/result_watchers.py
@@ -0,0 +1,81 @@
+"""Whoever waits for the end of a job: long polls, clients that wait, and the fronts' callbacks."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+from .job import JobRejectedError, JobResult, RejectionCode
+from .settings import WaitingSettings
+
+OnEnd = Callable[[JobResult], None]
+
+
+class ResultWatchers:
+    """The waiters of each job. All calls come from the event loop's thread."""
+
+    def __init__(self, settings: WaitingSettings) -> None:
+        self._settings = settings
+        self._loop = asyncio.get_running_loop()
+        self._futures: dict[str, list[asyncio.Future[JobResult | None]]] = {}
+        self._callbacks: dict[str, OnEnd] = {}
+        self._polling = 0
+
+    def set_callback(self, job_id: str, callback: OnEnd) -> None:
+        """Call back once with the job's result."""
+        self._callbacks[job_id] = callback
+
+    def has_callback(self, job_id: str) -> bool:
+        """Whether a callback waits for the job."""
+        return job_id in self._callbacks
+
+    async def poll(self, job_id: str, timeout_s: float) -> JobResult | None:
+        """Wait for the job's result; None if there is none in time. Raises JobRejectedError."""
+        settings = self._settings
+        if self._polling >= settings.max_watchers:
+            text = f"{settings.max_watchers} wait already"
+            raise JobRejectedError(RejectionCode.QUEUE_FULL, text, settings.full_retry_after_s)
+        self._polling += 1
+        try:
+            async with asyncio.timeout(min(timeout_s, settings.max_poll_s)):
+                return await self.wait(job_id)
+        except TimeoutError:
+            return None
+        finally:
+            self._polling -= 1
+
+    async def wait(self, job_id: str) -> JobResult | None:
+        """Wait for the job's result; None if it will be long in coming: the program stops, for instance."""
+        future: asyncio.Future[JobResult | None] = self._loop.create_future()
+        self._futures.setdefault(job_id, []).append(future)
+        try:
+            return await future
+        finally:
+            self._remove(job_id, future)
+
+    def _remove(self, job_id: str, future: asyncio.Future[JobResult | None]) -> None:
+        futures = self._futures.get(job_id)
+        if futures is None or future not in futures:
+            return
+        futures.remove(future)
+        if not futures:
+            del self._futures[job_id]
+
+    def notify(self, job_id: str, result: JobResult) -> None:
+        """The job has ended."""
+        for future in self._futures.pop(job_id, ()):
+            if not future.done():
+                future.set_result(result)
+        callback = self._callbacks.pop(job_id, None)
+        if callback is not None:
+            callback(result)
+
+    def release(self, job_id: str) -> None:
+        """There is no result yet, and it may be long in coming: whoever waits is told so."""
+        for future in self._futures.get(job_id, ()):
+            if not future.done():
+                future.set_result(None)
+
+    def watched_jobs(self) -> Iterable[str]:
+        """The ids of jobs that somebody waits for."""
+        return list(self._futures)
--- /dev/null
+++ b/oxbowyard/waiting/retention.py
@@ -0,0 +1,78 @@
+"""After the end of a job: its dependents are notified, and its result is kept for a time. No I/O, no clock.
+
+Each call does a number of steps at most and returns the steps that are left, so that thousands of jobs that
+end together do not hold up the caller.
+"""
+
+from __future__ import annotations
+
+from ..core.request import RunState
+from .dependencies import is_satisfied
+from .job import Job, JobOutcome, JobState
+from .policy_state import PolicyState, end_job, set_state, unblock
+
+
+def notify_dependents(state: PolicyState, now: float, steps: int) -> int:
+    """Unblock the dependents of ended jobs, or end them."""
+    while steps > 0 and state.ended_dependencies:
+        ended = state.ended_dependencies[0]
+        for dependent, condition in ended.dependents:
+            steps -= 1
+            if dependent.outcome is None:
+                job = ended.job
+                assert job.outcome is not None
+                satisfied = is_satisfied(job.outcome, job.run_state, condition)
+                _notify(state, dependent, job, satisfied, now)
+            if steps <= 0:
+                break
+        else:
+            state.ended_dependencies.popleft()
+    return steps
+
+
+def _notify(state: PolicyState, dependent: Job, ended: Job, satisfied: bool, now: float) -> None:
+    assert ended.outcome is not None
+    if not satisfied:
+        may_run = ", it may still run" if ended.run_state is RunState.MAY_BE_RUNNING else ""
+        reason = f"{ended.id} ended: {ended.outcome.value}{may_run}"
+        end_job(state, dependent, now, JobOutcome.DEPENDENCY_FAILED, reason)
+        return
+    dependent.pending_dependencies -= 1
+    if not dependent.pending_dependencies:
+        unblock(state, dependent, now)
+
+
+def purge_results(state: PolicyState, now: float, steps: int) -> int:
+    """Forget ended jobs whose time is over, and the oldest while there are too many or too large ones."""
+    settings, held = state.settings, state.held
+    while steps > 0 and state.retained:
+        oldest = state.retained[0]
+        within_limits = held.ended <= settings.max_ended and held.ended_bytes <= settings.max_ended_bytes
+        if oldest.purge_at_ms > now and within_limits:
+            break
+        state.retained.popleft()
+        steps -= 1
+        held.ended -= 1
+        held.ended_bytes -= oldest.result_bytes
+        _purge(state, oldest.job)
+    return steps
+
+
+def _purge(state: PolicyState, job: Job) -> None:
+    set_state(state, job, JobState.PURGED)
+    state.held.by_state[JobState.PURGED] -= 1
+    del state.jobs[job.id]
+    if job.idempotency_key:
+        state.by_idempotency_key.pop((job.tenant, job.idempotency_key), None)
+
+
+def end_for_shutdown(state: PolicyState, now: float, steps: int) -> int:
+    """End the waiting jobs of a program that stops."""
+    while steps > 0 and state.shutting_down is not None:
+        job = next(state.shutting_down, None)
+        steps -= 1
+        if job is None:
+            state.shutting_down = None
+        elif job.is_waiting:
+            end_job(state, job, now, JobOutcome.SHUT_DOWN, "this scheduler stops")
+    return steps
--- a/oxbowyard/waiting/settings.py
+++ b/oxbowyard/waiting/settings.py
@@ -1,4 +1,8 @@
-"""The table `[waiting]` of the operator's file: every limit with its reason."""
+"""The table `[waiting]` of the operator's file: every limit with its reason.
+
+The attributes are the file's keys and keep their names: `quiet` is waiting for an idle fleet, `patience` the
+longest wait, `parents` and `children` are dependencies and dependents.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -19,7 +19,7 @@
 from oxbowyard.clients.wording import DEADLINE_FORM, ID_FORM, STATUS
 from oxbowyard.core.request import RunState
 from oxbowyard.decision.facade import Result
-from oxbowyard.waiting.order import End, State
+from oxbowyard.waiting.job import JobOutcome, JobState
 
 OPENAPI: dict[str, Any] = json.loads((ROOT / "api/openapi.json").read_text())
 WAITING: dict[str, Any] = json.loads((ROOT / "api/openapi-waiting.json").read_text())
@@ -133,6 +133,6 @@
     schemas = WAITING["components"]["schemas"]
     for name, form in (("Job", JobForm), ("JobView", JobView), ("Batch", BatchForm)):
         assert set(schemas[name]["properties"]) == {f.encode_name for f in msgspec.structs.fields(form)}
-    assert set(schemas["State"]["enum"]) | {"forgotten"} == {s.value for s in State}
-    assert set(schemas["JobView"]["properties"]["end"]["enum"]) == {e.value for e in End}
+    assert set(schemas["State"]["enum"]) | {"forgotten"} == {s.value for s in JobState}
+    assert set(schemas["JobView"]["properties"]["end"]["enum"]) == {e.value for e in JobOutcome}
     assert set(schemas["JobView"]["properties"]["ran"]["enum"]) == {r.value for r in RunState}
--- a/tests/test_waiting_room.py
+++ b/tests/test_job_queue.py
@@ -18,9 +18,19 @@
 from oxbowyard.daemon.collector import AT_LAST, FEW_JOBS, LOOK_EVERY, collect_when_few
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
 from oxbowyard.decision.settings import JobClass, Repeat, Settings
-from oxbowyard.waiting.ledger import Memory
-from oxbowyard.waiting.order import AGED, Changed, End, Final, Parent, Rejected, State, Wait, When
-from oxbowyard.waiting.room import WaitingRoom, bounded, with_aged
+from oxbowyard.waiting.job import (
+    AGED_CLASS_SUFFIX,
+    Dependency,
+    DependencyCondition,
+    JobOutcome,
+    JobRejectedError,
+    JobResult,
+    JobState,
+    StateChanged,
+    WaitOptions,
+)
+from oxbowyard.waiting.job_queue import JobQueue, with_aged_classes, with_bounded_window
+from oxbowyard.waiting.journal import InMemoryJournal
 from oxbowyard.waiting.settings import ClassSettings, WaitingSettings
 
 FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE)
@@ -33,12 +43,12 @@
     """A waiting room over a scheduler whose transport is one function."""
 
     def __init__(
-        self, attempt: Attempt, workers: int = 4, ledger: Any = None, wall: Any = time.time, **more: Any
+        self, attempt: Attempt, workers: int = 4, journal: Any = None, wall: Any = time.time, **more: Any
     ) -> None:
         changes: dict[str, Any] = {"classes": {"free": ClassSettings(queueing=True)}, "retry_first_s": 0.01}
         waiting = WaitingSettings(**changes | more)
         settings = Settings(
-            classes=with_aged(CLASSES, waiting), max_attempts=3, may_cancel=True, tells_start=True,
+            classes=with_aged_classes(CLASSES, waiting), max_attempts=3, may_cancel=True, tells_start=True,
             max_backoff=20.0, drain_grace=1000.0, cold_from=0.15, ramp=20_000.0, tip_multiple=2.5,
             tip_after=3000.0,
         )  # fmt: skip
@@ -48,8 +58,8 @@
         self._attempt = attempt
         measure = ServiceMeasure(settings.classes)
         self.scheduler = Scheduler(settings, self.facade, self, clock, measure, Limits())
-        self.room = WaitingRoom(waiting, CLASSES, self.scheduler, clock, "t", wall, ledger)
-        self.finals: dict[str, Final] = {}
+        self.room = JobQueue(waiting, CLASSES, self.scheduler, clock, "t", wall, journal)
+        self.finals: dict[str, JobResult] = {}
         self.ends: Counter[str] = Counter()
         if workers:
             self.list_(*(WorkerInfo(f"w{i}") for i in range(workers)))
@@ -65,20 +75,20 @@
         self.attempts.append((backend, request.id, request.job_class, self.clock()))
         return await self._attempt(backend, request, context)
 
-    def hand_in(self, id_: str, job_class: str = "free", **wait: Any) -> str:
+    def submit(self, id_: str, job_class: str = "free", **wait: Any) -> str:
         request = Request(id_, job_class, 3600.0, target=f"/{job_class}", payload=b"x")
 
-        def ended(final: Final) -> None:
+        def ended(final: JobResult) -> None:
             self.finals[id_] = final
             self.ends[id_] += 1
 
-        return self.room.hand_in([(request, Wait(**wait))], ended)[0].id
+        return self.room.submit([(request, WaitOptions(**wait))], ended)[0].id
 
-    async def until(self, *ids: str) -> list[End]:
+    async def until(self, *ids: str) -> list[JobOutcome]:
         async with asyncio.timeout(10):
             while any(id_ not in self.finals for id_ in ids):
                 await asyncio.sleep(0.002)
-        return [self.finals[id_].end for id_ in ids]
+        return [self.finals[id_].outcome for id_ in ids]
 
 
 async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -109,9 +119,9 @@
         stage = Stage(served)
         room = stage.room
         child = asyncio.create_task(
-            room.serve(Request("c", "once", 60.0), Wait(after=(Parent("p"),)))
-            if stage.hand_in("p", delay=0.05)
-            else room.serve(Request("x", "once", 1.0), Wait())
+            room.serve(Request("c", "once", 60.0), WaitOptions(dependencies=(Dependency("p"),)))
+            if stage.submit("p", delay_s=0.05)
+            else room.serve(Request("x", "once", 1.0), WaitOptions())
         )
         answer = await child
         assert (answer.kind, answer.body, answer.run_state) == (
@@ -120,10 +130,10 @@
             RunState.HAS_RUN,
         )
         assert [id_ for _, id_, _, _ in stage.attempts] == ["p", "c"]
-        again = await room.serve(Request("c2", "once", 60.0), Wait(token="k"))
+        again = await room.serve(Request("c2", "once", 60.0), WaitOptions(idempotency_key="k"))
         assert again.body == b"made c2"
         assert (
-            await room.serve(Request("c3", "once", 60.0), Wait(token="k"))
+            await room.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
         ).body == b"made c2"  # the same job
 
     play(scene)
@@ -132,11 +142,11 @@
 def test_a_refused_job_is_asked_again_until_it_is_served() -> None:
     async def scene() -> None:
         stage = Stage(full)
-        stage.hand_in("a", patience=30.0)
+        stage.submit("a", max_wait_s=30.0)
         while len(stage.attempts) < 10:
             await asyncio.sleep(0.005)
         stage._attempt = served
-        assert await stage.until("a") == [End.SERVED]
+        assert await stage.until("a") == [JobOutcome.SERVED]
         asks = {id_ for _, id_, _, _ in stage.attempts}
         assert len(asks) > 2  # each ask is a new request, as from a client that comes back
         assert all(sum(x == id_ for _, x, _, _ in stage.attempts) <= 3 for id_ in asks)
@@ -147,14 +157,14 @@
 def test_refused_without_end_it_ends_with_its_patience() -> None:
     async def scene() -> None:
         stage = Stage(full)
-        stage.hand_in("a", patience=0.4)
-        assert (await stage.until("a"))[0] in (End.EXPIRED, End.REFUSED)
+        stage.submit("a", max_wait_s=0.4)
+        assert (await stage.until("a"))[0] in (JobOutcome.WAIT_EXPIRED, JobOutcome.REJECTED)
         assert (
-            stage.finals["a"].ran is RunState.NEVER_RAN
+            stage.finals["a"].run_state is RunState.NEVER_RAN
             and stage.finals["a"].answer().kind is AnswerKind.REJECTED
         )
-        stage.hand_in("b", "once", patience=30.0)  # its class does not queue
-        assert await stage.until("b") == [End.REFUSED]
+        stage.submit("b", "once", max_wait_s=30.0)  # its class does not queue
+        assert await stage.until("b") == [JobOutcome.REJECTED]
 
     play(scene)
 
@@ -162,18 +172,18 @@
 @pytest.mark.parametrize(
     ("attempt", "end", "ran", "either"),
     [
-        (error, End.FAILED, RunState.MAY_HAVE_RUN, End.SERVED),
-        (hangs, End.CANCELLED, RunState.MAY_BE_RUNNING, End.ORPHANED),
+        (error, JobOutcome.FAILED, RunState.MAY_HAVE_RUN, JobOutcome.SERVED),
+        (hangs, JobOutcome.CANCELLED, RunState.MAY_BE_RUNNING, JobOutcome.DEPENDENCY_FAILED),
     ],
 )
 def test_a_parent_that_may_still_run_frees_nobody(
-    attempt: Attempt, end: End, ran: RunState, either: End
+    attempt: Attempt, end: JobOutcome, ran: RunState, either: JobOutcome
 ) -> None:
     async def scene() -> None:
         stage = Stage(attempt)
-        stage.hand_in("p", "once")
-        stage.hand_in("strict", after=(Parent("p"),))
-        stage.hand_in("either", after=(Parent("p", When.ENDED),))
+        stage.submit("p", "once")
+        stage.submit("strict", dependencies=(Dependency("p"),))
+        stage.submit("either", dependencies=(Dependency("p", DependencyCondition.ENDED),))
         while not stage.attempts:
             await asyncio.sleep(0)
         stage._attempt = served
@@ -181,8 +191,8 @@
         if attempt is hangs:
             job = stage.room.cancel("p")
             assert job is not None and stage.room.cancel("p") is job  # twice does no harm
-        assert await stage.until("p", "strict", "either") == [end, End.ORPHANED, either]
-        assert stage.finals["p"].ran is ran
+        assert await stage.until("p", "strict", "either") == [end, JobOutcome.DEPENDENCY_FAILED, either]
+        assert stage.finals["p"].run_state is ran
         assert set(stage.ends.values()) == {1}
 
     play(scene)
@@ -191,12 +201,12 @@
 def test_a_client_that_leaves_ends_its_job_and_the_family() -> None:
     async def scene() -> None:
         stage = Stage(served)
-        waits = asyncio.create_task(stage.room.serve(Request("p", "once", 60.0), Wait(delay=60.0)))
+        waits = asyncio.create_task(stage.room.serve(Request("p", "once", 60.0), WaitOptions(delay_s=60.0)))
         await asyncio.sleep(0)
-        stage.hand_in("c", after=(Parent("p"),))
+        stage.submit("c", dependencies=(Dependency("p"),))
         waits.cancel()
-        assert await stage.until("c") == [End.ORPHANED]
-        assert stage.attempts == [] and stage.room.find("p").end is End.CANCELLED  # type: ignore[union-attr]
+        assert await stage.until("c") == [JobOutcome.DEPENDENCY_FAILED]
+        assert stage.attempts == [] and stage.room.find("p").outcome is JobOutcome.CANCELLED  # type: ignore[union-attr]
 
     play(scene)
 
@@ -206,14 +216,14 @@
     async def scene() -> None:
         wall = [1e9]
         stage = Stage(served, wall=lambda: wall[0])
-        stage.hand_in("a", not_before=1e9 + 0.2)
-        stage.hand_in("b", delay=0.1)
+        stage.submit("a", not_before_unix_s=1e9 + 0.2)
+        stage.submit("b", delay_s=0.1)
         wall[0] += hours * 3600
         await asyncio.sleep(0.05)
         assert stage.attempts == []
-        assert await stage.until("a", "b") == [End.SERVED, End.SERVED]
-        stage.hand_in("past", not_before=1.0)
-        assert await stage.until("past") == [End.SERVED]
+        assert await stage.until("a", "b") == [JobOutcome.SERVED, JobOutcome.SERVED]
+        stage.submit("past", not_before_unix_s=1.0)
+        assert await stage.until("past") == [JobOutcome.SERVED]
 
     play(scene)
 
@@ -222,41 +232,41 @@
     async def scene() -> None:
         stage = Stage(hangs)
         for i in range(1_000):
-            stage.hand_in(f"j{i}", delay=60.0 if i % 2 else 0.0)
+            stage.submit(f"j{i}", delay_s=60.0 if i % 2 else 0.0)
         await asyncio.sleep(0.02)
         asked = {id_ for _, id_, _, _ in stage.attempts}
         poll = asyncio.create_task(stage.room.wait("j1", 60.0))
         await asyncio.sleep(0)
-        stage.room.wind_down()
+        stage.room.stop()
         final = await poll
-        assert final is not None and final.end is End.STOPPED and final.retry_after > 0
-        assert final.ran is RunState.NEVER_RAN
+        assert final is not None and final.outcome is JobOutcome.SHUT_DOWN and final.retry_after_s > 0
+        assert final.run_state is RunState.NEVER_RAN
         ids = [f"j{i}" for i in range(1_000) if f"j{i}" not in asked]
-        assert set(await stage.until(*ids)) == {End.STOPPED} and set(stage.ends.values()) == {1}
-        with pytest.raises(Rejected):
-            stage.hand_in("late")
+        assert set(await stage.until(*ids)) == {JobOutcome.SHUT_DOWN} and set(stage.ends.values()) == {1}
+        with pytest.raises(JobRejectedError):
+            stage.submit("late")
         for id_ in asked:
             stage.room.cancel(id_)
-        await stage.room.idle()
+        await stage.room.wait_until_idle()
         assert len(stage.ends) == 1_000
 
     play(scene)
 
 
-class Slow(Memory):
-    """A ledger that keeps what waits, and is safe only when told."""
+class Slow(InMemoryJournal):
+    """A journal that keeps what waits, and is safe only when told."""
 
-    keeps = True
+    is_durable = True
 
     def __init__(self) -> None:
-        self.changes: list[tuple[str, State]] = []
+        self.changes: list[tuple[str, JobState]] = []
         self.then: list[Callable[[], None]] = []
 
-    def record(self, change: Changed, final: Final | None) -> None:
+    def record_change(self, change: StateChanged, result: JobResult | None) -> None:
         self.changes.append((change.job.id, change.state))
 
-    def when_safe(self, then: Callable[[], None]) -> None:
-        self.then.append(then)
+    def when_durable(self, callback: Callable[[], None]) -> None:
+        self.then.append(callback)
 
     def settle(self) -> None:
         waiting, self.then = self.then, []
@@ -264,29 +274,35 @@
             then()
 
 
-def test_every_change_goes_to_the_ledger_and_a_release_waits_for_it() -> None:
+def test_every_change_goes_to_the_journal_and_a_release_waits_for_it() -> None:
     async def scene() -> None:
-        ledger = Slow()
-        stage = Stage(served, ledger=ledger)
-        stage.hand_in("a", durable=True)
-        stage.hand_in("b", delay=60.0, durable=True)
-        stage.hand_in("cut", durable=True)
-        stage.hand_in("plain")  # what is not to be kept does not wait for the disk
+        journal = Slow()
+        stage = Stage(served, journal=journal)
+        stage.submit("a", durable=True)
+        stage.submit("b", delay_s=60.0, durable=True)
+        stage.submit("cut", durable=True)
+        stage.submit("plain")  # what is not to be kept does not wait for the disk
         stage.room.cancel("cut")
-        assert await stage.until("plain") == [End.SERVED]
-        assert "cut" not in stage.finals and ("a", State.ASKED) in ledger.changes
+        assert await stage.until("plain") == [JobOutcome.SERVED]
+        assert "cut" not in stage.finals and ("a", JobState.SUBMITTED) in journal.changes
         assert [id_ for _, id_, _, _ in stage.attempts] == ["plain"]
         while "a" not in stage.finals:  # its release, and its answer
-            ledger.settle()
+            journal.settle()
             await asyncio.sleep(0.01)
-        assert await stage.until("a", "cut") == [End.SERVED, End.CANCELLED]
-        states = [state for id_, state in ledger.changes if id_ == "a"]
-        assert states == [State.HELD, State.READY, State.ASKED, State.STARTED, State.ENDED]
+        assert await stage.until("a", "cut") == [JobOutcome.SERVED, JobOutcome.CANCELLED]
+        states = [state for id_, state in journal.changes if id_ == "a"]
+        assert states == [
+            JobState.BLOCKED,
+            JobState.READY,
+            JobState.SUBMITTED,
+            JobState.STARTED,
+            JobState.ENDED,
+        ]
         assert [id_ for _, id_, _, _ in stage.attempts] == ["plain", "a"]
         poll = asyncio.create_task(stage.room.wait("b", 60.0))
         await asyncio.sleep(0)
-        stage.room.wind_down()  # what waits is kept, so it has no end here
-        await stage.room.idle()
+        stage.room.stop()  # what waits is kept, so it has no end here
+        await stage.room.wait_until_idle()
         assert await poll is None and "b" not in stage.finals
 
     play(scene)
@@ -296,12 +312,12 @@
     async def scene() -> None:
         stage = Stage(served)
 
-        def broken(final: Final) -> None:
+        def broken(final: JobResult) -> None:
             raise ZeroDivisionError
 
-        stage.room.hand_in([(Request("bad", "free", 5.0), Wait(delay=0.02))], broken)
-        stage.hand_in("good", delay=0.02)
-        assert await stage.until("good") == [End.SERVED]
+        stage.room.submit([(Request("bad", "free", 5.0), WaitOptions(delay_s=0.02))], broken)
+        stage.submit("good", delay_s=0.02)
+        assert await stage.until("good") == [JobOutcome.SERVED]
         assert "could not carry out" in caplog.text
 
     play(scene)
@@ -313,14 +329,14 @@
     def __init__(self, seconds: float = 0.01) -> None:
         self._seconds = seconds
         self._slots: dict[str, asyncio.Semaphore] = {}
-        self.waits: list[tuple[str, float]] = []
+        self.is_waiting: list[tuple[str, float]] = []
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         context.written = True
         loop = asyncio.get_running_loop()
         came = loop.time()
         async with self._slots.setdefault(backend, asyncio.Semaphore(4)):
-            self.waits.append((backend, loop.time() - came))
+            self.is_waiting.append((backend, loop.time() - came))
             context.on_started()
             await asyncio.sleep(self._seconds)
             return AttemptOutcome(Result.OK)
@@ -330,7 +346,7 @@
     async def scene() -> None:
         workers = Slots(0.03)
         stage = Stage(workers.attempt, workers=2)
-        ids = [stage.hand_in(f"j{i}") for i in range(300)]
+        ids = [stage.submit(f"j{i}") for i in range(300)]
         while len(stage.attempts) < 60:
             await asyncio.sleep(0.002)
         stage.list_(
@@ -344,7 +360,7 @@
         assert not after["w0"]
         # 2.5 times what it can do: under 0.3 of 4 slots with jobs of 30 ms, for the 3 s that all take.
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
-        assert {final.end for final in stage.finals.values()} == {End.SERVED}
+        assert {final.outcome for final in stage.finals.values()} == {JobOutcome.SERVED}
 
     play(scene)
 
@@ -353,17 +369,17 @@
     async def scene() -> None:
         workers = Slots()
         stage = Stage(workers.attempt, workers=6)
-        ids = [stage.hand_in(f"j{i}", delay=0.05) for i in range(400)]
+        ids = [stage.submit(f"j{i}", delay_s=0.05) for i in range(400)]
         while len(stage.attempts) < 100:
             await asyncio.sleep(0.002)
         stage.list_(*(WorkerInfo(f"w{i}", Readiness.GONE) for i in range(1, 6)), scope=Scope.CHANGES)
         await asyncio.sleep(0.05)  # what was out has ended
-        workers.waits.clear()
+        workers.is_waiting.clear()
         await stage.until(*ids)
         assert set(stage.ends.values()) == {1}
         # All that are due, sent at once, would have made the last wait for 0.7 s.
-        assert {backend for backend, _ in workers.waits} == {"w0"}
-        assert max(wait for _, wait in workers.waits) < 0.4
+        assert {backend for backend, _ in workers.is_waiting} == {"w0"}
+        assert max(wait for _, wait in workers.is_waiting) < 0.4
 
     play(scene)
 
@@ -372,8 +388,8 @@
     async def scene() -> None:
         stage = Stage(hangs, workers=1, age_limit_s=0.1, quiet_limit_s=0.1, aged_per_s=100.0)
         for i in range(12):
-            stage.hand_in(f"j{i}")
-        while not any(name.endswith(AGED) for _, _, name, _ in stage.attempts):
+            stage.submit(f"j{i}")
+        while not any(name.endswith(AGED_CLASS_SUFFIX) for _, _, name, _ in stage.attempts):
             await asyncio.sleep(0.005)
 
     play(scene)
@@ -382,15 +398,15 @@
 def test_limits_of_watchers_and_of_the_window() -> None:
     async def scene() -> None:
         stage = Stage(served, max_watchers=1)
-        stage.hand_in("a", delay=60.0)
+        stage.submit("a", delay_s=60.0)
         poll = asyncio.create_task(stage.room.wait("a", 60.0))
         await asyncio.sleep(0)
-        with pytest.raises(Rejected, match="1 wait already"):
+        with pytest.raises(JobRejectedError, match="1 wait already"):
             await stage.room.wait("a", 60.0)
         poll.cancel()
         await asyncio.gather(poll, return_exceptions=True)
         assert await stage.room.wait("a", 0.01) is None
-        assert bounded(stage.room.settings, requests=5).max_window == 2
+        assert with_bounded_window(stage.room.settings, max_open_requests=5).max_window == 2
 
     play(scene)
 
@@ -415,7 +431,7 @@
         stage = Stage(served)
         await asyncio.sleep(0)
         gc.collect()
-        await stage.until(*(stage.hand_in(f"j{i}") for i in range(200)))
+        await stage.until(*(stage.submit(f"j{i}") for i in range(200)))
         await asyncio.sleep(10)
         assert gc.collect() < 50  # not one a request
         many = [FEW_JOBS + 1]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,9 +21,9 @@
     Change,
     JobAccepted,
     JobEnded,
-    JobState,
     JobStateChanged,
     Lease,
+    StoredState,
     StoreError,
     StoreFailure,
 )
@@ -96,28 +96,28 @@
     db.apply([first_job, taken(2), taken(3)])
     db.apply(
         [
-            JobStateChanged(1, JobState.GRANTED, 1, lease),
-            JobStateChanged(1, JobState.STARTED, 1),
+            JobStateChanged(1, StoredState.GRANTED, 1, lease),
+            JobStateChanged(1, StoredState.STARTED, 1),
             ended(2, by="Aiko"),
         ]
     )
     db.apply(
         [
-            JobStateChanged(1, JobState.INDETERMINATE, 1),
+            JobStateChanged(1, StoredState.INDETERMINATE, 1),
             ended(2, at=5.0),
-            JobStateChanged(2, JobState.WAITING, 9),
+            JobStateChanged(2, StoredState.WAITING, 9),
         ]
     )  # the first end stands
     db.close()
     db = Database(path)
     first, second = db.find("j1"), db.find("j2")
     assert first is not None and second is not None
-    assert (first.state, first.lease, first.accepted.payload) == (JobState.INDETERMINATE, lease, b"\0\xff")
+    assert (first.state, first.lease, first.accepted.payload) == (StoredState.INDETERMINATE, lease, b"\0\xff")
     assert first.accepted.wait_for_idle is True and db.by_idempotency_key("", "k") == first
     assert second.ended == ended(2, by="Aiko") and second.accepted.payload == b""
     assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j1", "j3"]
     assert db.open_jobs(1, 9)[0].accepted.id == "j3" and db.last_number() == 3
-    assert db.counts() == {JobState.INDETERMINATE: 1, JobState.ENDED: 1, JobState.WAITING: 1}
+    assert db.counts() == {StoredState.INDETERMINATE: 1, StoredState.ENDED: 1, StoredState.WAITING: 1}
     db.close()
 
 
@@ -126,7 +126,7 @@
     code, trouble = FAULTS[name]
     changes: list[Change] = [
         taken(2),
-        JobStateChanged(1, JobState.GRANTED, 1, Lease("s", "w", 1.0)),
+        JobStateChanged(1, StoredState.GRANTED, 1, Lease("s", "w", 1.0)),
         ended(1),
     ]
     for at in range(1, 6):  # begin, three changes, commit
@@ -155,8 +155,8 @@
     with pytest.raises(StoreError) as caught:
         old.apply([ended(1)])
     assert caught.value.failure is StoreFailure.FENCED
-    new.apply([JobStateChanged(1, JobState.INDETERMINATE, 1)])
-    assert new.counts() == {JobState.INDETERMINATE: 1}
+    new.apply([JobStateChanged(1, StoredState.INDETERMINATE, 1)])
+    assert new.counts() == {StoredState.INDETERMINATE: 1}
     with pytest.raises(StoreError, match="another program"):
         Database(path)  # it holds a lock of its own
     new.close()
@@ -236,7 +236,7 @@
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=3) == 3
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=30) == 2
     assert db.prune(ended_before=0.0, max_results=10, max_deletions=30) == 4
-    assert db.counts() == {JobState.ENDED: 10, JobState.WAITING: 1} and db.find("j9") is None
+    assert db.counts() == {StoredState.ENDED: 10, StoredState.WAITING: 1} and db.find("j9") is None
     db.close()
 
 
@@ -253,7 +253,7 @@
     db.close()
     assert restore(copy, path) == 199
     db = Database(path)
-    assert db.counts() == {JobState.WAITING: 199}
+    assert db.counts() == {StoredState.WAITING: 199}
     db.close()
     copy.write_bytes(copy.read_bytes()[:8192] + b"\xff" * 20_000 + copy.read_bytes()[28_192:])
     with pytest.raises(StoreError) as caught:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -26,12 +26,12 @@
 from oxbowyard.decision.platform_settings import settings_of
 from oxbowyard.decision.settings import JobClass, Repeat, Settings
 from oxbowyard.discovery.registry import Registry, parse_list
-from oxbowyard.durable.ledger import pack, parents_of, unpack
+from oxbowyard.durable.journal import decode_dependencies, decode_request, encode_request
 from oxbowyard.handover.learned import decode, encode
 from oxbowyard.operator.file import Faulty, OperatorConfig, load
 from oxbowyard.start import disk
 from oxbowyard.store.database import Database
-from oxbowyard.store.record import Change, JobState, JobStateChanged, StoredJob
+from oxbowyard.store.record import Change, JobStateChanged, StoredJob, StoredState
 
 FIXTURES = Path(__file__).parent / "fixtures"
 WALL_S = 4_000_000_000.0
@@ -77,18 +77,18 @@
         number = job.accepted.number
         changes.append(job.accepted)
         if job.lease is not None:
-            changes.append(JobStateChanged(number, JobState.GRANTED, job.submissions, job.lease))
+            changes.append(JobStateChanged(number, StoredState.GRANTED, job.submissions, job.lease))
         if job.ended is not None:
             changes.append(job.ended)
-        elif job.state is not JobState.GRANTED:
+        elif job.state is not StoredState.GRANTED:
             changes.append(JobStateChanged(number, job.state, job.submissions))
     database.apply(changes)
 
 
 def packed_again(job: StoredJob) -> tuple[bytes, bytes]:
     """A stored request and its parents, read and written again."""
-    parents = [[parent.id, parent.when.value] for parent in parents_of(job)]
-    return pack(unpack(job, 5.0)), json.dumps(parents).encode()
+    parents = [[parent.id, parent.condition.value] for parent in decode_dependencies(job)]
+    return encode_request(decode_request(job, 5.0)), json.dumps(parents).encode()
 
 
 def stored_as(job: StoredJob) -> tuple[bytes, bytes]:
--- a/tests/test_waiting_policy.py
+++ b/tests/test_waiting_policy.py
@@ -11,97 +11,101 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from oxbowyard.core.request import RunState
-from oxbowyard.waiting.order import (
-    AGED,
-    Changed,
-    Code,
-    End,
+from oxbowyard.waiting.job import (
+    AGED_CLASS_SUFFIX,
+    Dependency,
+    DependencyCondition,
     Job,
-    Order,
-    Parent,
-    Rejected,
-    Release,
-    State,
-    When,
+    JobOutcome,
+    JobRejectedError,
+    JobState,
+    JobSubmission,
+    RejectionCode,
+    StateChanged,
+    SubmitJob,
 )
-from oxbowyard.waiting.pace import LOOK_MS, Room
-from oxbowyard.waiting.policy import SLICE, Policy
+from oxbowyard.waiting.policy import STEPS_PER_TICK, WaitingPolicy
+from oxbowyard.waiting.release_rate import POLL_INTERVAL_MS, FleetCapacity
 from oxbowyard.waiting.settings import ClassSettings, WaitingSettings
 
 QUEUES = {"light": ClassSettings(queueing=True)}
 WORTH = {"light": 1.0, "heavy": 8.0}
-SERVED, ENDED = When.SERVED, When.ENDED
+SERVED, ENDED = DependencyCondition.SERVED, DependencyCondition.ENDED
 
 
 class Stage:
     """A policy, its time and its fleet."""
 
-    def __init__(self, room: Room | None = None, **changes: Any) -> None:
+    def __init__(self, room: FleetCapacity | None = None, **changes: Any) -> None:
         self.settings = WaitingSettings(**({"classes": QUEUES} | changes))
-        self.room = room or Room(4, 16.0, 0)
-        self.policy = Policy(self.settings, WORTH, lambda name: self.room)
+        self.room = room or FleetCapacity(4, 16.0, 0)
+        self.policy = WaitingPolicy(self.settings, WORTH, lambda name: self.room)
         self.now = 1000.0
         self.ends: Counter[str] = Counter()
         self.released: list[tuple[float, str, str]] = []
         self.longest = 0  # actions of one call
 
-    def hand_in(self, *orders: Order) -> list[Job]:
+    def submit(self, *orders: JobSubmission) -> list[Job]:
         try:
-            return self.policy.hand_in(self.now, orders)
+            return self.policy.submit(self.now, orders)
         finally:
             self.drain()
 
-    def job(self, id_: str, job_class: str = "light", after: tuple[Parent, ...] = (), **more: Any) -> Job:
-        return self.hand_in(Order(id_, job_class, more.pop("patience", 60_000.0), after=after, **more))[0]
+    def job(self, id_: str, job_class: str = "light", after: tuple[Dependency, ...] = (), **more: Any) -> Job:
+        return self.submit(
+            JobSubmission(id_, job_class, more.pop("max_wait_ms", 60_000.0), dependencies=after, **more)
+        )[0]
 
     def drain(self) -> None:
-        actions = self.policy.take()
+        actions = self.policy.take_actions()
         self.longest = max(self.longest, len(actions))
         for action in actions:
-            if isinstance(action, Release):
+            if isinstance(action, SubmitJob):
                 self.released.append((self.now, action.job.id, action.job_class))
-            elif action.state is State.ENDED:
+            elif action.state is JobState.ENDED:
                 self.ends[action.job.id] += 1
 
     def run(self, ms: float) -> None:
         """Let time pass, with every tick that is asked for."""
         end = self.now + ms
-        while (due := self.policy.next_tick(self.now)) is not None and due <= end:
+        while (due := self.policy.next_tick_ms(self.now)) is not None and due <= end:
             self.now = max(due, self.now)
             self.policy.tick(self.now)
             self.drain()
         self.now = end
 
-    def end(self, id_: str, end: End = End.SERVED, ran: RunState = RunState.HAS_RUN, size: int = 0) -> None:
+    def end(
+        self, id_: str, end: JobOutcome = JobOutcome.SERVED, ran: RunState = RunState.HAS_RUN, size: int = 0
+    ) -> None:
         job = self.policy.find(id_)
         assert job is not None
-        self.policy.ended(self.now, job, end, ran, size=size)
+        self.policy.job_ended(self.now, job, end, ran, result_bytes=size)
         self.drain()
 
     def refuse(self, id_: str, told: float = 0.0) -> None:
         job = self.policy.find(id_)
         assert job is not None
         again = self.settings.of(job.job_class).queueing
-        self.policy.refused(self.now, job, told, again)
+        self.policy.job_rejected(self.now, job, told, again)
         self.drain()
 
     def order(self) -> list[str]:
         return [id_ for _, id_, _ in self.released]
 
-    def state(self, id_: str) -> State | End | None:
+    def state(self, id_: str) -> JobState | JobOutcome | None:
         job = self.policy.find(id_)
-        return (job.end or job.state) if job else None
+        return (job.outcome or job.state) if job else None
 
-    def code(self, *orders: Order) -> Code:
+    def code(self, *orders: JobSubmission) -> RejectionCode:
         held = str(self.policy.held)
-        with pytest.raises(Rejected) as caught:
-            self.hand_in(*orders)
+        with pytest.raises(JobRejectedError) as caught:
+            self.submit(*orders)
         assert str(self.policy.held) == held, "half taken"
-        assert bool(caught.value.retry_after) == (caught.value.code.value.endswith("full"))
+        assert bool(caught.value.retry_after_s) == (caught.value.code.value.endswith("full"))
         return caught.value.code
 
 
-SHUT = Room(4, 0.0, 100)
+SHUT = FleetCapacity(4, 0.0, 100)
 
 
 # ---- Order and ageing ----
@@ -114,34 +118,34 @@
     stage.job("heavy-new", "heavy")
     stage.run(2_000)
     stage.job("heavy-newer", "heavy")
-    stage.room = Room(4, 16.0, 0)
+    stage.room = FleetCapacity(4, 16.0, 0)
     stage.run(100)
     assert stage.order() == ["light-old", "heavy-new", "heavy-newer"]
     young = Stage(SHUT, age_limit_s=10.0)
     young.job("light", "light")
     young.run(1_000)
     young.job("heavy", "heavy")
-    young.room = Room(4, 16.0, 0)
+    young.room = FleetCapacity(4, 16.0, 0)
     young.run(100)
     assert young.order() == ["heavy", "light"]
 
 
 def test_little_time_left_goes_before_worth() -> None:
     stage = Stage(SHUT, age_limit_s=10.0)
-    stage.job("patient", "light", patience=100_000.0)
-    stage.job("hurried", "light", patience=10_500.0)
-    stage.room = Room(4, 16.0, 0)
+    stage.job("patient", "light", max_wait_ms=100_000.0)
+    stage.job("hurried", "light", max_wait_ms=10_500.0)
+    stage.room = FleetCapacity(4, 16.0, 0)
     stage.run(100)
     assert stage.order() == ["hurried", "patient"]
 
 
 def test_a_class_learns_its_worth_for_work() -> None:
     stage = Stage(SHUT)
-    stage.policy.lift.learn("heavy", 16.0)  # eight times the worth for sixteen times the work
-    stage.policy.lift.learn("light", 1.0)
+    stage.policy.priorities.set_mean_work("heavy", 16.0)  # eight times the worth for sixteen times the work
+    stage.policy.priorities.set_mean_work("light", 1.0)
     stage.job("h", "heavy")
     stage.job("l", "light")
-    stage.room = Room(4, 16.0, 0)
+    stage.room = FleetCapacity(4, 16.0, 0)
     stage.run(100)
     assert stage.order() == ["l", "h"]
 
@@ -154,8 +158,8 @@
     assert stage.released == []
     stage.run(3_300)
     times = [at for at, _, _ in stage.released]
-    assert len(times) == 6 and all(name == "light" + AGED for _, _, name in stage.released)
-    assert all(b - a >= 500 - LOOK_MS for a, b in zip(times, times[1:], strict=False))
+    assert len(times) == 6 and all(name == "light" + AGED_CLASS_SUFFIX for _, _, name in stage.released)
+    assert all(b - a >= 500 - POLL_INTERVAL_MS for a, b in zip(times, times[1:], strict=False))
     assert times[-1] - 1000 <= stage.settings.bound_s() * 1000
 
 
@@ -173,12 +177,12 @@
 
 
 def test_without_a_worker_nothing_is_asked_and_patience_ends_it() -> None:
-    stage = Stage(Room(0, 0.0, 0), age_limit_s=1.0)
-    stage.job("a", patience=5_000.0)
+    stage = Stage(FleetCapacity(0, 0.0, 0), age_limit_s=1.0)
+    stage.job("a", max_wait_ms=5_000.0)
     stage.run(4_900)
-    assert stage.released == [] and stage.state("a") is State.READY
+    assert stage.released == [] and stage.state("a") is JobState.READY
     stage.run(200)
-    assert stage.state("a") is End.EXPIRED and stage.ends["a"] == 1
+    assert stage.state("a") is JobOutcome.WAIT_EXPIRED and stage.ends["a"] == 1
 
 
 # ---- Parents ----
@@ -187,58 +191,66 @@
 @pytest.mark.parametrize(
     ("end", "ran", "when", "goes_on"),
     [
-        (End.SERVED, RunState.HAS_RUN, SERVED, True),
-        (End.SERVED, RunState.HAS_RUN, ENDED, True),
-        (End.FAILED, RunState.MAY_HAVE_RUN, SERVED, False),
-        (End.FAILED, RunState.MAY_HAVE_RUN, ENDED, True),
-        (End.REFUSED, RunState.NEVER_RAN, SERVED, False),
-        (End.REFUSED, RunState.NEVER_RAN, ENDED, True),
-        (End.CANCELLED, RunState.NEVER_RAN, SERVED, False),
-        (End.FAILED, RunState.MAY_BE_RUNNING, SERVED, False),
-        (End.FAILED, RunState.MAY_BE_RUNNING, ENDED, False),  # it may still run: it has not ended
-        (End.CANCELLED, RunState.MAY_BE_RUNNING, ENDED, False),
+        (JobOutcome.SERVED, RunState.HAS_RUN, SERVED, True),
+        (JobOutcome.SERVED, RunState.HAS_RUN, ENDED, True),
+        (JobOutcome.FAILED, RunState.MAY_HAVE_RUN, SERVED, False),
+        (JobOutcome.FAILED, RunState.MAY_HAVE_RUN, ENDED, True),
+        (JobOutcome.REJECTED, RunState.NEVER_RAN, SERVED, False),
+        (JobOutcome.REJECTED, RunState.NEVER_RAN, ENDED, True),
+        (JobOutcome.CANCELLED, RunState.NEVER_RAN, SERVED, False),
+        (JobOutcome.FAILED, RunState.MAY_BE_RUNNING, SERVED, False),
+        (JobOutcome.FAILED, RunState.MAY_BE_RUNNING, ENDED, False),  # it may still run: it has not ended
+        (JobOutcome.CANCELLED, RunState.MAY_BE_RUNNING, ENDED, False),
     ],
 )
-def test_what_a_parents_end_means(end: End, ran: RunState, when: When, goes_on: bool) -> None:
+def test_what_a_parents_end_means(
+    end: JobOutcome, ran: RunState, when: DependencyCondition, goes_on: bool
+) -> None:
     stage = Stage()
     stage.job("p")
-    stage.job("c", after=(Parent("p", when),))
-    assert stage.state("c") is State.HELD and stage.order() == ["p"]
+    stage.job("c", after=(Dependency("p", when),))
+    assert stage.state("c") is JobState.BLOCKED and stage.order() == ["p"]
     stage.end("p", end, ran)
     stage.run(50)
     assert stage.order() == (["p", "c"] if goes_on else ["p"])
-    assert stage.state("c") is (State.ASKED if goes_on else End.ORPHANED)
-    late = Order("late", "light", 1000.0, after=(Parent("p", when),))  # handed in after its parent's end
+    assert stage.state("c") is (JobState.SUBMITTED if goes_on else JobOutcome.DEPENDENCY_FAILED)
+    late = JobSubmission(
+        "late", "light", 1000.0, dependencies=(Dependency("p", when),)
+    )  # handed in after its parent's end
     if goes_on:
-        stage.hand_in(late)
-        assert stage.state("late") is State.ASKED
+        stage.submit(late)
+        assert stage.state("late") is JobState.SUBMITTED
     else:
-        assert stage.code(late) is Code.PARENT_NOT_SERVED
+        assert stage.code(late) is RejectionCode.DEPENDENCY_NOT_SERVED
 
 
 def test_a_child_waits_for_all_its_parents() -> None:
     stage = Stage()
     stage.job("p1")
     stage.job("p2")
-    stage.job("c", after=(Parent("p1"), Parent("p2", ENDED)))
+    stage.job("c", after=(Dependency("p1"), Dependency("p2", ENDED)))
     stage.end("p1")
     stage.run(50)
-    assert stage.state("c") is State.HELD
-    stage.end("p2", End.FAILED, RunState.MAY_HAVE_RUN)
+    assert stage.state("c") is JobState.BLOCKED
+    stage.end("p2", JobOutcome.FAILED, RunState.MAY_HAVE_RUN)
     stage.run(50)
-    assert stage.state("c") is State.ASKED
+    assert stage.state("c") is JobState.SUBMITTED
 
 
 def test_a_cancelled_parent_takes_its_family_along() -> None:
     stage = Stage(SHUT)
     stage.job("p")
-    stage.job("c", after=(Parent("p"),))
-    stage.job("g", after=(Parent("c"),))
-    stage.job("either", after=(Parent("c", ENDED),))
+    stage.job("c", after=(Dependency("p"),))
+    stage.job("g", after=(Dependency("c"),))
+    stage.job("either", after=(Dependency("c", ENDED),))
     stage.policy.cancel(stage.now, "p")
     stage.run(10)
-    assert [stage.state(x) for x in "pcg"] == [End.CANCELLED, End.ORPHANED, End.ORPHANED]
-    assert stage.state("either") is State.READY  # its parent has ended, and surely never ran
+    assert [stage.state(x) for x in "pcg"] == [
+        JobOutcome.CANCELLED,
+        JobOutcome.DEPENDENCY_FAILED,
+        JobOutcome.DEPENDENCY_FAILED,
+    ]
+    assert stage.state("either") is JobState.READY  # its parent has ended, and surely never ran
 
 
 @pytest.mark.parametrize("shape", ["chain", "fan"])
@@ -246,12 +258,12 @@
     stage = Stage(max_jobs=20_000, max_jobs_per_class=20_000, max_ended=20_000)
     stage.job("j0")
     for i in range(1, 10_001):
-        stage.job(f"j{i}", after=(Parent(f"j{i - 1}" if shape == "chain" else "j0"),))
+        stage.job(f"j{i}", after=(Dependency(f"j{i - 1}" if shape == "chain" else "j0"),))
     stage.longest = 0
-    stage.end("j0", End.FAILED, RunState.MAY_HAVE_RUN)
+    stage.end("j0", JobOutcome.FAILED, RunState.MAY_HAVE_RUN)
     stage.run(0)  # no time passes
     assert len(stage.ends) == 10_001 and set(stage.ends.values()) == {1}
-    assert stage.longest <= 2 * SLICE + 2  # what one call does is bounded, so is the time that it takes
+    assert stage.longest <= 2 * STEPS_PER_TICK + 2  # what one call does is bounded
     assert stage.policy.held.jobs == 0
 
 
@@ -259,62 +271,66 @@
     stage = Stage(max_jobs=20_000, max_jobs_per_class=20_000)
     stage.job("p")
     for i in range(10_000):
-        stage.job(f"c{i}", after=(Parent("p"),))
+        stage.job(f"c{i}", after=(Dependency("p"),))
     stage.longest = 0
     stage.end("p")
     stage.run(1_000)
-    assert stage.longest <= 3 * SLICE and len(stage.released) == 1 + stage.settings.first_window
-    assert stage.policy.held.by_state[State.READY] == 10_000 - stage.settings.first_window
+    assert stage.longest <= 3 * STEPS_PER_TICK and len(stage.released) == 1 + stage.settings.first_window
+    assert stage.policy.held.by_state[JobState.READY] == 10_000 - stage.settings.first_window
 
 
 def test_hand_ins_that_make_no_sense_are_not_taken() -> None:
     stage = Stage(SHUT, max_depth=2, max_parents=2, keep_ended_s=1.0, max_job_bytes=10, max_batch=3)
     stage.job("known")
 
-    def order(id_: str, *after: str, **more: Any) -> Order:
-        return Order(id_, more.pop("job_class", "light"), more.pop("patience", 1000.0), more.pop("size", 0),
-                     tuple(Parent(p) for p in after), **more)  # fmt: skip
-
-    assert stage.code(order("known")) is Code.DUPLICATE_ID
-    assert stage.code(order("a"), order("a")) is Code.DUPLICATE_ID
-    assert stage.code(order("a", "known", "known")) is Code.DUPLICATE_ID
-    assert stage.code(order("a", "a")) is Code.SELF_PARENT
-    assert stage.code(order("a", "nobody")) is Code.UNKNOWN_PARENT
-    assert stage.code(order("x"), order("a", "b"), order("b", "a")) is Code.CYCLE
-    assert stage.code(order("a", "known", "x", "y")) is Code.TOO_MANY_PARENTS
-    assert stage.code(order("a", job_class="none")) is Code.UNKNOWN_CLASS
-    assert stage.code(order("a", size=11)) is Code.TOO_LARGE
-    assert stage.code(order("a", patience=0.0)) is Code.BAD_PATIENCE
-    assert stage.code(order("a", delay=1e15)) is Code.BAD_TIME
-    assert stage.code(*(order(x) for x in "abcd")) is Code.BATCH_TOO_LARGE
-    stage.hand_in(order("c", "b"), order("b", "known"))  # children may come before their parents
-    assert stage.code(order("d", "c")) is Code.TOO_DEEP
+    def order(id_: str, *after: str, **more: Any) -> JobSubmission:
+        job_class, max_wait_ms = more.pop("job_class", "light"), more.pop("max_wait_ms", 1000.0)
+        dependencies = tuple(Dependency(p) for p in after)
+        return JobSubmission(id_, job_class, max_wait_ms, dependencies=dependencies, **more)
+
+    assert stage.code(order("known")) is RejectionCode.DUPLICATE_ID
+    assert stage.code(order("a"), order("a")) is RejectionCode.DUPLICATE_ID
+    assert stage.code(order("a", "known", "known")) is RejectionCode.DUPLICATE_ID
+    assert stage.code(order("a", "a")) is RejectionCode.SELF_DEPENDENCY
+    assert stage.code(order("a", "nobody")) is RejectionCode.UNKNOWN_DEPENDENCY
+    assert stage.code(order("x"), order("a", "b"), order("b", "a")) is RejectionCode.CYCLE
+    assert stage.code(order("a", "known", "x", "y")) is RejectionCode.TOO_MANY_DEPENDENCIES
+    assert stage.code(order("a", job_class="none")) is RejectionCode.UNKNOWN_CLASS
+    assert stage.code(order("a", payload_bytes=11)) is RejectionCode.TOO_LARGE
+    assert stage.code(order("a", max_wait_ms=0.0)) is RejectionCode.INVALID_MAX_WAIT
+    assert stage.code(order("a", delay_ms=1e15)) is RejectionCode.INVALID_TIME
+    assert stage.code(*(order(x) for x in "abcd")) is RejectionCode.BATCH_TOO_LARGE
+    stage.submit(order("c", "b"), order("b", "known"))  # children may come before their parents
+    assert stage.code(order("d", "c")) is RejectionCode.TOO_DEEP
     stage.policy.cancel(stage.now, "known")
     stage.run(2_000)
-    assert stage.code(order("d", "known")) is Code.UNKNOWN_PARENT  # forgotten
+    assert stage.code(order("d", "known")) is RejectionCode.UNKNOWN_DEPENDENCY  # forgotten
     stage.policy.stop(stage.now)
-    with pytest.raises(Rejected, match="no more"):
-        stage.hand_in(order("e"))
+    with pytest.raises(JobRejectedError, match="no more"):
+        stage.submit(order("e"))
 
 
 def test_an_idempotency_key_stands_for_its_job() -> None:
     stage = Stage(SHUT, keep_ended_s=1.0)
-    first = stage.job("a", token="k", print=b"1")
-    assert stage.job("b", token="k", print=b"1") is first and stage.policy.held.jobs == 1
-    assert stage.code(Order("c", "light", 1.0, token="k", print=b"2")) is Code.CONFLICT
-    assert stage.job("d", token="k", print=b"2", tenant="other") is not first
+    first = stage.job("a", idempotency_key="k", fingerprint=b"1")
+    assert stage.job("b", idempotency_key="k", fingerprint=b"1") is first and stage.policy.held.jobs == 1
+    assert (
+        stage.code(JobSubmission("c", "light", 1.0, idempotency_key="k", fingerprint=b"2"))
+        is RejectionCode.CONFLICT
+    )
+    assert stage.job("d", idempotency_key="k", fingerprint=b"2", tenant="other") is not first
     stage.policy.cancel(stage.now, "a")
     stage.run(1_500)
-    assert stage.job("e", token="k", print=b"3").id == "e"  # forgotten, and the key with it
+    assert stage.job("e", idempotency_key="k", fingerprint=b"3").id == "e"  # forgotten, and the key with it
 
 
 # ---- Time ----
 
 
 def test_a_thousand_due_together_are_asked_as_the_fleet_takes_them() -> None:
-    stage = Stage(Room(4, 4.0, 0))
+    stage = Stage(FleetCapacity(4, 4.0, 0))
     for i in range(1_000):
-        stage.job(f"j{i}", delay=5_000.0)
+        stage.job(f"j{i}", delay_ms=5_000.0)
     stage.run(4_999)
     assert stage.released == []
     stage.run(100)
@@ -324,7 +340,7 @@
         id_ = stage.released[done][1]
         job = stage.policy.find(id_)
         assert job is not None
-        stage.policy.began(stage.now, job, 1.0)
+        stage.policy.job_started(stage.now, job, 1.0)
         stage.end(id_)
         done += 1
         stage.run(1)
@@ -333,42 +349,42 @@
 
 
 def test_silent_workers_hold_timed_jobs_back() -> None:
-    stage = Stage(Room(4, 4.0, 6), age_limit_s=10.0)  # jobs hang on them: no slot comes free
-    stage.job("timed", delay=1_000.0, patience=5_000.0)
+    stage = Stage(FleetCapacity(4, 4.0, 6), age_limit_s=10.0)  # jobs hang on them: no slot comes free
+    stage.job("timed", delay_ms=1_000.0, max_wait_ms=5_000.0)
     stage.run(4_000)
     assert stage.released == []
-    stage.room = Room(4, 4.0, 0)
+    stage.room = FleetCapacity(4, 4.0, 0)
     stage.run(100)
     assert stage.order() == ["timed"]
 
 
-# ---- Room, quiet, refusals ----
+# ---- FleetCapacity, quiet, refusals ----
 
 
 def test_a_full_queue_leaves_what_is_in_it_alone() -> None:
     stage = Stage(SHUT, max_jobs=4, max_jobs_per_class=3, max_jobs_per_tenant=2, max_held_bytes=100)
-    stage.job("a", tenant="t", size=40)
-    stage.job("b", tenant="t", size=40)
-    assert stage.code(Order("c", "light", 1.0, tenant="t")) is Code.TENANT_FULL
-    assert stage.code(Order("c", "light", 1.0, 30)) is Code.BYTES_FULL
-    stage.job("c", size=20)
-    assert stage.code(Order("d", "light", 1.0)) is Code.CLASS_FULL
+    stage.job("a", tenant="t", payload_bytes=40)
+    stage.job("b", tenant="t", payload_bytes=40)
+    assert stage.code(JobSubmission("c", "light", 1.0, tenant="t")) is RejectionCode.TENANT_FULL
+    assert stage.code(JobSubmission("c", "light", 1.0, 30)) is RejectionCode.BYTES_FULL
+    stage.job("c", payload_bytes=20)
+    assert stage.code(JobSubmission("d", "light", 1.0)) is RejectionCode.CLASS_FULL
     stage.job("d", "heavy")
-    assert stage.code(Order("e", "heavy", 1.0)) is Code.FULL
-    assert [stage.state(x) for x in "abcd"] == [State.READY] * 4
+    assert stage.code(JobSubmission("e", "heavy", 1.0)) is RejectionCode.QUEUE_FULL
+    assert [stage.state(x) for x in "abcd"] == [JobState.READY] * 4
     stage.policy.cancel(stage.now, "a")
-    stage.job("e", tenant="t", size=40)
+    stage.job("e", tenant="t", payload_bytes=40)
 
 
 def test_a_refused_job_that_queues_is_asked_again_with_care() -> None:
-    stage = Stage(Room(4, 16.0, 0), first_window=4, retry_first_s=0.5)
+    stage = Stage(FleetCapacity(4, 16.0, 0), first_window=4, retry_first_s=0.5)
     for i in range(8):
-        stage.job(f"j{i}", patience=10_000.0)
+        stage.job(f"j{i}", max_wait_ms=10_000.0)
     assert len(stage.released) == 4
-    window = stage.policy.pace.window("light")
+    window = stage.policy.rate.window("light")
     for i in range(4):
         stage.refuse(f"j{i}", told=1_000.0)
-    assert window.limit == 2.0 and stage.state("j0") is State.TIMED  # cut once, not four times
+    assert window.limit == 2.0 and stage.state("j0") is JobState.SCHEDULED  # cut once, not four times
     stage.run(900)
     assert len(stage.released) == 4
     stage.run(200)
@@ -383,53 +399,53 @@
     stage = Stage()
     stage.job("h", "heavy")
     stage.refuse("h")
-    assert stage.state("h") is End.REFUSED and stage.ends["h"] == 1
+    assert stage.state("h") is JobOutcome.REJECTED and stage.ends["h"] == 1
 
 
 def test_a_job_is_not_asked_again_past_its_patience() -> None:
     stage = Stage()
-    stage.job("a", patience=400.0)
+    stage.job("a", max_wait_ms=400.0)
     stage.refuse("a", told=500.0)
-    assert stage.state("a") is End.REFUSED
+    assert stage.state("a") is JobOutcome.REJECTED
 
 
 def test_quiet_jobs_take_only_what_urgent_work_leaves() -> None:
-    stage = Stage(Room(4, 10.0, 7), quiet_limit_s=60.0, age_limit_s=5.0, quiet_share=0.7, calm_s=2.0)
-    stage.job("bulk", quiet=True)
+    stage = Stage(FleetCapacity(4, 10.0, 7), quiet_limit_s=60.0, age_limit_s=5.0, quiet_share=0.7, calm_s=2.0)
+    stage.job("bulk", wait_for_idle=True)
     stage.run(1_000)
     assert stage.released == []  # seven of ten slots are in use
-    stage.room = Room(4, 10.0, 6, calm=1_000.0)
+    stage.room = FleetCapacity(4, 10.0, 6, since_rejection_ms=1_000.0)
     stage.run(1_000)
     assert stage.released == []  # somebody was refused a second ago
-    stage.room = Room(4, 10.0, 6, calm=2_500.0)
+    stage.room = FleetCapacity(4, 10.0, 6, since_rejection_ms=2_500.0)
     stage.run(100)
     assert stage.order() == ["bulk"]
 
 
 def test_a_quiet_job_waits_like_others_after_its_limit() -> None:
-    stage = Stage(Room(4, 10.0, 14, calm=0.0), quiet_limit_s=20.0, age_limit_s=5.0)
-    stage.job("bulk", quiet=True, patience=1e6)
+    stage = Stage(FleetCapacity(4, 10.0, 14, since_rejection_ms=0.0), quiet_limit_s=20.0, age_limit_s=5.0)
+    stage.job("bulk", wait_for_idle=True, max_wait_ms=1e6)
     stage.run(19_900)
-    assert stage.state("bulk") is State.QUIET
+    assert stage.state("bulk") is JobState.AWAITING_IDLE
     stage.run(200)
-    assert stage.released[0][1:] == ("bulk", "light" + AGED)
+    assert stage.released[0][1:] == ("bulk", "light" + AGED_CLASS_SUFFIX)
 
 
 def test_late_starts_shrink_the_window_and_prompt_ones_widen_it() -> None:
-    stage = Stage(Room(4, 100.0, 0), first_window=4, start_within_ms=100.0)
-    window = stage.policy.pace.window("light")
+    stage = Stage(FleetCapacity(4, 100.0, 0), first_window=4, start_within_ms=100.0)
+    window = stage.policy.rate.window("light")
     for i in range(40):
         stage.job(f"j{i}")
     for i in range(8):
         job = stage.policy.find(f"j{i}")
         assert job is not None
-        stage.policy.began(stage.now, job, 10.0)
+        stage.policy.job_started(stage.now, job, 10.0)
         stage.end(f"j{i}")
     widened = window.limit
     assert widened > 5
     job = stage.policy.find("j8")
     assert job is not None
-    stage.policy.began(stage.now, job, 500.0)
+    stage.policy.job_started(stage.now, job, 500.0)
     assert window.limit < widened
 
 
@@ -441,25 +457,31 @@
     for i in range(5):
         stage.job(f"j{i}", "heavy")
         stage.end(f"j{i}", size=10)
-    assert [stage.state(f"j{i}") for i in range(5)] == [None, None, End.SERVED, End.SERVED, End.SERVED]
+    assert [stage.state(f"j{i}") for i in range(5)] == [
+        None,
+        None,
+        JobOutcome.SERVED,
+        JobOutcome.SERVED,
+        JobOutcome.SERVED,
+    ]
     stage.job("big", "heavy")
     stage.end("big", size=95)
-    assert stage.state("j4") is None and stage.state("big") is End.SERVED
+    assert stage.state("j4") is None and stage.state("big") is JobOutcome.SERVED
     stage.run(10_100)
     assert stage.state("big") is None and stage.policy.held.ended_bytes == 0
 
 
 def test_stopping_ends_all_that_wait_and_leaves_what_is_asked() -> None:
-    stage = Stage(Room(4, 4.0, 0))
+    stage = Stage(FleetCapacity(4, 4.0, 0))
     for i in range(1_000):
-        stage.job(f"j{i}", delay=float(i % 3 and 5_000))
+        stage.job(f"j{i}", delay_ms=float(i % 3 and 5_000))
     asked = len(stage.released)
     stage.policy.stop(stage.now)
     stage.drain()
     stage.run(0)
     assert len(stage.ends) == 1_000 - asked and stage.policy.held.jobs == asked
     ids = set(stage.order())
-    assert all(stage.state(f"j{i}") is End.STOPPED for i in range(1_000) if f"j{i}" not in ids)
+    assert all(stage.state(f"j{i}") is JobOutcome.SHUT_DOWN for i in range(1_000) if f"j{i}" not in ids)
     stage.end(stage.order()[0])
     stage.run(100)
     assert len(stage.released) == asked
@@ -487,31 +509,31 @@
 
     @initialize()
     def begin(self) -> None:
-        self.stage = Stage(Room(2, 2.0, 0), **PACE)
-        self.parents: dict[str, tuple[Parent, ...]] = {}
+        self.stage = Stage(FleetCapacity(2, 2.0, 0), **PACE)
+        self.parents: dict[str, tuple[Dependency, ...]] = {}
         self.known: dict[str, Job] = {}
         self.ready_since: dict[str, float] = {}
         self.seen: list[str] = []
         inner = self.stage.drain
 
         def drain() -> None:
-            for action in self.stage.policy._out:
+            for action in self.stage.policy._state.actions:
                 self._check(action)
             inner()
 
         self.stage.drain = drain  # type: ignore[method-assign]
 
-    def _check(self, action: Changed | Release) -> None:
+    def _check(self, action: StateChanged | SubmitJob) -> None:
         job = action.job
-        if isinstance(action, Release):
+        if isinstance(action, SubmitJob):
             self.ready_since.pop(job.id, None)
             for parent in self.parents[job.id]:
                 known = self.known[parent.id]
-                assert known.end is not None and known.ran is not RunState.MAY_BE_RUNNING, (
+                assert known.outcome is not None and known.run_state is not RunState.MAY_BE_RUNNING, (
                     "a child before its parent"
                 )
-                assert known.end is End.SERVED or parent.when is ENDED
-        elif action.state in (State.READY, State.QUIET):
+                assert known.outcome is JobOutcome.SERVED or parent.condition is ENDED
+        elif action.state in (JobState.READY, JobState.AWAITING_IDLE):
             self.ready_since.setdefault(job.id, self.stage.now)
         else:
             self.ready_since.pop(job.id, None)
@@ -521,32 +543,34 @@
         delay=st.sampled_from([0.0, 0.0, 300.0]), patience=st.sampled_from([2_000.0, 1e6]),
         lift=st.sampled_from([None, 0.0, 1.0]),
     )  # fmt: skip
-    def hand_in(
+    def submit(
         self, job_class: str, quiet: bool, data: Any, delay: float, patience: float, lift: Any
     ) -> None:
         picked = data.draw(st.lists(st.sampled_from(self.seen), unique=True, max_size=3)) if self.seen else []
-        after = tuple(Parent(p, data.draw(st.sampled_from([SERVED, ENDED]))) for p in picked)
+        after = tuple(Dependency(p, data.draw(st.sampled_from([SERVED, ENDED]))) for p in picked)
         id_ = f"j{len(self.parents)}"
         self.parents[id_] = after
-        order = Order(id_, job_class, patience, after=after, delay=delay, quiet=quiet, lift=lift)
+        order = JobSubmission(
+            id_, job_class, patience, dependencies=after, delay_ms=delay, wait_for_idle=quiet, priority=lift
+        )
         try:
-            self.known[id_] = self.stage.hand_in(order)[0]
+            self.known[id_] = self.stage.submit(order)[0]
             self.seen.append(id_)
-        except Rejected as fault:
-            assert fault.code in (Code.FULL, Code.PARENT_NOT_SERVED)
+        except JobRejectedError as fault:
+            assert fault.code in (RejectionCode.QUEUE_FULL, RejectionCode.DEPENDENCY_NOT_SERVED)
 
     @rule(ms=st.sampled_from([1, 40, 700, 2_500, 11_000]))
     def time_passes(self, ms: float) -> None:
         self.stage.run(ms)
 
-    @rule(open_=st.integers(0, 4), calm=st.sampled_from([0.0, 9e9]))
-    def fleet(self, open_: int, calm: float) -> None:
-        self.stage.room = Room(2, 2.0, open_, calm)
+    @rule(open_=st.integers(0, 4), since_rejection_ms=st.sampled_from([0.0, 9e9]))
+    def fleet(self, open_: int, since_rejection_ms: float) -> None:
+        self.stage.room = FleetCapacity(2, 2.0, open_, since_rejection_ms)
 
-    @precondition(lambda self: any(j.state is State.ASKED for j in self.known.values()))
+    @precondition(lambda self: any(j.state is JobState.SUBMITTED for j in self.known.values()))
     @rule(data=st.data(), how=st.sampled_from(["served", "failed", "open", "refused"]))
     def answer(self, data: Any, how: str) -> None:
-        asked = sorted(j.id for j in self.known.values() if j.state is State.ASKED)
+        asked = sorted(j.id for j in self.known.values() if j.state is JobState.SUBMITTED)
         id_ = data.draw(st.sampled_from(asked))
         if how == "refused":
             self.stage.refuse(id_)
@@ -556,7 +580,7 @@
                 "failed": RunState.MAY_HAVE_RUN,
                 "open": RunState.MAY_BE_RUNNING,
             }[how]
-            self.stage.end(id_, End.SERVED if how == "served" else End.FAILED, ran)
+            self.stage.end(id_, JobOutcome.SERVED if how == "served" else JobOutcome.FAILED, ran)
 
     @precondition(lambda self: self.seen)
     @rule(data=st.data())
@@ -569,9 +593,9 @@
         if not hasattr(self, "stage"):
             return
         assert set(self.stage.ends.values()) <= {1}
-        assert set(self.stage.ends) == {j.id for j in self.known.values() if j.end is not None}
+        assert set(self.stage.ends) == {j.id for j in self.known.values() if j.outcome is not None}
         held = self.stage.policy.held
-        assert held.jobs == sum(j.end is None for j in self.known.values())
+        assert held.jobs == sum(j.outcome is None for j in self.known.values())
         assert sum(held.by_class.values()) == held.jobs
 
     @invariant()
@@ -579,8 +603,8 @@
         if not hasattr(self, "stage"):
             return
         for id_, since in self.ready_since.items():
-            bound = self.stage.settings.bound_s(self.known[id_].quiet) * 1000
-            assert self.stage.now - since <= bound + LOOK_MS, f"{id_} waits"
+            bound = self.stage.settings.bound_s(self.known[id_].wait_for_idle) * 1000
+            assert self.stage.now - since <= bound + POLL_INTERVAL_MS, f"{id_} waits"
 
 
 Model.TestCase.settings = settings(
