--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -35,8 +35,8 @@
 from .units import MS_PER_S
 
 if TYPE_CHECKING:  # their libraries may be absent: imported only where the operator's file has the table
-    from ..durable.keeping import Keeping
-    from ..waiting.room import WaitingRoom
+    from ..durable.durable_store import DurableStore
+    from ..waiting.job_queue import JobQueue
     from ..waiting.settings import WaitingSettings
 
 MAX_GEARMAN_DESCRIPTORS_SHARE = 1 / 4  # of all: the HTTP front needs the others
@@ -56,7 +56,7 @@
     scheduler: Scheduler
     discovery: DiscoveryClient
     deadlines: dict[str, float]  # by class, in seconds
-    waiting: WaitingRoom | None = None
+    waiting: JobQueue | None = None
     gearman: GearmanFront | None = None
     background: BackgroundTasks = field(default_factory=BackgroundTasks)
 
@@ -81,8 +81,8 @@
     async def close(self) -> None:
         """Finish all requests and jobs that were taken, then stop everything."""
         if self.waiting is not None:
-            self.waiting.wind_down()
-            await self.waiting.idle()
+            self.waiting.stop()
+            await self.waiting.wait_until_idle()
         await self.scheduler.wait_until_idle()
         if self.gearman:
             await self.gearman.close()
@@ -110,7 +110,7 @@
     gearman: GearmanConfig | None = None,
     on_settled: Callable[[], None] = lambda: None,
     waiting: WaitingSettings | None = None,
-    durable: Keeping | None = None,
+    durable: DurableStore | None = None,
     clock: Callable[[], float] | None = None,
 ) -> Subsystems:
     """Build all subsystems; none of them works yet.
@@ -173,12 +173,14 @@
 def _classes(requested: tuple[JobClass, ...], waiting: WaitingSettings | None) -> _Classes:
     if waiting is None:
         return _Classes(requested, requested, requested)
-    from ..waiting.room import with_aged
+    from ..waiting.job_queue import with_aged_classes
 
     return _Classes(
         requested,
-        measured=with_aged(requested, waiting, times=0.0),  # the objective of the job's own class counts
-        scheduled=with_aged(requested, waiting),
+        measured=with_aged_classes(
+            requested, waiting, objective_deadlines=0.0
+        ),  # the objective of the job's own class counts
+        scheduled=with_aged_classes(requested, waiting),
     )
 
 
@@ -239,22 +241,22 @@
     scheduler: Scheduler,
     name: str,
     descriptors: Descriptors,
-    durable: Keeping | None,
+    durable: DurableStore | None,
     clock: Callable[[], float],
-) -> WaitingRoom:
-    from ..waiting.room import WaitingRoom, bounded
+) -> JobQueue:
+    from ..waiting.job_queue import JobQueue, with_bounded_window
 
-    ledger = durable.ledger if durable else None
-    settings = bounded(settings, descriptors.requests)
-    jobs = WaitingRoom(settings, classes, scheduler, clock, name, ledger=ledger)
+    journal = durable.journal if durable else None
+    settings = with_bounded_window(settings, descriptors.requests)
+    jobs = JobQueue(settings, classes, scheduler, clock, name, journal=journal)
     if durable is not None:
-        jobs.number_from(durable.last_number)
-        jobs.recovering = True
+        jobs.set_last_number(durable.last_number)
+        jobs.intake.is_recovering = True
     return jobs
 
 
 def _gearman_front(
-    config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: WaitingRoom | None
+    config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: JobQueue | None
 ) -> GearmanFront:
     workers.tell_to(scheduler.update_endpoints)
     return GearmanFront(config, Jobs(config, scheduler, name, waiting), workers)
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -24,7 +24,7 @@
 from .units import BYTES_PER_MB, MS_PER_S
 
 if TYPE_CHECKING:  # only where the operator's file has its table
-    from ..durable.keeping import Keeping
+    from ..durable.durable_store import DurableStore
     from ..peers.component import MembershipComponent
 
 
@@ -39,7 +39,7 @@
     maintenance: Maintenance
     components: Lifecycle  # of the operator's file
     folder: Path  # for files that concern other processes of this scheduler
-    store: Keeping | None  # of durable jobs
+    store: DurableStore | None  # of durable jobs
     membership: MembershipComponent | None
     longest_deadline_s: float  # of all classes that were in force so far
     stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
@@ -93,7 +93,7 @@
 
 
 def _components(
-    loaded: LoadedConfiguration, subsystems: Subsystems, membership: MembershipPart | None
+    loaded: LoadedConfiguration, subsystems: Subsystems, membership: MembershipComponent | None
 ) -> Iterator[Component]:
     """The components of the operator's file in the order in which they start."""
     if membership is not None:
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -18,7 +18,7 @@
 from .units import MS_PER_S
 
 if TYPE_CHECKING:
-    from ..durable.keeping import Keeping
+    from ..durable.durable_store import DurableStore
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
     from ..peers.component import MembershipComponent
@@ -26,14 +26,14 @@
     from ..start.table import StartSettings
 
 
-def open_store(settings: DurableSettings, take_over: bool) -> Keeping:
+def open_store(settings: DurableSettings, take_over: bool) -> DurableStore:
     """Open the store of `[durable]`; `take_over` also where another program has it. Raises
     ConfigurationError."""
-    from ..durable.keeping import Keeping, NotOpened
+    from ..durable.durable_store import DurableStore, StoreNotOpenedError
 
     try:
-        return Keeping(settings, take_over)
-    except NotOpened as error:
+        return DurableStore(settings, take_over)
+    except StoreNotOpenedError as error:
         raise ConfigurationError(str(error)) from None
 
 
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -24,7 +24,7 @@
     context.states.enter(State.LEAVING)
     context.sessions.wind_down()
     if context.subsystems.waiting:
-        context.subsystems.waiting.wind_down()
+        context.subsystems.waiting.stop()
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
     context.states.enter(State.FINISHING)
     await _finish_clients(context)
