--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oxbowyard.daemon.states import MEMBERSHIP_STATES, TRANSITIONS, InvalidTransition, State, StateMachine
-from oxbowyard.peers import part
+from oxbowyard.peers import facts
 
 
 def in_state(state: State) -> StateMachine:
@@ -16,7 +16,7 @@
 
 def test_every_state_has_its_transitions_and_its_name_for_the_others() -> None:
     assert set(TRANSITIONS) == set(MEMBERSHIP_STATES) == set(State)
-    assert set(MEMBERSHIP_STATES.values()) <= set(part.STATES)
+    assert set(MEMBERSHIP_STATES.values()) <= set(facts.STATES)
 
 
 def test_the_program_can_be_told_to_stop_in_every_state_in_which_it_runs() -> None:
