--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -33,10 +33,22 @@
     WorkerInfo,
 )
 from oxbowyard.decision.events import Result as AttemptResult
-from oxbowyard.decision.settings import JobClass, Repeat
-
-SHORT = JobClass("short", aim=1000.0, deadline=10_000.0, repeat=Repeat.FREE, stretch=2.5)
-ONCE = JobClass("once", aim=4000.0, deadline=25_000.0, repeat=Repeat.SINGLE_SHOT, stretch=2.0)
+from oxbowyard.decision.settings import JobClass, RetrySafety
+
+SHORT = JobClass(
+    "short",
+    latency_objective_ms=1000.0,
+    deadline_ms=10_000.0,
+    retry_safety=RetrySafety.IDEMPOTENT,
+    objective_stretch=2.5,
+)
+ONCE = JobClass(
+    "once",
+    latency_objective_ms=4000.0,
+    deadline_ms=25_000.0,
+    retry_safety=RetrySafety.NOT_IDEMPOTENT,
+    objective_stretch=2.0,
+)
 RAMP_MS, TIP_MULTIPLE, TIP_AFTER_MS, COLD_FROM = 22_000.0, 2.5, 3000.0, 0.15
 WARM_UP_MS, COLD_MS = (
     12_000.0,
@@ -137,10 +149,17 @@
         }
         configured = round(scene.schedulers / (1 - scene.away))
         settings = Settings(
-            (SHORT, ONCE), siblings=configured, max_attempts=3, max_backoff=2000.0, tells_start=True,
-            may_cancel=True, ramp=RAMP_MS, cold_from=COLD_FROM, tip_multiple=TIP_MULTIPLE,
-            tip_after=TIP_AFTER_MS,
-        )  # fmt: skip
+            (SHORT, ONCE),
+            scheduler_count=configured,
+            max_attempts=3,
+            max_retry_after_ms=2000.0,
+            reports_starts=True,
+            may_cancel=True,
+            ramp_ms=RAMP_MS,
+            initial_capacity_share=COLD_FROM,
+            overload_multiple=TIP_MULTIPLE,
+            overload_window_ms=TIP_AFTER_MS,
+        )
         self.schedulers = [Dispatcher(settings, self.random.getrandbits(32)) for _ in range(scene.schedulers)]
         warm = tuple(self._info(w) for w in self.workers.values() if w.started_at < 0)
         self._begin = WARM_UP_MS if scene.fresh else 0.0
@@ -149,7 +168,7 @@
         self._at(WARM_UP_MS, lambda: self._tell(WARM_UP_MS, tuple(map(self._info, self.workers.values()))))
 
     def _info(self, worker: Worker) -> WorkerInfo:
-        return WorkerInfo(worker.name, kind="std", online_since=max(worker.started_at, 0.0))
+        return WorkerInfo(worker.name, kind="std", started_at_ms=max(worker.started_at, 0.0))
 
     def _tell(self, at: float, infos: tuple[WorkerInfo, ...]) -> None:
         for i, scheduler in enumerate(self.schedulers):
@@ -186,7 +205,7 @@
         self._born[name] = (self.now, work, job_class)
         self.result.asked += self.now >= WARM_UP_MS
         key = f"k{self.random.randrange(200)}" if self.random.random() < 0.5 else None
-        self._hand(scheduler, RequestReceived(name, job_class.name, job_class.deadline, key))
+        self._hand(scheduler, RequestReceived(name, job_class.name, job_class.deadline_ms, key))
 
     def _hand(self, scheduler: int, event: Event) -> None:
         self._follow(scheduler, self.schedulers[scheduler].handle(self.now, event))
@@ -227,7 +246,10 @@
         worker.running -= 1
         if self._open.pop((work.request, work.attempt), None) is not None:
             born, work_ms, job_class = self._born[work.request]
-            if born >= WARM_UP_MS and self.now - born <= job_class.aim + job_class.stretch * work_ms:
+            if (
+                born >= WARM_UP_MS
+                and self.now - born <= job_class.latency_objective_ms + job_class.objective_stretch * work_ms
+            ):
                 self.result.in_time += 1
             duration = self.now - work.sent
             self._tell_end(worker.name, work, AttemptResult.OK, duration, final=True)
@@ -239,9 +261,7 @@
             worker = self.schedulers[work.scheduler].state.jobs[name].attempts[attempt].worker.name
             self._tell_end(worker, work, AttemptResult.CANCELLED, self.now - work.sent, final=False)
 
-    def _tell_end(
-        self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool
-    ) -> None:  # fmt: skip
+    def _tell_end(self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool) -> None:
         at = self.workers[worker]
         report = {"free_slots": float(at.slots - at.running), "waiting": float(len(at.queue))}
         outcome = AttemptEnded(work.request, work.attempt, worker, result, duration, final, report)
@@ -259,10 +279,14 @@
     )
     for n, workers in ((3, 10), (20, 30), (30, 40), (200, 200))
     for cold, away, fresh in (
-        (1, 0.0, False), (4, 0.0, False), (min(12, workers // 2), 0.0, False), (4, 0.1, False),
-        (4, 0.0, True), (min(12, workers // 2), 0.0, True),
+        (1, 0.0, False),
+        (4, 0.0, False),
+        (min(12, workers // 2), 0.0, False),
+        (4, 0.1, False),
+        (4, 0.0, True),
+        (min(12, workers // 2), 0.0, True),
     )
-}  # fmt: skip
+}
 
 
 def main() -> None:
@@ -279,13 +303,19 @@
             seeds = range(options.seeds)
             results = list(pool.map(partial(play, scene), seeds, chunksize=max(options.seeds // 50, 1)))
             asked = sum(r.asked for r in results)
-            print(json.dumps({
-                "scene": name, "seeds": options.seeds,
-                "histories_with_a_fall": sum(r.fallen > 0 for r in results) / options.seeds,
-                "most_of_bound": round(max(r.most_of_bound for r in results), 2),
-                "in_time": round(sum(r.in_time for r in results) / asked, 3),
-                "refused": round(sum(r.refused for r in results) / asked, 3),
-            }), flush=True)  # fmt: skip
+            print(
+                json.dumps(
+                    {
+                        "scene": name,
+                        "seeds": options.seeds,
+                        "histories_with_a_fall": sum(r.fallen > 0 for r in results) / options.seeds,
+                        "most_of_bound": round(max(r.most_of_bound for r in results), 2),
+                        "in_time": round(sum(r.in_time for r in results) / asked, 3),
+                        "refused": round(sum(r.refused for r in results) / asked, 3),
+                    }
+                ),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -23,7 +23,7 @@
 from oxbowyard.waiting.job_queue import JobQueue
 from oxbowyard.waiting.settings import WaitingSettings
 
-CLASSES = (JobClass("once", aim=1000, deadline=5000),)
+CLASSES = (JobClass("once", latency_objective_ms=1000, deadline_ms=5000),)
 
 
 class Worker:
@@ -46,7 +46,7 @@
 async def one(shape: str, how: str, jobs: int) -> tuple[float, float, int]:
     """Longest stand-still and the whole, in ms, and how many ended."""
     clock, worker = steady_unix_ms(), Worker()
-    settings = Settings(classes=CLASSES, tells_start=True)
+    settings = Settings(classes=CLASSES, reports_starts=True)
     measure = ServiceMeasure(CLASSES)
     scheduler = Scheduler(settings, Facade(settings, 1, clock), worker, clock, measure, Limits())
     most = 2 * jobs
--- a/oxbowyard/core/admission.py
+++ b/oxbowyard/core/admission.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..decision.settings import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, RetrySafety, Settings
 from .open_request import OpenRequest
 from .request import Answer, AnswerKind, Request
 
@@ -35,7 +35,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
         # Zero where the clients heed no advice.
-        self.retry_after_s = min(BUSY_RETRY_AFTER_S, settings.max_backoff / 1000)
+        self.retry_after_s = min(BUSY_RETRY_AFTER_S, settings.max_retry_after_ms / 1000)
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
@@ -102,6 +102,6 @@
 
 
 def _repeat_window_s(job_class: JobClass) -> float | None:
-    if job_class.repeat is Repeat.GUARDED and job_class.group == "all":
-        return job_class.memory / 1000
-    return math.inf if job_class.repeat is Repeat.FREE else None
+    if job_class.retry_safety is RetrySafety.DEDUPLICATED and job_class.dedup_scope == "all":
+        return job_class.dedup_window_ms / 1000
+    return math.inf if job_class.retry_safety is RetrySafety.IDEMPOTENT else None
--- a/oxbowyard/core/endpoint_lists.py
+++ b/oxbowyard/core/endpoint_lists.py
@@ -36,9 +36,11 @@
         """The faults less the cold starts that a list announces: every scheduler reads those there."""
         announced: dict[str, float] = {}
         for rows in self._by_source.values():
-            announced |= {name: info.online_since for name, info in rows.items() if info.online_since}
+            announced |= {name: info.started_at_ms for name, info in rows.items() if info.started_at_ms}
         remaining = (
-            replace(fault, since=0.0) if fault.since <= announced.get(fault.worker, 0.0) else fault
+            replace(fault, cold_since_ms=0.0)
+            if fault.cold_since_ms <= announced.get(fault.worker, 0.0)
+            else fault
             for fault in faults
         )
-        return [fault for fault in remaining if fault.lasts or fault.since]
+        return [fault for fault in remaining if fault.avoid_for_ms or fault.cold_since_ms]
--- a/oxbowyard/core/service_measure.py
+++ b/oxbowyard/core/service_measure.py
@@ -66,7 +66,7 @@
         cls = self._classes[job_class]
         if run_time_s is not None:
             tally.add_run(run_time_s)
-        if elapsed_s * 1000 <= cls.aim + cls.stretch * (run_time_s or 0.0) * 1000:
+        if elapsed_s * 1000 <= cls.latency_objective_ms + cls.objective_stretch * (run_time_s or 0.0) * 1000:
             tally.in_time += 1
             tally.in_time_run_s += tally.mean_run_s if run_time_s is None else run_time_s
 
@@ -89,7 +89,7 @@
         """The measure, from 0 to 1; 1 before the first request."""
         requested = served = 0.0
         for name, tally in self._tallies.items():
-            weight = self._classes[name].worth
+            weight = self._classes[name].priority_weight
             if self._by_work and tally.mean_run_s:
                 requested += weight * max(tally.requests * tally.mean_run_s, tally.in_time_run_s)
                 served += weight * tally.in_time_run_s
--- a/oxbowyard/core/settings_update.py
+++ b/oxbowyard/core/settings_update.py
@@ -10,9 +10,13 @@
 
 from dataclasses import dataclass, replace
 
-from ..decision.settings import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, RetrySafety, Settings
 
-BY_STRICTNESS = (Repeat.FREE, Repeat.GUARDED, Repeat.SINGLE_SHOT)  # from the most lenient
+BY_STRICTNESS = (
+    RetrySafety.IDEMPOTENT,
+    RetrySafety.DEDUPLICATED,
+    RetrySafety.NOT_IDEMPOTENT,
+)  # from the most lenient
 LIVE_SETTINGS = ("classes", "max_attempts")
 
 
@@ -47,6 +51,11 @@
 
 def _stricter(old: JobClass, new: JobClass) -> JobClass:
     """The new class, with the old repeat rule where that one is stricter."""
-    if BY_STRICTNESS.index(old.repeat) <= BY_STRICTNESS.index(new.repeat):
+    if BY_STRICTNESS.index(old.retry_safety) <= BY_STRICTNESS.index(new.retry_safety):
         return new
-    return replace(new, repeat=old.repeat, group=old.group, memory=max(old.memory, new.memory))
+    return replace(
+        new,
+        retry_safety=old.retry_safety,
+        dedup_scope=old.dedup_scope,
+        dedup_window_ms=max(old.dedup_window_ms, new.dedup_window_ms),
+    )
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -21,7 +21,7 @@
 from ..core.scheduler import Limits, Scheduler
 from ..core.service_measure import ServiceMeasure
 from ..decision.facade import Facade
-from ..decision.settings import JobClass, Repeat, Settings
+from ..decision.settings import JobClass, RetrySafety, Settings
 from ..discovery.client import DiscoveryClient
 from ..discovery.poll_schedule import PollSchedule
 from ..discovery.registry import Registry
@@ -126,7 +126,7 @@
     settings = replace(settings, classes=classes.scheduled)
 
     measure = ServiceMeasure(classes.measured, config.by_work)
-    registry = Registry(clock, settings.drain_grace)
+    registry = Registry(clock, settings.drain_grace_ms)
     descriptors = _descriptors(config, gearman)
     backends = _http_backends(config, settings, registry, descriptors)
     workers = Workers(gearman) if gearman else None
@@ -197,7 +197,7 @@
     return HttpBackends(
         registry,
         config.load_names,
-        settings.connect_timeout,
+        settings.connect_timeout_ms,
         _not_idempotent(settings.classes),
         descriptors.tails,
     )
@@ -230,7 +230,7 @@
     on_settled: Callable[[], None],
 ) -> DiscoveryClient:
     schedule = PollSchedule(
-        settings.must_subscribe, settings.siblings, Random(config.seed), settings.ask_every
+        settings.must_subscribe, settings.scheduler_count, Random(config.seed), settings.max_poll_interval_ms
     )
     return DiscoveryClient(config.discovery, registry, scheduler.update_endpoints, on_settled, schedule)
 
@@ -264,8 +264,8 @@
 
 def _not_idempotent(classes: Iterable[JobClass]) -> frozenset[str]:
     """The names of the classes whose requests must not simply be repeated."""
-    return frozenset(c.name for c in classes if c.repeat is not Repeat.FREE)
+    return frozenset(c.name for c in classes if c.retry_safety is not RetrySafety.IDEMPOTENT)
 
 
 def _deadlines_s(classes: Iterable[JobClass]) -> dict[str, float]:
-    return {c.name: c.deadline / MS_PER_S for c in classes}
+    return {c.name: c.deadline_ms / MS_PER_S for c in classes}
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -83,7 +83,7 @@
         folder=folder,
         store=store,
         membership=membership,
-        longest_deadline_s=max(c.deadline for c in config.settings.classes) / MS_PER_S,
+        longest_deadline_s=max(c.deadline_ms for c in config.settings.classes) / MS_PER_S,
     )
 
 
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -67,8 +67,8 @@
         ProgramServices(
             name=config.name,
             zone=own.zone,
-            configured_size=own.siblings,
-            ramp_s=own.ramp / MS_PER_S,
+            configured_size=own.scheduler_count,
+            ramp_s=own.ramp_ms / MS_PER_S,
             version=VERSION.rpartition(" ")[2],
             random=SystemRandom(),
             clock_ms=subsystems.clock,
@@ -104,7 +104,7 @@
 
     dependencies = StartDependencies(
         name=config.name,
-        configured=config.settings.siblings,
+        configured=config.settings.scheduler_count,
         is_shared_service=config.settings.must_subscribe,
         random=SystemRandom(),
         known=config.known,
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -53,7 +53,7 @@
                 raise ConfigurationError(f"the file lacks {missing}")
         except ConfigurationError as error:
             self._context.reload_counts.invalid += 1
-            log.error("configuration rejected, keeping the one in force: error=%s", error)
+            log.error("configuration rejected, the one in force stays: error=%s", error)
             return None
         self._context.reload_counts.accepted += 1
         return loaded
@@ -101,5 +101,5 @@
         context.subsystems.retune(settings)
         context.sessions.classes = frozenset(c.name for c in settings.classes)
         context.longest_deadline_s = max(
-            context.longest_deadline_s, *(c.deadline / MS_PER_S for c in settings.classes)
+            context.longest_deadline_s, *(c.deadline_ms / MS_PER_S for c in settings.classes)
         )
--- a/oxbowyard/decision/admission.py
+++ b/oxbowyard/decision/admission.py
@@ -37,13 +37,15 @@
     """How long a job of a class may wait in a queue: the longer, the more it earns for its service time."""
     mean = state.service_times_ms.mean(job_class.name)
     seen = [other for other in state.settings.classes if other.name in state.service_times_ms]
-    earned = sum(other.worth for other in seen)
-    base = MAX_WAIT_SHARE * (job_class.aim + max(job_class.stretch - 1, 0.0) * mean)
+    earned = sum(other.priority_weight for other in seen)
+    base = MAX_WAIT_SHARE * (
+        job_class.latency_objective_ms + max(job_class.objective_stretch - 1, 0.0) * mean
+    )
     if not mean or not earned:
         return base
-    if state.settings.by_work:  # worth is per service time already; the root, so that no class starves
-        factor = math.sqrt(job_class.worth * len(seen) / earned)
+    if state.settings.weight_is_per_work:  # the root of the weight, so that no class starves
+        factor = math.sqrt(job_class.priority_weight * len(seen) / earned)
     else:
         total_ms = sum(state.service_times_ms.mean(other.name) for other in seen)
-        factor = job_class.worth / mean * total_ms / earned
+        factor = job_class.priority_weight / mean * total_ms / earned
     return base * min(max(factor, 1 / MAX_PRIORITY_FACTOR), MAX_PRIORITY_FACTOR)
--- a/oxbowyard/decision/completion.py
+++ b/oxbowyard/decision/completion.py
@@ -17,7 +17,7 @@
     if job.first_run_worker is None or is_harmless_anywhere(job.job_class):
         if retry_after_ms is None:
             retry_after_ms = max_queue_wait_ms(state, job.job_class)
-        retry_after_ms = min(retry_after_ms, state.settings.max_backoff)
+        retry_after_ms = min(retry_after_ms, state.settings.max_retry_after_ms)
         state.actions.append(RejectRequest(job.id, retry_after_ms))
     else:
         state.actions.append(FailRequest(job.id))
--- a/oxbowyard/decision/dispatcher.py
+++ b/oxbowyard/decision/dispatcher.py
@@ -92,7 +92,7 @@
         job = Job(event.request_id, job_class, key, now, deadline, over_quota)
         state.jobs[job.id] = job
         relocation.earn_budget(state)
-        if job_class.in_order and event.key:
+        if job_class.is_ordered and event.key:
             ordering.enqueue(state, job, event.key)
         place(state, job, now)
 
@@ -183,7 +183,7 @@
     def _may_still_wait(self, job: Job, now: float) -> bool:
         if not may_attempt(self.state, job, now):
             return False
-        return job.queue is not None or now - job.received_at_ms < job.job_class.aim
+        return job.queue is not None or now - job.received_at_ms < job.job_class.latency_objective_ms
 
     def _attempt(self, request_id: str, number: int) -> Attempt | None:
         """The attempt, or None if the request or the attempt is not known."""
--- a/oxbowyard/decision/eligibility.py
+++ b/oxbowyard/decision/eligibility.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import outlier_detection, retry, slow_start
-from .settings import Repeat
+from .settings import RetrySafety
 from .state import DispatcherState, Job, Worker
 
 
@@ -29,4 +29,8 @@
     """Whether this job may show whether a stalled worker is back: one that can still be moved."""
     if now < worker.next_probation_at_ms:
         return False
-    return job.job_class.repeat is Repeat.FREE and state.settings.may_cancel and not job.attempts
+    return (
+        job.job_class.retry_safety is RetrySafety.IDEMPOTENT
+        and state.settings.may_cancel
+        and not job.attempts
+    )
--- a/oxbowyard/decision/endpoints.py
+++ b/oxbowyard/decision/endpoints.py
@@ -58,8 +58,8 @@
     worker.classes = info.classes
     if state.settings.live_weights:
         _apply_live_weight(state, worker, info.weight, scope, now)
-    if info.online_since > worker.started_at_ms:
-        worker.started_at_ms = info.online_since
+    if info.started_at_ms > worker.started_at_ms:
+        worker.started_at_ms = info.started_at_ms
         worker.open_connections = 0
         worker.ejected_until_ms = 0.0
         worker.cached_keys = RecentItems()
--- a/oxbowyard/decision/events.py
+++ b/oxbowyard/decision/events.py
@@ -57,7 +57,7 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0  # size relative to other workers; above 0; 1: unknown
-    online_since: float = 0.0  # clock time of its last start; 0: long ago
+    started_at_ms: float = 0.0  # clock time of its last start; 0: long ago
     classes: frozenset[str] | None = None  # the only classes it runs; None: any
     slots: int = 0  # jobs that it runs at once, the same for its kind; 0: unknown
     private: bool = False  # it takes jobs from this dispatcher alone; the same for its kind
@@ -81,8 +81,8 @@
     """A fault of a worker, as another dispatcher found it."""
 
     worker: str
-    lasts: float = 0.0  # milliseconds for which the worker should still be avoided
-    since: float = 0.0  # clock time of its cold start, at the latest; 0: unknown
+    avoid_for_ms: float = 0.0  # milliseconds for which the worker should still be avoided
+    cold_since_ms: float = 0.0  # clock time of its cold start, at the latest; 0: unknown
 
 
 @dataclass(slots=True)
--- a/oxbowyard/decision/facade.py
+++ b/oxbowyard/decision/facade.py
@@ -99,7 +99,7 @@
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], float]) -> None:
         self._dispatcher = Dispatcher(settings, seed)
         self._state = self._dispatcher.state
-        self._schedulers = settings.siblings
+        self._schedulers = settings.scheduler_count
         self._clock = clock
         self._now_ms = clock()
         self._timers: list[tuple[float, int, int]] = []  # due time, order of setting, tag
@@ -115,7 +115,7 @@
         Quotas, and whether own traffic shows enough of a worker, stay as the settings say.
         """
         self._schedulers = max(count, 1)
-        self._state.settings = replace(self._state.settings, siblings=self._schedulers)
+        self._state.settings = replace(self._state.settings, scheduler_count=self._schedulers)
 
     def update_endpoints(self, scope: Scope, workers: tuple[WorkerInfo, ...]) -> Decisions:
         """Take an endpoint list, or changes of it, from service discovery."""
@@ -159,7 +159,7 @@
     def worker_faults(self) -> list[WorkerFault]:
         """Faults of workers that own traffic shows. It walks all ready workers."""
         state, now = self._state, self._current_ms()
-        ramp = state.settings.ramp
+        ramp = state.settings.ramp_ms
         faults = []
         for worker in state.ready_workers:
             ejected_ms = worker.ejected_until_ms - now if worker.failure_count >= 1 else 0.0
--- a/oxbowyard/decision/load_estimate.py
+++ b/oxbowyard/decision/load_estimate.py
@@ -29,7 +29,7 @@
     if pool.private:
         return worker.in_flight
     own_mean = worker.mean_in_flight.update(worker.in_flight, now, MEAN_SPAN_MS)
-    peers = state.settings.siblings - 1
+    peers = state.settings.scheduler_count - 1
     # Other dispatchers spare a cold worker too.
     usual = warmth(state, worker, now) * (pool.mean_reported_jobs or peers * state.mean_worker_in_flight)
     if pool.mean_reported_jobs:
@@ -91,6 +91,6 @@
     state.connection_cost_ms *= math.exp(-elapsed / CONNECTION_COST_SPAN_MS)
     state.fleet_mean_weight = PRIOR_JOBS / (known_jobs + PRIOR_JOBS)
     hidden_share = WEIGHT_REPORT_HIDDEN_SHARE if state.weights_reported else 1.0
-    state.unobserved_share = state.fleet_mean_weight * (1 - 1 / state.settings.siblings) * hidden_share
-    if len(state.quotas) >= quotas.MIN_TENANTS and state.settings.siblings > 1:
+    state.unobserved_share = state.fleet_mean_weight * (1 - 1 / state.settings.scheduler_count) * hidden_share
+    if len(state.quotas) >= quotas.MIN_TENANTS and state.settings.scheduler_count > 1:
         state.traffic_share = min(quotas.traffic_share(state.quotas.values()), quotas.MAX_TRAFFIC_SHARE)
--- a/oxbowyard/decision/observation.py
+++ b/oxbowyard/decision/observation.py
@@ -27,7 +27,7 @@
     """A worker began to run an attempt."""
     worker, pool = attempt.worker, attempt.worker.pool
     worker.last_progress_at_ms = now
-    if state.settings.in_turn:
+    if state.settings.fifo_workers:
         outlier_detection.record_lost_jobs(state, attempt, now)
     # A worker is taken to cache the data of as many keys as it runs jobs.
     attempt.key_was_cached = worker.cached_keys.touch(attempt.job.key.key_hash, pool.max_concurrency)
@@ -125,7 +125,7 @@
     worker.open_connections = 0
     if event.result is Result.UNREACHABLE:
         # The process of a dead worker refuses connections at once; a slow one lets them time out.
-        refused = event.duration_ms < state.settings.connect_timeout / 2
+        refused = event.duration_ms < state.settings.connect_timeout_ms / 2
         if refused and not worker.unreachable:
             worker.unreachable = True
             worker.unreachable_since_ms = now
--- a/oxbowyard/decision/ordering.py
+++ b/oxbowyard/decision/ordering.py
@@ -1,6 +1,6 @@
 """Requests in order: of the requests of one key whose class is in order, one at a time is sent.
 
-The next one is sent once the one before it has ended, and no earlier than `Settings.turn_gap` after an
+The next one is sent once the one before it has ended, and no earlier than `Settings.ordered_gap_ms` after an
 attempt that may still run. Writes the key queues.
 """
 
@@ -39,14 +39,16 @@
     blocked_ms = max(queue.blocked_until_ms - now, 0.0)
     wait_ms = blocked_ms + sum(state.service_times_ms.mean(other.job_class.name) for other in ahead)
     service_time = state.service_times_ms.mean(job_class.name)
-    latency_objective = job_class.aim + max(job_class.stretch - 1, 0.0) * service_time
+    latency_objective = (
+        job_class.latency_objective_ms + max(job_class.objective_stretch - 1, 0.0) * service_time
+    )
     return now - job.received_at_ms + wait_ms > latency_objective
 
 
 def block_after(state: DispatcherState, job: Job, now: float) -> None:
     """An attempt of the job may still run: later jobs of the key wait."""
     if job.queue is not None:
-        job.queue.blocked_until_ms = now + state.settings.turn_gap
+        job.queue.blocked_until_ms = now + state.settings.ordered_gap_ms
 
 
 def forget_empty_queues(state: DispatcherState, now: float) -> None:
--- a/oxbowyard/decision/outlier_detection.py
+++ b/oxbowyard/decision/outlier_detection.py
@@ -11,7 +11,7 @@
 from .events import PeerFaultsChanged
 from .load_estimate import REQUEST_SPAN_MS
 from .ranking import FAILURE_SPAN_MS
-from .settings import JobClass, Repeat
+from .settings import JobClass, RetrySafety
 from .state import Attempt, ClassEjection, DispatcherState, Job, Worker
 
 MIN_EJECTION_MS = 250.0  # after a failed connect or a reset; doubles with each failure
@@ -32,7 +32,7 @@
 
 REORDER_TOLERANCE_MS = 30.0  # jobs sent this close together may change places
 LOST_JOB_FAILURE_SCORE = 0.5
-LOST_SINGLE_SHOT_FAILURES = 4.0
+LOST_NOT_IDEMPOTENT_FAILURES = 4.0
 
 
 def is_ejected(state: DispatcherState, worker: Worker, job: Job, now: float) -> bool:
@@ -41,7 +41,7 @@
     When the ejection has run out, one job at a time shows whether the worker is back, but none that must not
     run twice. An ejection is ignored while half of the pool is ejected.
     """
-    no_probe = job.job_class.repeat is Repeat.SINGLE_SHOT and not worker.unreachable
+    no_probe = job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT and not worker.unreachable
     ejected = worker.failure_count >= 1 and (
         now < worker.ejected_until_ms or bool(worker.in_flight) or no_probe
     )
@@ -78,8 +78,8 @@
         del attempt.worker.unstarted[attempt]
         if attempt.cancelled:
             continue
-        single_shot = attempt.job.job_class.repeat is Repeat.SINGLE_SHOT
-        failures = LOST_SINGLE_SHOT_FAILURES if single_shot else FAILURE
+        not_idempotent = attempt.job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+        failures = LOST_NOT_IDEMPOTENT_FAILURES if not_idempotent else FAILURE
         record_class_failure(state, attempt.worker, attempt.job.job_class, failures, now)
         attempt.worker.failure_score.add(LOST_JOB_FAILURE_SCORE, now, FAILURE_SPAN_MS)
 
@@ -137,9 +137,9 @@
         return
     for fault in event.faults:
         if worker := state.workers.get(fault.worker):
-            avoided_until = now + min(fault.lasts, MAX_EJECTION_MS)
+            avoided_until = now + min(fault.avoid_for_ms, MAX_EJECTION_MS)
             worker.avoided_until_ms = max(worker.avoided_until_ms, avoided_until)
-            worker.started_at_ms = max(worker.started_at_ms, fault.since)
+            worker.started_at_ms = max(worker.started_at_ms, fault.cold_since_ms)
 
 
 def _mean_send_interval_ms(state: DispatcherState, recent_requests: float) -> float:
--- a/oxbowyard/decision/placement.py
+++ b/oxbowyard/decision/placement.py
@@ -10,7 +10,7 @@
 from .load_estimate import MEAN_SPAN_MS, estimated_load
 from .ranking import has_idle_connection
 from .routing import choose_worker
-from .settings import Repeat
+from .settings import RetrySafety
 from .slow_start import is_warming_up
 from .state import Attempt, DispatcherState, Job, KeyQueue, Worker
 
@@ -29,7 +29,7 @@
     if choice.worker is None:  # no worker, or all of them were tried: the next tick tries all again
         job.tried_workers.clear()
     elif not choice.is_probation and should_reject(state, job, choice.worker, choice.rank, now):
-        over_quota_wait = state.settings.max_backoff if job.over_quota else None
+        over_quota_wait = state.settings.max_retry_after_ms if job.over_quota else None
         give_up(state, job, over_quota_wait)
     else:
         _send(state, job, choice.worker, now)
@@ -48,7 +48,10 @@
 
 def _send(state: DispatcherState, job: Job, worker: Worker, now: float) -> None:
     state.queued_jobs.pop(job.id, None)
-    if job.job_class.repeat is Repeat.SINGLE_SHOT and worker.open_connections > worker.in_flight:
+    if (
+        job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+        and worker.open_connections > worker.in_flight
+    ):
         # What is written to an idle connection of a worker that was cut off is lost, and may have run.
         worker.open_connections = worker.in_flight
         state.actions.append(CloseIdleConnections(worker.name))
--- a/oxbowyard/decision/platform_settings.py
+++ b/oxbowyard/decision/platform_settings.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any
 
-from .settings import JobClass, Repeat, Settings, Tenant
+from .settings import JobClass, RetrySafety, Settings, Tenant
 
 # Names of load report values on the wire, and here; x0 is added where the settings say that it is free slots.
 LOAD_REPORT_NAMES = {"waiting": "waiting", "err_rps": "errors"}
@@ -55,30 +55,30 @@
     report = facts.get("loadReport") or {}
     return Settings(
         classes=_job_classes(facts, family),
-        siblings=_positive(facts, "siblings", whole=True),
+        scheduler_count=_positive(facts, "siblings", whole=True),
         zone=facts.get("myZone") or "",
-        by_work=facts.get("worthBy") == "work",
+        weight_is_per_work=facts.get("worthBy") == "work",
         tenants=tuple(Tenant(a["name"], a.get("quotaPerS") or 0.0) for a in facts.get("accounts") or []),
-        over_share_worth=_at_least_0(facts, "overShareWorth", 1.0),
+        over_quota_weight_share=_at_least_0(facts, "overShareWorth", 1.0),
         must_subscribe=facts.get("discovery") == "ask",
-        ask_every=_at_least_0(rules, "askEvery", 0.0) or math.inf,
+        max_poll_interval_ms=_at_least_0(rules, "askEvery", 0.0) or math.inf,
         live_weights=facts.get("weights") == "live",
-        tells_start=bool(family.get("tellsStart")),
-        in_turn=family.get("queueOrder") == "fifo",
-        progress_every=_at_least_0(family, "progress", 0.0),
+        reports_starts=bool(family.get("tellsStart")),
+        fifo_workers=family.get("queueOrder") == "fifo",
+        progress_interval_ms=_at_least_0(family, "progress", 0.0),
         may_probe=bool(limits.get("probes")) and report.get("via") == "pull",
         may_cancel=bool(limits.get("mayCancel")),
-        may_copy=bool(limits.get("secondCopies")),
+        may_hedge=bool(limits.get("secondCopies")),
         max_attempts=_positive(limits, "maxAttempts", whole=True),
-        max_backoff=_at_least_0(limits, "maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
-        connect_timeout=_positive({"connectTimeout": 250.0, **_without_nulls(limits)}, "connectTimeout"),
-        connect_idle=_at_least_0(limits, "connIdle", 60000.0),
-        drain_grace=_at_least_0(rules, "stopSendingWithin", 0.0),
-        cold_from=_at_least_0(rules, "coldFrom", 1.0),
-        ramp=_at_least_0(rules, "rampTime", 0.0),
-        tip_multiple=_at_least_0(rules, "tipMultiple", 3.0),
-        tip_after=_at_least_0(rules, "tipAfter", 1000.0),
-        turn_gap=_at_least_0(rules, "turnGap", 0.0),
+        max_retry_after_ms=_at_least_0(limits, "maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
+        connect_timeout_ms=_positive({"connectTimeout": 250.0, **_without_nulls(limits)}, "connectTimeout"),
+        connection_idle_timeout_ms=_at_least_0(limits, "connIdle", 60000.0),
+        drain_grace_ms=_at_least_0(rules, "stopSendingWithin", 0.0),
+        initial_capacity_share=_at_least_0(rules, "coldFrom", 1.0),
+        ramp_ms=_at_least_0(rules, "rampTime", 0.0),
+        overload_multiple=_at_least_0(rules, "tipMultiple", 3.0),
+        overload_window_ms=_at_least_0(rules, "tipAfter", 1000.0),
+        ordered_gap_ms=_at_least_0(rules, "turnGap", 0.0),
         waste_cost=_at_least_0(costs, "waste", 0.0),
         probe_cost=_at_least_0(costs, "probe", 0.0),
     )
@@ -101,17 +101,17 @@
     stretch = _stretch(lane, index, family)
     return JobClass(
         name=_required(lane, "name"),
-        aim=_positive(lane, "aim"),
-        deadline=_positive(lane, "deadline"),
-        repeat=Repeat(lane.get("semantics") or "single_shot"),
-        group=lane.get("group") or "all",
-        memory=_at_least_0(lane, "memorySpan", 0.0),
-        stretch=stretch,
-        worth=_at_least_0(lane, "worth", 1.0),
-        late_worth=_at_least_0(lane, "lateWorth", 0.0),
+        latency_objective_ms=_positive(lane, "aim"),
+        deadline_ms=_positive(lane, "deadline"),
+        retry_safety=RetrySafety(lane.get("semantics") or "single_shot"),
+        dedup_scope=lane.get("group") or "all",
+        dedup_window_ms=_at_least_0(lane, "memorySpan", 0.0),
+        objective_stretch=stretch,
+        priority_weight=_at_least_0(lane, "worth", 1.0),
+        late_weight_share=_at_least_0(lane, "lateWorth", 0.0),
         kind=kinds[kind] if 0 <= kind < len(kinds) else None,
         streaming=bool(lane.get("streaming")),
-        in_order=bool(lane.get("inOrder")),
+        is_ordered=bool(lane.get("inOrder")),
     )
 
 
--- a/oxbowyard/decision/quotas.py
+++ b/oxbowyard/decision/quotas.py
@@ -44,7 +44,11 @@
 
 def token_buckets(settings: Settings) -> dict[str, TokenBucket]:
     """A bucket for each tenant with a quota, by name: the dispatcher's equal part of the quota."""
-    quotas = {tenant.name: tenant.quota / settings.siblings for tenant in settings.tenants if tenant.quota}
+    quotas = {
+        tenant.name: tenant.quota_per_s / settings.scheduler_count
+        for tenant in settings.tenants
+        if tenant.quota_per_s
+    }
     return {
         name: TokenBucket(
             quota=quota,
--- a/oxbowyard/decision/ranking.py
+++ b/oxbowyard/decision/ranking.py
@@ -9,7 +9,7 @@
 import math
 
 from .load_estimate import MEAN_SPAN_MS, estimated_load, expected_queue_wait
-from .settings import JobClass, Repeat
+from .settings import JobClass, RetrySafety
 from .slow_start import warmth
 from .state import MAX_SERVICE_TIME_RATIO, Attempt, DispatcherState, Worker
 
@@ -44,14 +44,14 @@
     if slowdown > 1 and service_time:
         own_service_time = state.service_times_ms.mean(job_class.name, service_time)
         result += (slowdown - 1) * own_service_time / service_time
-    if job_class.repeat is Repeat.SINGLE_SHOT and worker.failure_score.value:
+    if job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT and worker.failure_score.value:
         result += FAILURE_RANK * worker.failure_score.current(now, FAILURE_SPAN_MS)
     return result
 
 
 def has_idle_connection(state: DispatcherState, worker: Worker, now: float) -> bool:
     """Whether a job would find an open connection; a private worker connected to us."""
-    if now - worker.last_sent_at_ms >= state.settings.connect_idle:
+    if now - worker.last_sent_at_ms >= state.settings.connection_idle_timeout_ms:
         worker.open_connections = worker.in_flight
     return worker.pool.private or worker.in_flight < worker.open_connections
 
--- a/oxbowyard/decision/relocation.py
+++ b/oxbowyard/decision/relocation.py
@@ -10,7 +10,7 @@
 from .load_estimate import expected_queue_wait
 from .ranking import SPILL_RANK
 from .routing import choose_worker
-from .settings import Repeat
+from .settings import RetrySafety
 from .state import Attempt, DispatcherState
 
 UNSTARTED_SHARE = 0.25  # of its latency objective: how long a job waits before it may move
@@ -29,7 +29,7 @@
     The end of the cancelled attempt places the job anew.
     """
     for attempt in list(state.unstarted_attempts):
-        shortest_wait = state.unknown_class.aim * UNSTARTED_SHARE
+        shortest_wait = state.unknown_class.latency_objective_ms * UNSTARTED_SHARE
         if state.move_budget < 1 or now - attempt.sent_at_ms < shortest_wait:
             break
         if _may_move(attempt, now):
@@ -38,11 +38,11 @@
 
 def _may_move(attempt: Attempt, now: float) -> bool:
     job = attempt.job
-    if job.job_class.repeat is not Repeat.FREE or attempt.cancelled:
+    if job.job_class.retry_safety is not RetrySafety.IDEMPOTENT or attempt.cancelled:
         return False
     if _is_load_reported(attempt) and len(job.attempts) > 1:  # the ranks are believed: one move is enough
         return False
-    waits_until = attempt.sent_at_ms + job.job_class.aim * UNSTARTED_SHARE
+    waits_until = attempt.sent_at_ms + job.job_class.latency_objective_ms * UNSTARTED_SHARE
     return now >= max(attempt.reconsider_at_ms, waits_until)
 
 
--- a/oxbowyard/decision/retry.py
+++ b/oxbowyard/decision/retry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .settings import JobClass, Repeat
+from .settings import JobClass, RetrySafety
 from .state import DispatcherState, Job, Worker
 
 
@@ -12,10 +12,10 @@
         return False
     if job.deadline_ms - now <= state.tick_interval_ms:
         return False
-    repeat = job.job_class.repeat
-    if job.first_run_worker is None or repeat is Repeat.FREE:
+    repeat = job.job_class.retry_safety
+    if job.first_run_worker is None or repeat is RetrySafety.IDEMPOTENT:
         return True
-    return repeat is Repeat.GUARDED and now - job.first_run_at_ms < job.job_class.memory
+    return repeat is RetrySafety.DEDUPLICATED and now - job.first_run_at_ms < job.job_class.dedup_window_ms
 
 
 def may_attempt_at(job: Job, worker: Worker, now: float) -> bool:
@@ -24,19 +24,22 @@
     A keyed job is repeated only at workers that remember its first run, and while they do.
     """
     first_worker, job_class = job.first_run_worker, job.job_class
-    if first_worker is None or job_class.repeat is Repeat.FREE:
+    if first_worker is None or job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return True
-    if job_class.repeat is Repeat.SINGLE_SHOT or now - job.first_run_at_ms >= job_class.memory:
+    if (
+        job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+        or now - job.first_run_at_ms >= job_class.dedup_window_ms
+    ):
         return False
-    if job_class.group == "all":
+    if job_class.dedup_scope == "all":
         return True
-    if job_class.group == "zone":
+    if job_class.dedup_scope == "zone":
         return worker.zone == first_worker.zone
     return worker.cell == first_worker.cell
 
 
 def is_harmless_anywhere(job_class: JobClass) -> bool:
     """Whether a client's retry of a job that may have run does no harm, whichever worker gets it."""
-    if job_class.repeat is Repeat.FREE:
+    if job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return True
-    return job_class.repeat is Repeat.GUARDED and job_class.group == "all"
+    return job_class.retry_safety is RetrySafety.DEDUPLICATED and job_class.dedup_scope == "all"
--- a/oxbowyard/decision/routing.py
+++ b/oxbowyard/decision/routing.py
@@ -47,7 +47,9 @@
 def choose_worker(state: DispatcherState, job: Job, now: float) -> Choice:
     """The worker for a job: the three steps of P-DACA over the eligible workers."""
     key = job.key
-    affinity_wait_ms = max(AFFINITY_WAIT_SHARE * job.job_class.aim, state.key_fetch_cost_ms.difference)
+    affinity_wait_ms = max(
+        AFFINITY_WAIT_SHARE * job.job_class.latency_objective_ms, state.key_fetch_cost_ms.difference
+    )
     set_size = key.set_size if key.key_hash != state.hash_salt else 0  # no key: no affinity
     # Dispatchers look at different members of a wide set.
     first_member = (key.key_hash ^ state.hash_salt) % max(set_size, 1)
@@ -87,7 +89,7 @@
 
     The wait is counted in service times of the kind of the set's last member.
     """
-    service_time = last_member.pool.mean_service_time_ms or job.job_class.aim
+    service_time = last_member.pool.mean_service_time_ms or job.job_class.latency_objective_ms
     return best.rank < SPILL_RANK + affinity_wait_ms / service_time
 
 
--- a/oxbowyard/decision/slow_start.py
+++ b/oxbowyard/decision/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: how warm a restarted worker is, and how much may be sent to it while it is cold.
 
-A cold worker that all dispatchers together send more than `Settings.tip_multiple` times its present capacity,
-over `Settings.tip_after`, collapses. Each dispatcher keeps to its share of a budget below that. Writes the
-workers' budget fields.
+A cold worker collapses if all dispatchers together send it more than `Settings.overload_multiple` times its
+present capacity over `Settings.overload_window_ms`. Each dispatcher keeps to its share of a smaller budget.
+Writes the workers' budget fields.
 """
 
 from __future__ import annotations
@@ -18,16 +18,18 @@
 
 def is_warming_up(state: DispatcherState, worker: Worker, now: float) -> bool:
     """Whether the worker started less than the ramp ago."""
-    return now < worker.started_at_ms + state.settings.ramp
+    return now < worker.started_at_ms + state.settings.ramp_ms
 
 
 def warmth(state: DispatcherState, worker: Worker, now: float) -> float:
-    """The share of its capacity that a worker has by now: from `Settings.cold_from` to 1 over the ramp."""
+    """The share of its capacity that a worker has by now: it grows to 1 over the ramp."""
     settings = state.settings
-    if worker.started_at_ms <= 0 or now - worker.started_at_ms >= settings.ramp:
+    if worker.started_at_ms <= 0 or now - worker.started_at_ms >= settings.ramp_ms:
         return 1.0
     elapsed = max(now - worker.started_at_ms, 0.0)
-    return settings.cold_from + (1 - settings.cold_from) * elapsed / settings.ramp
+    return (
+        settings.initial_capacity_share + (1 - settings.initial_capacity_share) * elapsed / settings.ramp_ms
+    )
 
 
 def budget_allows_send(state: DispatcherState, worker: Worker, now: float) -> bool:
@@ -36,11 +38,11 @@
     current_warmth = warmth(state, worker, now)
     if current_warmth >= 1:
         return True
-    window = int((now + state.warm_up_window_offset_ms) / settings.tip_after)
+    window = int((now + state.warm_up_window_offset_ms) / settings.overload_window_ms)
     if window != worker.budget_window:
         worker.budget_window = window
         worker.budget_sends = _draw_budget(state, worker, current_warmth, now)
-    while worker.cold_sends_at_ms and worker.cold_sends_at_ms[0] <= now - settings.tip_after:
+    while worker.cold_sends_at_ms and worker.cold_sends_at_ms[0] <= now - settings.overload_window_ms:
         worker.cold_sends_at_ms.popleft()
     return len(worker.cold_sends_at_ms) < worker.budget_sends
 
@@ -49,19 +51,25 @@
     """This dispatcher's sends in one window; a share below one gives one send in some windows, at random."""
     settings, pool = state.settings, worker.pool
     service_time = _service_time_ms(state, pool, now)
-    budget = settings.tip_multiple * current_warmth * pool.max_concurrency / service_time * settings.tip_after
-    sends = int(BUDGET_SHARE * budget / settings.siblings)
+    budget = (
+        settings.overload_multiple
+        * current_warmth
+        * pool.max_concurrency
+        / service_time
+        * settings.overload_window_ms
+    )
+    sends = int(BUDGET_SHARE * budget / settings.scheduler_count)
     if sends:
         return sends
     # The total at which a Poisson burst of this many deviations just reaches the budget.
     deviations = BURST_ALLOWANCE_DEVIATIONS
     mean_total = (math.sqrt(deviations**2 + 4 * budget) - deviations) ** 2 / 4
-    return int(state.random.random() < mean_total / settings.siblings)
+    return int(state.random.random() < mean_total / settings.scheduler_count)
 
 
 def _service_time_ms(state: DispatcherState, pool: WorkerPool, now: float) -> float:
     """The pool's mean service time; at first jobs that still run count too, since short ones end first."""
-    default = state.settings.tip_after
+    default = state.settings.overload_window_ms
     if now - pool.first_start_at_ms >= default:
         return pool.mean_service_time_ms or default
     running = [
--- a/oxbowyard/decision/state.py
+++ b/oxbowyard/decision/state.py
@@ -212,8 +212,8 @@
         self.random = Random(seed)
         self.actions: list[Action] = []  # of the event that is being handled
         self.classes = {job_class.name: job_class for job_class in settings.classes}
-        strictest = min(settings.classes, key=lambda job_class: job_class.aim)
-        self.unknown_class = JobClass("", strictest.aim, strictest.deadline)
+        strictest = min(settings.classes, key=lambda job_class: job_class.latency_objective_ms)
+        self.unknown_class = JobClass("", strictest.latency_objective_ms, strictest.deadline_ms)
 
         # Workers
         self.workers: dict[str, Worker] = {}
@@ -243,15 +243,15 @@
         self.fleet_mean_weight = 1.0  # weight of the fleet's mean load in a worker's estimate
         self.unobserved_share = 0.0  # share of the fleet's traffic that own traffic does not show
         self.weights_reported = False  # the endpoint list's weights tell the workers' loads
-        self.sparse_traffic = settings.siblings > SPARSE_TRAFFIC_SCHEDULERS
+        self.sparse_traffic = settings.scheduler_count > SPARSE_TRAFFIC_SCHEDULERS
         self.traffic_share = 1.0  # this dispatcher's traffic over the mean dispatcher's
         self.service_times_ms = RunningMeans(SERVICE_TIME_SAMPLES)  # by class
         self.key_fetch_cost_ms = MeanDifference(SERVICE_TIME_SAMPLES, MAX_SERVICE_TIME_RATIO)
         self.connection_cost_ms = 0.0
 
         # Timers
-        self.warm_up_window_offset_ms = self.random.uniform(0.0, settings.tip_after)
-        self.tick_interval_ms = settings.connect_timeout / TICKS_PER_CONNECT_TIMEOUT
+        self.warm_up_window_offset_ms = self.random.uniform(0.0, settings.overload_window_ms)
+        self.tick_interval_ms = settings.connect_timeout_ms / TICKS_PER_CONNECT_TIMEOUT
         self.tick_timer_set = False
         self.subscribe_timer_set = False
         self.subscribe_backoff_ms = 0.0
--- a/oxbowyard/discovery/client.py
+++ b/oxbowyard/discovery/client.py
@@ -94,7 +94,7 @@
             return False
         scope, infos = self._registry.apply(replace(event, is_full=True), restored=True)
         if online_since is not None:
-            infos = tuple(replace(i, online_since=max(i.online_since, online_since)) for i in infos)
+            infos = tuple(replace(i, started_at_ms=max(i.started_at_ms, online_since)) for i in infos)
         self._update_endpoints(scope, infos)
         self._resume_after = event.revision if may_resume and self._schedule.shared else None
         self.ready.set()
--- a/oxbowyard/discovery/endpoint_list.py
+++ b/oxbowyard/discovery/endpoint_list.py
@@ -99,7 +99,7 @@
         kind=str(row.get("model") or ""),
         cell=int(row.get("pod_group") or 0),
         weight=float(row.get("capacity_hint") or DEFAULT_WEIGHT),
-        online_since=float(row.get("boot_ms") or 0.0),
+        started_at_ms=float(row.get("boot_ms") or 0.0),
     )
 
 
@@ -113,5 +113,5 @@
         "model": info.kind,
         "pod_group": info.cell,
         "capacity_hint": info.weight,
-        "boot_ms": info.online_since,
+        "boot_ms": info.started_at_ms,
     }
--- a/oxbowyard/gearman/config.py
+++ b/oxbowyard/gearman/config.py
@@ -87,17 +87,17 @@
     base = bases.get(row.get("class", ""))
     if base is None:
         raise ValueError(f"function {name}: class {row.get('class')!r} is not in the settings")
-    deadline = float(_positive(row, "deadline_ms", base.deadline))
-    worth = row.get("worth", base.worth)
+    deadline = float(_positive(row, "deadline_ms", base.deadline_ms))
+    worth = row.get("worth", base.priority_weight)
     if isinstance(worth, bool) or not isinstance(worth, (int, float)) or worth < 0:
         raise ValueError(f"function {name}: worth must not be negative")
     own = replace(
         base,
         name=f"{KIND}:{name}",
         kind=KIND,
-        deadline=deadline,
-        aim=min(base.aim, deadline),
-        worth=float(worth),
+        deadline_ms=deadline,
+        latency_objective_ms=min(base.latency_objective_ms, deadline),
+        priority_weight=float(worth),
     )
     patience = _seconds(row, "patience_s", 0.0, 10 * 365 * 86400.0) if "patience_s" in row else None
     queueing = row.get("queueing", False)
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -13,7 +13,7 @@
 
 from ..core.request import Answer, AnswerKind, AttemptUpdate, Request, RunState, UpdateKind
 from ..core.scheduler import Scheduler
-from ..decision.settings import Repeat
+from ..decision.settings import RetrySafety
 from ..waiting.job import (
     HIGH_PRIORITY,
     LOW_PRIORITY,
@@ -161,7 +161,7 @@
             self._queue(job, request, wait)
             self._join(job, waiter, waits)
             return
-        if unique and function.job_class.repeat is not Repeat.FREE:
+        if unique and function.job_class.retry_safety is not RetrySafety.IDEMPOTENT:
             # What must not run twice is the same job for a client that did not hear of its first hand-in.
             wait = replace(wait, idempotency_key=f"gearman:{function.name}:{_key(unique)}:{_key(workload)}")
         waiter.defer()
@@ -256,7 +256,7 @@
         return Request(
             id=job.handle.decode(),
             job_class=job.function.job_class.name,
-            timeout_s=job.function.job_class.deadline / 1000,
+            timeout_s=job.function.job_class.deadline_ms / 1000,
             target=job.function.name,
             payload=workload,
             key=_key(job.unique),
--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -65,20 +65,20 @@
         self._reported_until = {key: until for key, until in self._reported_until.items() if until > now}
         if len(own_faults) > max(min(MAX_REPORTED_FAULTS, worker_count * MAX_REPORTED_SHARE), 1):
             return []
-        peer_starts = {fault.worker: fault.since for fault in self.peer_faults(now, clock_ms)}
+        peer_starts = {fault.worker: fault.cold_since_ms for fault in self.peer_faults(now, clock_ms)}
         reports: list[FaultReport] = []
         for fault in own_faults:
             reports += self._ejection(fault, now)
             peer_start = peer_starts.get(fault.worker, -math.inf)
-            if fault.since and abs(fault.since - peer_start) > MIN_START_DIFFERENCE_MS:
+            if fault.cold_since_ms and abs(fault.cold_since_ms - peer_start) > MIN_START_DIFFERENCE_MS:
                 reports += self._warm_up(fault, now, clock_ms)
         return reports
 
     def _ejection(self, fault: WorkerFault, now: float) -> list[FaultReport]:
-        return self._if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.lasts / MS_PER_S, now)
+        return self._if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.avoid_for_ms / MS_PER_S, now)
 
     def _warm_up(self, fault: WorkerFault, now: float, clock_ms: float) -> list[FaultReport]:
-        age_s = max(clock_ms - fault.since, 0.0) / MS_PER_S
+        age_s = max(clock_ms - fault.cold_since_ms, 0.0) / MS_PER_S
         return self._if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
 
     def _if_new(self, key: str, value: float, lifetime_s: float, now: float) -> list[FaultReport]:
@@ -107,7 +107,7 @@
         later each time.
         """
         self._drop_expired(now)
-        own_starts = {fault.worker: fault.since for fault in own_faults if fault.since}
+        own_starts = {fault.worker: fault.cold_since_ms for fault in own_faults if fault.cold_since_ms}
         avoid_ms: dict[str, float] = {}
         starts: dict[str, float] = {}
         for report in self._received.values():
--- /dev/null
+++ b/oxbowyard/waiting/acceptance.py
@@ -0,0 +1,125 @@
+"""Accepting jobs: from a client's submission, or from the store after a restart. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .dependencies import topological_order
+from .held_jobs import check_submission, queue_full
+from .job import Job, JobOutcome, JobRejectedError, JobState, JobSubmission, RejectionCode, StateChanged
+from .policy_state import PolicyState, end_job, mark_indeterminate, set_timer, unblock
+
+
+def find_repeated(state: PolicyState, submissions: Sequence[JobSubmission]) -> list[Job]:
+    """The jobs that were submitted before with the same idempotency keys; none if the submission is new.
+
+    Raises JobRejectedError if only some were, or if a key was used with other content.
+    """
+    known = [_find_one_repeated(state, submission) for submission in submissions]
+    found = [job for job in known if job is not None]
+    if found and len(found) < len(known):
+        text = "some of these were handed in before, and some were not"
+        raise JobRejectedError(RejectionCode.CONFLICT, text)
+    return found
+
+
+def _find_one_repeated(state: PolicyState, submission: JobSubmission) -> Job | None:
+    if not submission.idempotency_key:
+        return None
+    job = state.by_idempotency_key.get((submission.tenant, submission.idempotency_key))
+    if job is not None and job.fingerprint != submission.fingerprint:
+        text = "this idempotency key was used for another job"
+        raise JobRejectedError(RejectionCode.CONFLICT, text)
+    return job
+
+
+def accept_jobs(state: PolicyState, now: float, submissions: Sequence[JobSubmission]) -> list[Job]:
+    """Accept all jobs or none. Raises JobRejectedError."""
+    if state.is_stopping:
+        text = "this scheduler takes no more jobs"
+        raise queue_full(state.settings, RejectionCode.STOPPING, text)
+    check_submission(submissions, state.settings, state.classes, state.jobs, state.held)
+    accepted = {}
+    for submission, depth in topological_order(submissions, state.jobs.get, state.settings):
+        state.last_number += 1
+        job = _add_job(state, now, submission, state.last_number, depth)
+        _begin_waiting(state, job, now)
+        accepted[submission.id] = job
+    return [accepted[submission.id] for submission in submissions]
+
+
+def restore_job(
+    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, failure: str
+) -> Job:
+    """Take back a job that never began, with the wait and delay that are left to it.
+
+    Its open dependencies are here; `failure` says that another one did not end as required. No limit applies:
+    it was accepted. Without any wait left it ends as expired.
+    """
+    job = _add_job(state, now, submission, number, 0)
+    job.submissions = submissions
+    if failure:
+        end_job(state, job, now, JobOutcome.DEPENDENCY_FAILED, failure)
+    elif job.wait_deadline_ms <= now:
+        reason = "its patience for waiting was over before the restart"
+        end_job(state, job, now, JobOutcome.WAIT_EXPIRED, reason)
+    else:
+        _begin_waiting(state, job, now)
+    return job
+
+
+def restore_indeterminate_job(
+    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, reason: str
+) -> Job:
+    """Take back a job that may have run, and whose end nobody reported."""
+    job = _add_job(state, now, submission, number, 0)
+    job.submissions = submissions
+    mark_indeterminate(state, job, reason)
+    return job
+
+
+def _begin_waiting(state: PolicyState, job: Job, now: float) -> None:
+    if job.pending_dependencies:
+        set_timer(state, job, job.wait_deadline_ms)
+    else:
+        unblock(state, job, now)
+
+
+def _add_job(state: PolicyState, now: float, submission: JobSubmission, number: int, depth: int) -> Job:
+    class_settings = state.settings.of(submission.job_class)
+    job = Job(
+        submission.id,
+        submission.job_class,
+        submission.tenant,
+        submission.payload_bytes,
+        number,
+        accepted_at_ms=now,
+        wait_deadline_ms=now + submission.max_wait_ms,
+        not_before_ms=now + submission.delay_ms if submission.delay_ms else 0.0,
+        state=JobState.BLOCKED,
+        wait_for_idle=submission.wait_for_idle or class_settings.quiet,
+        priority=submission.priority,
+        idempotency_key=submission.idempotency_key,
+        fingerprint=submission.fingerprint,
+        request=submission.request,
+        depth=depth,
+        durable=submission.durable,
+    )
+    _add_dependencies(state, job, submission)
+    state.jobs[job.id] = job
+    if job.idempotency_key:
+        state.by_idempotency_key[job.tenant, job.idempotency_key] = job
+    state.held.add(job)
+    state.actions.append(StateChanged(job, JobState.BLOCKED))
+    return job
+
+
+def _add_dependencies(state: PolicyState, job: Job, submission: JobSubmission) -> None:
+    for dependency in submission.dependencies:
+        known = state.jobs.get(dependency.id)
+        if known is None or known.outcome is not None:
+            continue
+        if known.dependents is None:
+            known.dependents = []
+        known.dependents.append((job, dependency.condition))
+        job.pending_dependencies += 1
--- a/oxbowyard/waiting/core_submissions.py
+++ b/oxbowyard/waiting/core_submissions.py
@@ -18,6 +18,7 @@
 from ..decision.settings import JobClass
 from .job import Job, JobOutcome
 from .journal import JobJournal
+from .lease_watch import LeaseWatch
 from .policy import WaitingPolicy
 from .settings import WaitingSettings
 
@@ -69,7 +70,7 @@
         scheduler: Scheduler,
         journal: JobJournal,
         classes: Mapping[str, JobClass],
-        at_most_once: Collection[str],
+        non_repeatable: Collection[str],
         clock: Callable[[], float],
         drive: Callable[[float], None],
     ) -> None:
@@ -78,14 +79,14 @@
         self._scheduler = scheduler
         self._journal = journal
         self._classes = classes
-        self._at_most_once = at_most_once
+        self._non_repeatable = non_repeatable
         self._clock = clock
         self._drive = drive
         self._loop = asyncio.get_running_loop()
         self._submissions: dict[str, _Submission] = {}  # by job
         self._leases: dict[str, str] = {}  # the last one of each job that was granted
         self._granted_to: dict[str, str] = {}
-        self._lease_timer: asyncio.TimerHandle | None = None
+        self._lease_watch = LeaseWatch(journal.leases, clock, self._expire_lease)
         self.answers: dict[str, WorkerAnswer] = {}  # of jobs that are about to end
         self.is_stopping = False
         self.counts = SubmissionCounts()
@@ -149,7 +150,7 @@
         assert request is not None
         needs_lease = self._must_not_repeat(job)
         lease = secrets.token_hex(LEASE_TOKEN_BYTES) if needs_lease else ""
-        class_deadline_s = self._classes[job.job_class].deadline / 1000
+        class_deadline_s = self._classes[job.job_class].deadline_ms / 1000
         return replace(
             request,
             id=request_id,
@@ -164,13 +165,13 @@
         )
 
     def _must_not_repeat(self, job: Job) -> bool:
-        return job.durable and job.job_class in self._at_most_once
+        return job.durable and job.job_class in self._non_repeatable
 
     def _record_lease(self, job: Job, lease: str, worker: str, then: Callable[[], None]) -> None:
         """A worker is about to have a job that must not run twice: that is recorded first."""
         self._leases[job.id] = lease
         self._granted_to[job.id] = worker
-        self._begin_lease(job)
+        self._lease_watch.begin(job.id)
         self._journal.record_grant(job, worker, lease)
         self._journal.when_durable(then)
 
@@ -182,23 +183,21 @@
             return
         now = self._clock()
         if job.durable:
-            self._begin_lease(job)
+            self._lease_watch.begin(job.id)
         self._policy.job_started(now, job, now - submission.submitted_at_ms)
         self._drive(now)
 
     def _on_update(
         self, job: Job, notify: Callable[[AttemptUpdate], None] | None, update: AttemptUpdate
     ) -> None:
-        if self._journal.leases is not None:
-            self._journal.leases.renew(self._clock(), job.id)
+        self._lease_watch.renew(job.id)
         if notify is not None:
             notify(update)
 
     def _on_answer(self, job: Job, task: asyncio.Task[Answer]) -> None:
         submission = self._submissions.pop(job.id)
         now = self._clock()
-        if self._journal.leases is not None:
-            self._journal.leases.end(job.id)
+        self._lease_watch.end(job.id)
         run_state = submission.cancelled_at or RunState.MAY_BE_RUNNING
         if task.cancelled() and submission.lease_expired:
             self._on_lease_expired(job, run_state, now)
@@ -243,36 +242,17 @@
 
     # ---- Leases ----
 
-    def _begin_lease(self, job: Job) -> None:
-        if self._journal.leases is not None:
-            self._journal.leases.begin(self._clock(), job.id)
-            self._set_lease_timer()
-
-    def _set_lease_timer(self) -> None:
-        leases = self._journal.leases
-        if leases is None or self._lease_timer is not None:
+    def _expire_lease(self, job_id: str) -> None:
+        submission = self._submissions.get(job_id)
+        if submission is None or submission.cancelled_at is not None or submission.task is None:
             return
-        expiry_ms = leases.next_expiry_ms()
-        if expiry_ms is not None:
-            delay_s = max(expiry_ms - self._clock(), 0.0) / 1000
-            self._lease_timer = self._loop.call_later(delay_s, self._expire_leases)
-
-    def _expire_leases(self) -> None:
-        self._lease_timer = None
-        leases = self._journal.leases
-        assert leases is not None
-        for job_id in leases.take_expired(self._clock()):
-            submission = self._submissions.get(job_id)
-            if submission is None or submission.cancelled_at is not None or submission.task is None:
-                continue
-            log.warning("lease expired, its worker was silent: job=%s", job_id)
-            submission.lease_expired = True
-            self._cancel(submission)
-        self._set_lease_timer()
+        log.warning("lease expired, its worker was silent: job=%s", job_id)
+        submission.lease_expired = True
+        self._cancel(submission)
 
     def _on_lease_expired(self, job: Job, run_state: RunState, now: float) -> None:
         """A silent worker was given up: a job that must not run twice is indeterminate, others retry."""
-        if run_state is not RunState.NEVER_RAN and job.job_class in self._at_most_once:
+        if run_state is not RunState.NEVER_RAN and job.job_class in self._non_repeatable:
             self._mark_indeterminate(job, "its worker was silent for longer than its lease", now)
         else:
             self._policy.job_rejected(now, job, 0.0, may_retry=True)
--- a/oxbowyard/waiting/job_queue.py
+++ b/oxbowyard/waiting/job_queue.py
@@ -16,7 +16,7 @@
 
 from ..core.request import Answer, AnswerKind, Request, RunState
 from ..core.scheduler import Scheduler
-from ..decision.settings import JobClass, Repeat
+from ..decision.settings import JobClass, RetrySafety
 from .core_submissions import CoreSubmissions, WorkerAnswer
 from .fleet_view import FleetView
 from .held_jobs import HeldJobs
@@ -67,15 +67,22 @@
         self._journal: JobJournal = journal or InMemoryJournal()
         self.ids = JobIds(name, int(wall_clock() * 1000), self._journal.run_id)
         by_name = {c.name: c for c in classes if not c.name.endswith(AGED_CLASS_SUFFIX)}
-        weights = {name: job_class.worth for name, job_class in by_name.items()}
-        at_most_once = frozenset(c.name for c in by_name.values() if _must_not_repeat(c))
+        weights = {name: job_class.priority_weight for name, job_class in by_name.items()}
+        non_repeatable = frozenset(c.name for c in by_name.values() if _must_not_repeat(c))
         self._policy = WaitingPolicy(settings, weights, FleetView(scheduler, by_name, clock).capacity)
         self._watchers = ResultWatchers(settings)
         self._driver = PolicyDriver(
             settings, self._policy, self._journal, self._watchers, scheduler.measure, by_name, clock
         )
         self._submissions = self._driver.submissions = CoreSubmissions(
-            settings, self._policy, scheduler, self._journal, by_name, at_most_once, clock, self._driver.drive
+            settings,
+            self._policy,
+            scheduler,
+            self._journal,
+            by_name,
+            non_repeatable,
+            clock,
+            self._driver.drive,
         )
         self.intake = JobIntake(
             settings, self._policy, self._journal, self._driver, self._watchers, self.ids, clock, wall_clock
@@ -237,9 +244,7 @@
         submission = self._adopt(submission)
         if indeterminate:
             self._submissions.restore_lease(submission.id, lease)
-            self._policy.restore_indeterminate(now, submission, number, submissions, indeterminate)
-        else:
-            self._policy.restore(now, submission, number, submissions, dependency_failure)
+        self._policy.restore(now, submission, number, submissions, dependency_failure, indeterminate)
         self._driver.drive(now)
 
     def _adopt(self, submission: JobSubmission) -> JobSubmission:
@@ -272,9 +277,9 @@
 
 
 def _must_not_repeat(job_class: JobClass) -> bool:
-    if job_class.repeat is Repeat.GUARDED:
-        return job_class.group != "all"
-    return job_class.repeat is Repeat.SINGLE_SHOT
+    if job_class.retry_safety is RetrySafety.DEDUPLICATED:
+        return job_class.dedup_scope != "all"
+    return job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
 
 
 def with_aged_classes(
@@ -292,7 +297,9 @@
         replace(
             job_class,
             name=job_class.name + AGED_CLASS_SUFFIX,
-            aim=max(job_class.aim, objective_deadlines * job_class.deadline),
+            latency_objective_ms=max(
+                job_class.latency_objective_ms, objective_deadlines * job_class.deadline_ms
+            ),
         )
         for job_class in named
         if settings.of(job_class.name).queueing
--- a/oxbowyard/waiting/policy.py
+++ b/oxbowyard/waiting/policy.py
@@ -7,23 +7,12 @@
 
 from __future__ import annotations
 
-from bisect import bisect_right
 from collections.abc import Callable, Mapping, Sequence
-from itertools import islice
 
 from ..core.request import RunState
-from .dependencies import topological_order
-from .held_jobs import HeldJobs, check_submission, queue_full
-from .job import (
-    Action,
-    Job,
-    JobOutcome,
-    JobRejectedError,
-    JobState,
-    JobSubmission,
-    RejectionCode,
-    StateChanged,
-)
+from .acceptance import accept_jobs, find_repeated, restore_indeterminate_job, restore_job
+from .job import Action, Job, JobOutcome, JobState, JobSubmission
+from .listing import page_of
 from .policy_state import PolicyState, end_job, fire_timer, mark_indeterminate, set_state, set_timer, unblock
 from .release import release_jobs
 from .release_rate import POLL_INTERVAL_MS, CapacityOf
@@ -33,7 +22,6 @@
 STEPS_PER_TICK = 200  # some 3 ms
 STEPS_PER_CALL = 4  # in any other call: many of these may come in one turn of the event loop
 RELEASES_PER_CALL = 16  # each costs the core some 0.1 ms in the loop's next turn
-MAX_JOBS_EXAMINED_PER_PAGE = 5_000  # some 2 ms
 
 
 class WaitingPolicy:
@@ -44,16 +32,12 @@
     ) -> None:
         """`weights` names the classes and their priority weights; `capacity_of` is asked at releases."""
         self._state = PolicyState(settings, weights, capacity_of)
+        self.held = self._state.held  # what is held now
         self.priorities = self._state.priorities
         self.rate = self._state.rate
 
     # ---- Queries ----
 
-    @property
-    def held(self) -> HeldJobs:
-        """What is held now."""
-        return self._state.held
-
     @property
     def last_number(self) -> int:
         """The number of the job that was accepted last."""
@@ -74,16 +58,7 @@
 
         A page may be short, or empty, with more to come: a call examines a bounded number of jobs.
         """
-        jobs = list(self._state.jobs.values())  # by number; a copy of references, some ms for a million
-        start = bisect_right(jobs, after, key=lambda job: job.number)
-        found: list[Job] = []
-        for job in islice(jobs, start, start + MAX_JOBS_EXAMINED_PER_PAGE):
-            if matches(job):
-                found.append(job)
-            if len(found) == limit or job is jobs[-1]:
-                return found, None if job is jobs[-1] else job.number
-        end = start + MAX_JOBS_EXAMINED_PER_PAGE
-        return found, jobs[end - 1].number if end <= len(jobs) else None
+        return page_of(list(self._state.jobs.values()), after, limit, matches)
 
     def position(self, job: Job) -> int:
         """How many jobs of its class are before a job that is ready."""
@@ -111,82 +86,12 @@
 
     def submit(self, now: float, submissions: Sequence[JobSubmission]) -> list[Job]:
         """Accept all jobs or none; a known idempotency key stands for its job. Raises JobRejectedError."""
-        known = [self._find_repeated(submission) for submission in submissions]
-        if any(known):
-            if not all(known):
-                text = "some of these were handed in before, and some were not"
-                raise JobRejectedError(RejectionCode.CONFLICT, text)
-            return [job for job in known if job is not None]
-        state = self._state
-        if state.is_stopping:
-            text = "this scheduler takes no more jobs"
-            raise queue_full(state.settings, RejectionCode.STOPPING, text)
-        check_submission(submissions, state.settings, state.classes, state.jobs, state.held)
-        accepted = {}
-        for submission, depth in topological_order(submissions, state.jobs.get, state.settings):
-            accepted[submission.id] = self._accept(now, submission, depth)
+        known = find_repeated(self._state, submissions)
+        if known:
+            return known
+        accepted = accept_jobs(self._state, now, submissions)
         self._work(now, STEPS_PER_CALL)
-        return [accepted[submission.id] for submission in submissions]
-
-    def _find_repeated(self, submission: JobSubmission) -> Job | None:
-        if not submission.idempotency_key:
-            return None
-        job = self._state.by_idempotency_key.get((submission.tenant, submission.idempotency_key))
-        if job is not None and job.fingerprint != submission.fingerprint:
-            text = "this idempotency key was used for another job"
-            raise JobRejectedError(RejectionCode.CONFLICT, text)
-        return job
-
-    def _accept(self, now: float, submission: JobSubmission, depth: int) -> Job:
-        self._state.last_number += 1
-        job = self._add(now, submission, self._state.last_number, depth)
-        self._begin_waiting(job, now)
-        return job
-
-    def _begin_waiting(self, job: Job, now: float) -> None:
-        if job.pending_dependencies:
-            set_timer(self._state, job, job.wait_deadline_ms)
-        else:
-            unblock(self._state, job, now)
-
-    def _add(self, now: float, submission: JobSubmission, number: int, depth: int) -> Job:
-        state = self._state
-        class_settings = state.settings.of(submission.job_class)
-        job = Job(
-            submission.id,
-            submission.job_class,
-            submission.tenant,
-            submission.payload_bytes,
-            number,
-            accepted_at_ms=now,
-            wait_deadline_ms=now + submission.max_wait_ms,
-            not_before_ms=now + submission.delay_ms if submission.delay_ms else 0.0,
-            state=JobState.BLOCKED,
-            wait_for_idle=submission.wait_for_idle or class_settings.quiet,
-            priority=submission.priority,
-            idempotency_key=submission.idempotency_key,
-            fingerprint=submission.fingerprint,
-            request=submission.request,
-            depth=depth,
-            durable=submission.durable,
-        )
-        self._add_dependencies(job, submission)
-        state.jobs[job.id] = job
-        if job.idempotency_key:
-            state.by_idempotency_key[job.tenant, job.idempotency_key] = job
-        state.held.add(job)
-        state.actions.append(StateChanged(job, JobState.BLOCKED))
-        return job
-
-    def _add_dependencies(self, job: Job, submission: JobSubmission) -> None:
-        for dependency in submission.dependencies:
-            known = self._state.jobs.get(dependency.id)
-            if known is None or known.outcome is not None:
-                continue
-            if known.dependents is None:
-                known.dependents = []
-            known.dependents.append((job, dependency.condition))
-            job.pending_dependencies += 1
+        return accepted
 
     # ---- Recovery from a store ----
 
@@ -195,32 +100,21 @@
         self._state.last_number = max(self._state.last_number, number)
 
     def restore(
-        self, now: float, submission: JobSubmission, number: int, submissions: int, failure: str = ""
+        self,
+        now: float,
+        submission: JobSubmission,
+        number: int,
+        submissions: int,
+        failure: str = "",
+        indeterminate: str = "",
     ) -> Job:
-        """Take back a job that never began, with the wait and delay that are left to it.
+        """Take back a job of an earlier run: it never began, or `indeterminate` says why it may have run.
 
-        Its open dependencies are here; `failure` says that another one did not end as required. No limit
-        applies: it was accepted. Without any wait left it ends as expired.
+        See `acceptance.restore_job` and `acceptance.restore_indeterminate_job`.
         """
-        job = self._add(now, submission, number, 0)
-        job.submissions = submissions
-        if failure:
-            end_job(self._state, job, now, JobOutcome.DEPENDENCY_FAILED, failure)
-        elif job.wait_deadline_ms <= now:
-            reason = "its patience for waiting was over before the restart"
-            end_job(self._state, job, now, JobOutcome.WAIT_EXPIRED, reason)
-        else:
-            self._begin_waiting(job, now)
-        return job
-
-    def restore_indeterminate(
-        self, now: float, submission: JobSubmission, number: int, submissions: int, reason: str
-    ) -> Job:
-        """Take back a job that may have run, and whose end nobody reported."""
-        job = self._add(now, submission, number, 0)
-        job.submissions = submissions
-        mark_indeterminate(self._state, job, reason)
-        return job
+        if indeterminate:
+            return restore_indeterminate_job(self._state, now, submission, number, submissions, indeterminate)
+        return restore_job(self._state, now, submission, number, submissions, failure)
 
     # ---- Events ----
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -69,7 +69,9 @@
 @pytest.mark.parametrize("name", ["config.json", "config_asked.json"])
 def test_the_sample_files_can_be_used(name: str) -> None:
     config = load({"LB_CONFIG": str(ROOT / "examples" / name)})
-    assert config.settings.by_work and config.settings.must_subscribe is (name == "config_asked.json")
+    assert config.settings.weight_is_per_work and config.settings.must_subscribe is (
+        name == "config_asked.json"
+    )
 
 
 def test_a_lost_watch_is_given_up_before_all_counts_as_told() -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,11 +13,17 @@
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.decision.facade import Facade, Result, Scope, WorkerInfo
-from oxbowyard.decision.settings import JobClass, Repeat, Settings
-
-FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE, worth=1)
-ONCE = JobClass("once", aim=1000, deadline=5000, worth=8)
-SETTINGS = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, tells_start=True)
+from oxbowyard.decision.settings import JobClass, RetrySafety, Settings
+
+FREE = JobClass(
+    "free",
+    latency_objective_ms=1000,
+    deadline_ms=5000,
+    retry_safety=RetrySafety.IDEMPOTENT,
+    priority_weight=1,
+)
+ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=5000, priority_weight=8)
+SETTINGS = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, reports_starts=True)
 
 Attempt = Callable[[str, Request, AttemptContext], Awaitable[AttemptOutcome]]
 
--- a/tests/test_core_records.py
+++ b/tests/test_core_records.py
@@ -89,7 +89,7 @@
 
 def test_a_cold_start_that_a_list_announces_is_no_fault_to_report() -> None:
     lists = EndpointLists()
-    lists.update(Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed")), "discovery")
+    lists.update(Scope.FULL, (WorkerInfo("told", started_at_ms=4000.0), WorkerInfo("guessed")), "discovery")
     faults = [
         WorkerFault("told", 0.0, 4000.0),
         WorkerFault("guessed", 0.0, 4000.0),
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -31,20 +31,27 @@
     TimerFired,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat, Tenant
+from oxbowyard.decision.settings import JobClass, RetrySafety, Tenant
 
 ROOT = Path(__file__).parent.parent
-FREE = JobClass("free", aim=400, deadline=5000, repeat=Repeat.FREE)
-ONCE = JobClass("once", aim=600, deadline=15000)
-KEYED = JobClass("keyed", aim=800, deadline=10000, repeat=Repeat.GUARDED, group="cell", memory=3000)
-PINNED = JobClass("pinned", aim=400, deadline=5000, kind="big")
+FREE = JobClass("free", latency_objective_ms=400, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
+ONCE = JobClass("once", latency_objective_ms=600, deadline_ms=15000)
+KEYED = JobClass(
+    "keyed",
+    latency_objective_ms=800,
+    deadline_ms=10000,
+    retry_safety=RetrySafety.DEDUPLICATED,
+    dedup_scope="cell",
+    dedup_window_ms=3000,
+)
+PINNED = JobClass("pinned", latency_objective_ms=400, deadline_ms=5000, kind="big")
 
 
 def make(workers: int = 4, **more: object) -> Dispatcher:
     values: dict[str, object] = {
         "classes": (FREE, ONCE, KEYED, PINNED),
         "max_attempts": 4,
-        "tells_start": True,
+        "reports_starts": True,
         "may_cancel": True,
     }
     values.update(more)
@@ -131,8 +138,8 @@
 
 
 def test_a_cold_worker_gets_no_more_than_its_part() -> None:
-    d = make(1, cold_from=0.1, ramp=20000, siblings=2)
-    d.handle(9999, EndpointsChanged(Scope.CHANGES, (WorkerInfo("w0", kind="std", online_since=10000),)))
+    d = make(1, initial_capacity_share=0.1, ramp_ms=20000, scheduler_count=2)
+    d.handle(9999, EndpointsChanged(Scope.CHANGES, (WorkerInfo("w0", kind="std", started_at_ms=10000),)))
     assert sends(ask(d, 10001, "r0")) == []
     sent = sum(len(sends(ask(d, 25000, f"r{i}"))) for i in range(1, 40))
     assert 0 < sent < 20
@@ -180,21 +187,27 @@
 
 def test_waits_are_weighed_by_worth() -> None:
     """Long, cheap work filled the queues and dear, short work missed its aim (port's overload day)."""
-    dear = JobClass("dear", aim=400, deadline=5000, repeat=Repeat.FREE, worth=5)
-    cheap = JobClass("cheap", aim=400, deadline=5000, worth=1)
+    dear = JobClass(
+        "dear",
+        latency_objective_ms=400,
+        deadline_ms=5000,
+        retry_safety=RetrySafety.IDEMPOTENT,
+        priority_weight=5,
+    )
+    cheap = JobClass("cheap", latency_objective_ms=400, deadline_ms=5000, priority_weight=1)
     d = make(classes=(dear, cheap))
     d.state.service_times_ms.add("dear", 200.0)
     d.state.service_times_ms.add("cheap", 1000.0)
     assert (
         admission.max_queue_wait_ms(d.state, dear)
-        > dear.aim * 0.5
+        > dear.latency_objective_ms * 0.5
         > admission.max_queue_wait_ms(d.state, cheap)
     )
 
 
 def test_refused_work_within_its_quota_is_asked_back_soon() -> None:
     """Asked back after the longest back-off it came too late to be in time (i5cf0ae, i33aa80)."""
-    d = make(1, max_backoff=2000)
+    d = make(1, max_retry_after_ms=2000)
     for i in range(30):
         ask(d, 1, f"r{i}", "once")
     d.state.workers["w0"].pool.mean_service_time_ms = 500.0
@@ -237,13 +250,13 @@
 
 
 def test_tenants_keep_to_their_quota_where_there_is_a_queue() -> None:
-    d = make(1, tenants=(Tenant("t", 2.0),), max_backoff=900)
+    d = make(1, tenants=(Tenant("t", 2.0),), max_retry_after_ms=900)
     got = [d.handle(1, RequestReceived(f"r{i}", "free", 5000, "k", "t"))[0] for i in range(20)]
     assert isinstance(got[0], StartAttempt) and got[-1] == RejectRequest("r19", 900)
 
 
 def test_a_worker_back_after_failed_connects_is_presumed_cold() -> None:
-    d = make(1, cold_from=0.1, ramp=20000)
+    d = make(1, initial_capacity_share=0.1, ramp_ms=20000)
     w = d.state.workers["w0"]
     ask(d, 1, "r")
     d.handle(5, AttemptEnded("r", 0, "w0", Result.UNREACHABLE, 4))
@@ -259,7 +272,7 @@
     d.handle(2, EndpointsChanged(Scope.FULL, (WorkerInfo(other, kind="std"),)))
     assert sends(ask(d, 3, "q")) == [other]
     d.handle(4, AttemptEnded("r", 0, home, Result.OK, 3, True))
-    d.handle(5, EndpointsChanged(Scope.CHANGES, (WorkerInfo(home, kind="std", online_since=4),)))
+    d.handle(5, EndpointsChanged(Scope.CHANGES, (WorkerInfo(home, kind="std", started_at_ms=4),)))
     assert (
         d.state.workers[home].in_flight == 0
         and d.state.workers[home].started_at_ms == 4
@@ -279,9 +292,18 @@
     assert RejectRequest("r") in actions
 
 
-@pytest.mark.parametrize("name", ["siblings", "max_attempts", "cold_from", "tip_after", "classes"])
-def test_an_impossible_setting_is_named(name: str) -> None:
-    values: dict[str, object] = {"classes": (FREE,), name: () if name == "classes" else 0}
+@pytest.mark.parametrize(
+    ("field", "name"),
+    [
+        ("scheduler_count", "siblings"),
+        ("max_attempts", "max_attempts"),
+        ("initial_capacity_share", "cold_from"),
+        ("overload_window_ms", "tip_after"),
+        ("classes", "classes"),
+    ],
+)
+def test_an_impossible_setting_is_named(field: str, name: str) -> None:
+    values: dict[str, object] = {"classes": (FREE,), field: () if field == "classes" else 0}
     with pytest.raises(ValueError, match=name):
         Settings(**values)  # type: ignore[arg-type]
 
@@ -355,7 +377,7 @@
 
 def test_slow_handshakes_make_no_worker_cold_but_turned_down_connects_do() -> None:
     """Connects timed out while handshakes were slow; live workers were taken for dead (port's rough-2)."""
-    d = make(2, ramp=20000, cold_from=0.1)
+    d = make(2, ramp_ms=20000, initial_capacity_share=0.1)
     for name, took, dead in (("r1", 250.0, False), ("r2", 3.0, True)):
         (w,) = sends(ask(d, 1, name, key=name))
         d.handle(260, AttemptEnded(name, 0, w, Result.UNREACHABLE, took))
@@ -382,7 +404,7 @@
 
 def test_a_hot_key_widens_where_own_counts_say_nothing() -> None:
     """With a hundred siblings own counts are 0 or 1 and no set ever widened (vc's big-1)."""
-    d = make(40, siblings=100)
+    d = make(40, scheduler_count=100)
     for i in range(60):
         name = f"r{i}"
         (w,) = sends(ask(d, i * 400, name, key="hot" if i % 3 == 0 else name))
@@ -391,7 +413,7 @@
 
 
 def test_one_own_job_does_not_stand_for_a_hundred() -> None:
-    d = make(40, siblings=100)
+    d = make(40, scheduler_count=100)
     d.state.mean_worker_in_flight, d.state.fleet_mean_weight = 0.03, 0.95
     w = d.state.workers["w0"]
     w.in_flight, w.mean_in_flight.mean, w.mean_in_flight.updated_at_ms = 1, 0.3, 10.0
@@ -399,7 +421,7 @@
 
 
 def test_reports_stand_for_the_peers_part_and_fade() -> None:
-    d = make(2, siblings=100)
+    d = make(2, scheduler_count=100)
     a, b = d.state.workers["w0"], d.state.workers["w1"]
     a.pool.max_concurrency, a.pool.mean_reported_jobs, a.pool.mean_service_time_ms = 6, 4.0, 500.0
     a.reported_jobs, a.reported_at_ms, b.reported_jobs, b.reported_at_ms = 9.0, 100.0, 1.0, 100.0
@@ -483,7 +505,7 @@
 
 @pytest.mark.parametrize("most", [0.0, 50.0, 2000.0])
 def test_a_refusal_says_when_to_come_back_as_far_as_clients_heed_it(most: float) -> None:
-    d = make(1, max_backoff=most, max_attempts=1)
+    d = make(1, max_retry_after_ms=most, max_attempts=1)
     (home,) = sends(ask(d, 1, "r"))
     (refusal,) = [
         a for a in d.handle(9, AttemptEnded("r", 0, home, Result.ERROR, 8)) if isinstance(a, RejectRequest)
@@ -501,8 +523,14 @@
 
 def test_a_class_whose_aim_grows_with_its_work_may_wait_for_that_too() -> None:
     """By an aim of 80 ms alone a job of 200 ms was refused for a wait of 40 ms, with which it is in time."""
-    short = JobClass("short", aim=80, deadline=5000, repeat=Repeat.FREE, stretch=2.0)
-    flat = JobClass("flat", aim=80, deadline=5000, repeat=Repeat.FREE)
+    short = JobClass(
+        "short",
+        latency_objective_ms=80,
+        deadline_ms=5000,
+        retry_safety=RetrySafety.IDEMPOTENT,
+        objective_stretch=2.0,
+    )
+    flat = JobClass("flat", latency_objective_ms=80, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
     patience = {}
     for cls in (short, flat):
         d = make(classes=(cls,))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,7 @@
 from oxbowyard.daemon.program import Program
 from oxbowyard.daemon.reload import SETTLE_S
 from oxbowyard.decision.facade import Result
-from oxbowyard.decision.settings import Repeat
+from oxbowyard.decision.settings import RetrySafety
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.gearman.packet import REQ, Type, encode
 from oxbowyard.listeners.acceptor import Acceptor
@@ -517,7 +517,7 @@
     async def scene() -> None:
         config = Stage(tmp_path).config
         lanes = {c.name: c for c in config.settings.classes}
-        loose = replace(lanes["accession"], repeat=Repeat.FREE)
+        loose = replace(lanes["accession"], retry_safety=RetrySafety.IDEMPOTENT)
         loosened = replace(config.settings, classes=tuple({**lanes, "accession": loose}.values()))
         read = [config, replace(config, settings=loosened), config]
         program = Program(lambda: LoadedConfiguration(read.pop(0) if read else config))
@@ -525,8 +525,8 @@
         await asyncio.sleep(wait)
         program.reloader.reload()
         await asyncio.sleep(2 * SETTLE_S)
-        in_force = {c.name: c.repeat for c in program.reloader.settings.classes}
-        assert in_force["accession"] is Repeat.SINGLE_SHOT
+        in_force = {c.name: c.retry_safety for c in program.reloader.settings.classes}
+        assert in_force["accession"] is RetrySafety.NOT_IDEMPOTENT
 
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
         runner.run(scene())
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -20,18 +20,24 @@
 from oxbowyard.decision.facade import Facade
 from oxbowyard.decision.hashing import RendezvousOrder
 from oxbowyard.decision.platform_settings import settings_of
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 from oxbowyard.simhost import encode
 
-FREE = JobClass("free", aim=300, deadline=5000, repeat=Repeat.FREE, worth=5)
-ONCE = JobClass("once", aim=1000, deadline=12000, worth=10)
+FREE = JobClass(
+    "free", latency_objective_ms=300, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT, priority_weight=5
+)
+ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=12000, priority_weight=10)
 ZONES = ("north", "south", "west")
 
 
 def make(workers: int = 9, seed: int = 1, **more: object) -> Dispatcher:
     values: dict[str, object] = {
-        "classes": (FREE, ONCE), "zone": "north", "max_attempts": 3, "tells_start": True, "may_cancel": True,
-    } | more  # fmt: skip
+        "classes": (FREE, ONCE),
+        "zone": "north",
+        "max_attempts": 3,
+        "reports_starts": True,
+        "may_cancel": True,
+    } | more
     d = Dispatcher(Settings(**values), seed)  # type: ignore[arg-type]
     infos = (WorkerInfo(f"w{i}", kind="std", zone=ZONES[i % 3]) for i in range(workers))
     d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(infos)))
@@ -79,7 +85,7 @@
     home = d.state.workers[run(d, 10, "r")]
     salt = d.state.keys["k", None].key_hash
     assert salt in home.cached_keys
-    news = WorkerInfo(home.name, kind="std", zone=home.zone, online_since=500.0)
+    news = WorkerInfo(home.name, kind="std", zone=home.zone, started_at_ms=500.0)
     d.handle(600.0, EndpointsChanged(Scope.CHANGES, (news,)))
     assert salt not in home.cached_keys
 
@@ -89,7 +95,7 @@
     for zone in ZONES:
         agreed = set()
         for seed in (1, 2):
-            d = make(seed=seed, zone=zone, siblings=3)
+            d = make(seed=seed, zone=zone, scheduler_count=3)
             for i in range(30):
                 run(d, 300.0 * i, f"r{i}")
             assert d.state.workers[run(d, 9500.0, "last")].zone == zone
@@ -102,7 +108,7 @@
     """Its data in every zone would push out that of others."""
     homes = set()
     for zone in ZONES:
-        d = make(zone=zone, siblings=3)
+        d = make(zone=zone, scheduler_count=3)
         for i in range(60):
             run(d, 300.0 * i, f"r{i}", key=f"k{i % 20}")
         homes.add(run(d, 18500.0, "last", key="k7"))
@@ -127,7 +133,7 @@
 
 def test_closing_is_told_on_the_wire_and_nothing_to_the_core() -> None:
     assert encode(3, CloseIdleConnections("w1")) == b'["close",3,"w1"]'
-    facade = Facade(Settings(classes=(ONCE,), tells_start=True), 1, lambda: 0.0)
+    facade = Facade(Settings(classes=(ONCE,), reports_starts=True), 1, lambda: 0.0)
     facade.update_endpoints(Scope.FULL, (WorkerInfo("w1"),))
     for name in ("a", "b"):  # the second finds a connection of the first
         (attempt,) = facade.decide(RequestReceived(name, "once", 9000.0, "k")).actions
@@ -139,10 +145,10 @@
 def test_worth_for_work_is_not_divided_by_the_time_again(by_work: bool, longer: str) -> None:
     """A permit of a second, worth ten for each unit of work, was taken for worth less than a lookup."""
     classes = (
-        JobClass("short", aim=1000, deadline=5000, worth=5),
-        JobClass("long", aim=1000, deadline=9000, worth=10),
+        JobClass("short", latency_objective_ms=1000, deadline_ms=5000, priority_weight=5),
+        JobClass("long", latency_objective_ms=1000, deadline_ms=9000, priority_weight=10),
     )
-    d = make(classes=classes, by_work=by_work)
+    d = make(classes=classes, weight_is_per_work=by_work)
     d.state.service_times_ms.add("short", 200.0)
     d.state.service_times_ms.add("long", 1200.0)
     patience = {c.name: admission.max_queue_wait_ms(d.state, c) for c in classes}
@@ -151,11 +157,13 @@
 
 def test_the_settings_say_what_worth_is_for() -> None:
     facts = {
-        "policyLimits": {"maxAttempts": 1}, "rules": {}, "siblings": 1,
+        "policyLimits": {"maxAttempts": 1},
+        "rules": {},
+        "scheduler_count": 1,
         "lanes": [{"name": "a", "aim": 1.0, "deadline": 2.0}],
-    }  # fmt: skip
-    assert not settings_of(facts).by_work
-    assert settings_of(facts | {"worthBy": "work"}).by_work
+    }
+    assert not settings_of(facts).weight_is_per_work
+    assert settings_of(facts | {"worthBy": "work"}).weight_is_per_work
 
 
 def test_running_estimates() -> None:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -17,10 +17,10 @@
     StartAttempt,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, RetrySafety, Settings
 
-FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE)
-ONCE = JobClass("once", aim=1000, deadline=5000)
+FREE = JobClass("free", latency_objective_ms=1000, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
+ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=5000)
 
 
 class Clock:
@@ -32,7 +32,7 @@
 
 def make(workers: int) -> tuple[Facade, Clock]:
     clock = Clock()
-    settings = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, tells_start=True)
+    settings = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, reports_starts=True)
     facade = Facade(settings, 1, clock)
     if workers:
         facade.update_endpoints(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers)))
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -22,7 +22,7 @@
     run_full_passes,
 )
 from oxbowyard.decision.facade import Facade, Readiness, Result, Scope, WorkerInfo
-from oxbowyard.decision.settings import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, RetrySafety, Settings
 from oxbowyard.waiting.job import (
     AGED_CLASS_SUFFIX,
     Dependency,
@@ -38,8 +38,8 @@
 from oxbowyard.waiting.journal import InMemoryJournal
 from oxbowyard.waiting.settings import ClassSettings, WaitingSettings
 
-FREE = JobClass("free", aim=1000, deadline=5000, repeat=Repeat.FREE)
-ONCE = JobClass("once", aim=1000, deadline=5000, worth=8)
+FREE = JobClass("free", latency_objective_ms=1000, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
+ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=5000, priority_weight=8)
 CLASSES = (FREE, ONCE)
 Attempt = Callable[[str, Request, AttemptContext], Awaitable[AttemptOutcome]]
 
@@ -53,10 +53,17 @@
         changes: dict[str, Any] = {"classes": {"free": ClassSettings(queueing=True)}, "retry_first_s": 0.01}
         waiting = WaitingSettings(**changes | more)
         settings = Settings(
-            classes=with_aged_classes(CLASSES, waiting), max_attempts=3, may_cancel=True, tells_start=True,
-            max_backoff=20.0, drain_grace=1000.0, cold_from=0.15, ramp=20_000.0, tip_multiple=2.5,
-            tip_after=3000.0,
-        )  # fmt: skip
+            classes=with_aged_classes(CLASSES, waiting),
+            max_attempts=3,
+            may_cancel=True,
+            reports_starts=True,
+            max_retry_after_ms=20.0,
+            drain_grace_ms=1000.0,
+            initial_capacity_share=0.15,
+            ramp_ms=20_000.0,
+            overload_multiple=2.5,
+            overload_window_ms=3000.0,
+        )
         clock = self.clock
         self.facade = Facade(settings, 1, clock)
         self.attempts: list[tuple[str, str, str, float]] = []
@@ -356,7 +363,7 @@
             await asyncio.sleep(0.002)
         stage.list_(
             WorkerInfo("w0", Readiness.DRAINING),
-            WorkerInfo("cold", online_since=stage.clock()),
+            WorkerInfo("cold", started_at_ms=stage.clock()),
             scope=Scope.CHANGES,
         )
         told = len(stage.attempts)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -19,23 +19,31 @@
     Scope,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 
-FREE = JobClass("free", aim=1000, deadline=10000, repeat=Repeat.FREE)
+FREE = JobClass("free", latency_objective_ms=1000, deadline_ms=10000, retry_safety=RetrySafety.IDEMPOTENT)
 SIBLINGS, WORKERS = 40, 60
 NAMES = [f"w{i}" for i in range(WORKERS)]
 RAMP, TIP, TIP_AFTER, COLD = 22000.0, 2.5, 3000.0, 0.15
 
 
 def _info(name: str, weight: float = 5.0, since: float = 0.0) -> WorkerInfo:
-    return WorkerInfo(name, kind="std", weight=weight, online_since=since)
+    return WorkerInfo(name, kind="std", weight=weight, started_at_ms=since)
 
 
 def _dispatcher(seed: int = 0, live: bool = True) -> Dispatcher:
     settings = Settings(
-        (FREE,), siblings=SIBLINGS, max_attempts=3, tells_start=True, may_cancel=True, live_weights=live,
-        ramp=RAMP, cold_from=COLD, tip_multiple=TIP, tip_after=TIP_AFTER,
-    )  # fmt: skip
+        (FREE,),
+        scheduler_count=SIBLINGS,
+        max_attempts=3,
+        reports_starts=True,
+        may_cancel=True,
+        live_weights=live,
+        ramp_ms=RAMP,
+        initial_capacity_share=COLD,
+        overload_multiple=TIP,
+        overload_window_ms=TIP_AFTER,
+    )
     d = Dispatcher(settings, seed)
     d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(map(_info, NAMES))))
     return d
@@ -166,16 +174,25 @@
 
 
 def _zoned(name: str, since: float = 0.0) -> WorkerInfo:
-    return WorkerInfo(name, zone=ZONES[int(name[1:]) % 3], kind="std", weight=5.0, online_since=since)
+    return WorkerInfo(name, zone=ZONES[int(name[1:]) % 3], kind="std", weight=5.0, started_at_ms=since)
 
 
 def _zoned_fleet(seed: int) -> list[Dispatcher]:
     fleet = []
     for i in range(SIBLINGS):
         settings = Settings(
-            (FREE,), siblings=SIBLINGS, zone=ZONES[i % 3], max_attempts=3, tells_start=True, may_cancel=True,
-            live_weights=True, ramp=RAMP, cold_from=COLD, tip_multiple=TIP, tip_after=TIP_AFTER,
-        )  # fmt: skip
+            (FREE,),
+            scheduler_count=SIBLINGS,
+            zone=ZONES[i % 3],
+            max_attempts=3,
+            reports_starts=True,
+            may_cancel=True,
+            live_weights=True,
+            ramp_ms=RAMP,
+            initial_capacity_share=COLD,
+            overload_multiple=TIP,
+            overload_window_ms=TIP_AFTER,
+        )
         d = Dispatcher(settings, seed * 100 + i)
         d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(_zoned(n) for n in NAMES)))
         fleet.append(d)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -24,7 +24,7 @@
     Scope,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 from oxbowyard.handover.learned import (
     CLOCK_TOLERANCE_MS,
     MAX_AGE_MS,
@@ -34,12 +34,12 @@
     encode,
 )
 
-SHORT = JobClass("short", aim=1000, deadline=10000, repeat=Repeat.FREE)
-ONCE = JobClass("once", aim=4000, deadline=25000)
+SHORT = JobClass("short", latency_objective_ms=1000, deadline_ms=10000, retry_safety=RetrySafety.IDEMPOTENT)
+ONCE = JobClass("once", latency_objective_ms=4000, deadline_ms=25000)
 NAMES = [f"w{i}" for i in range(5)]
 SETTINGS = Settings(
-    (SHORT, ONCE), siblings=3, max_attempts=3, tells_start=True, may_cancel=True,
-    ramp=22000.0, cold_from=0.15, tip_multiple=2.5, tip_after=3000.0,
+    (SHORT, ONCE), scheduler_count=3, max_attempts=3, reports_starts=True, may_cancel=True,
+    ramp_ms=22000.0, initial_capacity_share=0.15, overload_multiple=2.5, overload_window_ms=3000.0,
 )  # fmt: skip
 START, SERVED = 1e12, 60
 PID = 4711
@@ -47,7 +47,7 @@
 
 def dispatcher(seed: int, now: float = START) -> Dispatcher:
     made = Dispatcher(SETTINGS, seed)
-    cold = WorkerInfo("w4", kind="std", online_since=START - 5000.0)
+    cold = WorkerInfo("w4", kind="std", started_at_ms=START - 5000.0)
     infos = (*(WorkerInfo(name, kind="std") for name in NAMES[:4]), cold)
     made.handle(now, EndpointsChanged(Scope.FULL, infos))
     return made
@@ -59,7 +59,7 @@
     for i in range(count):
         now += 100.0
         cls = ONCE if i % 3 == 0 else SHORT
-        actions = made.handle(now, RequestReceived(f"r{i}", cls.name, cls.deadline, f"k{i % 7}"))
+        actions = made.handle(now, RequestReceived(f"r{i}", cls.name, cls.deadline_ms, f"k{i % 7}"))
         for action in actions:
             if isinstance(action, StartAttempt):
                 made.handle(now + 5, AttemptStarted(action.request_id, 0, action.worker))
@@ -120,7 +120,7 @@
     now = served(old)
     learned = handed(old, now)
     new = dispatcher(2, now)
-    restarted = WorkerInfo("w1", kind="std", online_since=now)
+    restarted = WorkerInfo("w1", kind="std", started_at_ms=now)
     new.handle(now, EndpointsChanged(Scope.CHANGES, (restarted,)))
     snapshot.adopt(new.state, learned, now + 200.0)
     assert new.state.workers["w1"].started_at_ms == now and not new.state.workers["w1"].class_ejections
@@ -140,7 +140,7 @@
     assert now - 10.0 in worker.cold_sends_at_ms
     worker.budget_sends, worker.budget_window = (
         1,
-        int((now + 200.0 + new.state.warm_up_window_offset_ms) / SETTINGS.tip_after),
+        int((now + 200.0 + new.state.warm_up_window_offset_ms) / SETTINGS.overload_window_ms),
     )
     assert not slow_start.budget_allows_send(new.state, worker, now + 200.0), (
         "the one that it bears now was sent by the old process"
@@ -234,5 +234,5 @@
     new = dispatcher(2, now)
     snapshot.adopt(new.state, handed(old, now), now + 200.0)
     for i in range(40):
-        actions = new.handle(now + 200.0, RequestReceived(f"n{i}", "once", ONCE.deadline, f"n{i}"))
+        actions = new.handle(now + 200.0, RequestReceived(f"n{i}", "once", ONCE.deadline_ms, f"n{i}"))
         assert any(isinstance(action, StartAttempt) for action in actions)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,7 +20,9 @@
 from oxbowyard.gearman.jobs import _key
 from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
 
-OTHERS = tuple(JobClass(name, aim=1000, deadline=5000) for name in ("label-check", "accession"))
+OTHERS = tuple(
+    JobClass(name, latency_objective_ms=1000, deadline_ms=5000) for name in ("label-check", "accession")
+)
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 384, 512, 1024])
@@ -84,7 +86,7 @@
 
 def test_gearman_leaves_the_http_front_its_descriptors() -> None:
     async def play() -> None:
-        settings = Settings(classes=(JobClass("preview", aim=1000, deadline=5000),))
+        settings = Settings(classes=(JobClass("preview", latency_objective_ms=1000, deadline_ms=5000),))
         config = Config("n", "127.0.0.1", 0, "127.0.0.1:1", 1, 256, 32.0, 20_000, settings, True)
         gearman = load_gearman(Path("deploy/gearman.toml"), (*settings.classes, *OTHERS))
         subsystems = compose(config, gearman)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -18,40 +18,48 @@
 from oxbowyard.core.request import AnswerKind
 from oxbowyard.core.settings_update import plan_settings_update, restart_only_changes
 from oxbowyard.decision.facade import Readiness, WorkerInfo
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 from oxbowyard.discovery.endpoint_list import ListedEndpoint, WatchEvent
 from oxbowyard.discovery.registry import Registry
 from oxbowyard.handover.pid_files import STALE_AFTER_S, PidFiles
 from oxbowyard.handover.protocol import MAX_WAIT_S, Action, Handover
 from oxbowyard.listeners.acceptor import Acceptor
 
-NEW = JobClass("new", aim=500, deadline=4000, repeat=Repeat.FREE)
+NEW = JobClass("new", latency_objective_ms=500, deadline_ms=4000, retry_safety=RetrySafety.IDEMPOTENT)
 
 
 # ---- Retuning ----
 
 
 def test_meanwhile_the_stricter_of_old_and_new_holds() -> None:
-    loosened = replace(SETTINGS, classes=(replace(ONCE, repeat=Repeat.FREE), NEW), max_attempts=5)
+    loosened = replace(
+        SETTINGS, classes=(replace(ONCE, retry_safety=RetrySafety.IDEMPOTENT), NEW), max_attempts=5
+    )
     step = plan_settings_update(SETTINGS, loosened)
     meanwhile = {c.name: c for c in step.transition.classes}
-    assert meanwhile["once"].repeat is Repeat.SINGLE_SHOT  # a client may still send it as it was
+    assert (
+        meanwhile["once"].retry_safety is RetrySafety.NOT_IDEMPOTENT
+    )  # a client may still send it as it was
     assert "free" in meanwhile and "new" in meanwhile  # one that goes out is still taken meanwhile
     assert step.transition.max_attempts == 3
     after = {c.name: c for c in step.final.classes}
-    assert after["once"].repeat is Repeat.FREE and "free" not in after and step.final.max_attempts == 5
+    assert (
+        after["once"].retry_safety is RetrySafety.IDEMPOTENT
+        and "free" not in after
+        and step.final.max_attempts == 5
+    )
 
 
 def test_a_class_made_stricter_is_strict_at_once() -> None:
     step = plan_settings_update(
-        SETTINGS, replace(SETTINGS, classes=(replace(FREE, repeat=Repeat.SINGLE_SHOT), ONCE))
+        SETTINGS, replace(SETTINGS, classes=(replace(FREE, retry_safety=RetrySafety.NOT_IDEMPOTENT), ONCE))
     )
-    assert {c.name: c.repeat for c in step.transition.classes}["free"] is Repeat.SINGLE_SHOT
+    assert {c.name: c.retry_safety for c in step.transition.classes}["free"] is RetrySafety.NOT_IDEMPOTENT
 
 
 def test_only_classes_and_attempts_change_live() -> None:
     assert restart_only_changes(SETTINGS, replace(SETTINGS, classes=(NEW,), max_attempts=1)) == ()
-    assert restart_only_changes(SETTINGS, replace(SETTINGS, siblings=4)) == ("siblings",)
+    assert restart_only_changes(SETTINGS, replace(SETTINGS, scheduler_count=4)) == ("scheduler_count",)
 
 
 def test_a_request_open_at_a_settings_update_keeps_its_class() -> None:
@@ -59,7 +67,7 @@
 
     async def play() -> None:
         stage = Stage(lost)
-        loosened = replace(SETTINGS, classes=(FREE, replace(ONCE, repeat=Repeat.FREE)))
+        loosened = replace(SETTINGS, classes=(FREE, replace(ONCE, retry_safety=RetrySafety.IDEMPOTENT)))
         waiting = asyncio.ensure_future(stage.serve("once", patience=0.5))
         await asyncio.sleep(0)
         stage.scheduler.apply_settings(loosened)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -126,7 +126,7 @@
         program.wait_for("restart required for: waiting")
         path.write_text("[waiting]\nmax_jobs = 'x'")
         program.process.send_signal(1)
-        program.wait_for("keeping the one in force: error=operator.toml: waiting.max_jobs")
+        program.wait_for("the one in force stays: error=operator.toml: waiting.max_jobs")
     finally:
         program.end()
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -17,11 +17,17 @@
     TimerFired,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat
-
-ORDER = JobClass("order", aim=600, deadline=15000, in_order=True)
-PAIRED = JobClass("paired", aim=600, deadline=15000, repeat=Repeat.FREE, in_order=True)
-PLAIN = JobClass("plain", aim=400, deadline=5000, repeat=Repeat.FREE)
+from oxbowyard.decision.settings import JobClass, RetrySafety
+
+ORDER = JobClass("order", latency_objective_ms=600, deadline_ms=15000, is_ordered=True)
+PAIRED = JobClass(
+    "paired",
+    latency_objective_ms=600,
+    deadline_ms=15000,
+    retry_safety=RetrySafety.IDEMPOTENT,
+    is_ordered=True,
+)
+PLAIN = JobClass("plain", latency_objective_ms=400, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
 
 
 def make(gap: float = 0.0, workers: int = 4, **more: object) -> Dispatcher:
@@ -122,7 +128,7 @@
 
 def test_a_negative_rest_is_refused_by_name() -> None:
     with pytest.raises(ValueError, match="turn_gap"):
-        Settings((ORDER,), turn_gap=-1.0)
+        Settings((ORDER,), ordered_gap_ms=-1.0)
 
 
 SIZES = [(16, 1.5, 1000.0), (100, 1.5, 1000.0), (170, 3.0, 1500.0)]
@@ -136,10 +142,17 @@
     ramp, cold_from, hold, slots = 18000.0, 0.16, 800.0, 4.0
     fleet = []
     for seed in range(siblings):
-        s = Settings((PLAIN,), siblings=siblings, tells_start=True, cold_from=cold_from, ramp=ramp,
-                     tip_multiple=multiple, tip_after=window)  # fmt: skip
+        s = Settings(
+            (PLAIN,),
+            scheduler_count=siblings,
+            reports_starts=True,
+            initial_capacity_share=cold_from,
+            ramp_ms=ramp,
+            overload_multiple=multiple,
+            overload_window_ms=window,
+        )
         d = Dispatcher(s, seed)
-        d.handle(0.0, EndpointsChanged(Scope.FULL, (WorkerInfo("w", online_since=1.0),)))
+        d.handle(0.0, EndpointsChanged(Scope.FULL, (WorkerInfo("w", started_at_ms=1.0),)))
         d.state.workers["w"].pool.mean_service_time_ms = hold
         fleet.append(d)
     sent: list[float] = []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -105,12 +105,12 @@
 def test_the_decisions_go_by_the_new_number() -> None:
     """A cold worker's budget is shared among the living."""
     classes = (JobClass("c", 1000.0, 10000.0),)
-    settings = Settings(classes, siblings=20, cold_from=0.2, ramp=10000.0)
+    settings = Settings(classes, scheduler_count=20, initial_capacity_share=0.2, ramp_ms=10000.0)
 
     def allowed(siblings: int) -> int:
         facade = Facade(settings, 1, lambda: 1000.0)
         facade.set_scheduler_count(siblings)
-        facade.update_endpoints(Scope.FULL, (WorkerInfo("w", online_since=500.0, slots=64),))
+        facade.update_endpoints(Scope.FULL, (WorkerInfo("w", started_at_ms=500.0, slots=64),))
         worker = facade._dispatcher.state.workers["w"]
         slow_start.budget_allows_send(facade._dispatcher.state, worker, 1000.0)
         return worker.budget_sends
@@ -129,7 +129,9 @@
 
 
 def dispatcher(workers: int) -> Dispatcher:
-    d = Dispatcher(Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1), 1)
+    d = Dispatcher(
+        Settings((JobClass("c", 1000.0, 10000.0),), ramp_ms=10000.0, initial_capacity_share=0.1), 1
+    )
     d.handle(0, EndpointsChanged(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers))))
     return d
 
@@ -193,7 +195,7 @@
     received = entry(report.key, value=report.value, age_s=0.5, lifetime_s=report.lifetime_s)
     assert other.receive(received, 100.0)
     (fault,) = other.peer_faults(101.0, 20000.0)
-    assert fault.since == 20000.0 - 3500.0 and fault.lasts == 0.0
+    assert fault.cold_since_ms == 20000.0 - 3500.0 and fault.avoid_for_ms == 0.0
     known = [WorkerFault("w1", 0.0, 16500.0)]
     assert not other.peer_faults(101.0, 20000.0, known), "it is known here already"
     assert not other.new_reports(101.0, known, 12, 20000.0), "it was received, and is not reported again"
@@ -201,18 +203,18 @@
     reports.receive(entry("bar:w1", "m1", lifetime_s=1.0), 100.0)
     reports.receive(entry("bar:w1", "m2", lifetime_s=1e9), 100.0)
     (fault,) = reports.peer_faults(100.5, 0.0)
-    assert fault.lasts == 29500.0, "the longer report holds, and none for ever"
+    assert fault.avoid_for_ms == 29500.0, "the longer report holds, and none for ever"
     assert not reports.peer_faults(131.0, 0.0)
 
 
 def test_a_cold_start_that_the_list_tells_is_no_news() -> None:
     async def play() -> list[WorkerFault]:
-        settings = Settings((JobClass("c", 1000.0, 10000.0),), ramp=10000.0, cold_from=0.1)
+        settings = Settings((JobClass("c", 1000.0, 10000.0),), ramp_ms=10000.0, initial_capacity_share=0.1)
         classes, clock = settings.classes, lambda: 5000.0
         facade = Facade(settings, 1, clock)
         scheduler = Scheduler(settings, facade, Nowhere(), clock, ServiceMeasure(classes), Limits())
         scheduler.update_endpoints(
-            Scope.FULL, (WorkerInfo("told", online_since=4000.0), WorkerInfo("guessed"))
+            Scope.FULL, (WorkerInfo("told", started_at_ms=4000.0), WorkerInfo("guessed"))
         )
         facade._dispatcher.state.workers["guessed"].started_at_ms = 4500.0
         return scheduler.worker_faults()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,14 +28,27 @@
     TimerFired,
     WorkerInfo,
 )
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 
 CLASSES = (
-    JobClass("free", aim=400, deadline=3000, repeat=Repeat.FREE),
-    JobClass("once", aim=600, deadline=4000),
-    JobClass("order", aim=600, deadline=4000, in_order=True),
-    JobClass("pairs", aim=500, deadline=3000, repeat=Repeat.FREE, in_order=True),
-    JobClass("keyed", aim=500, deadline=4000, repeat=Repeat.GUARDED, group="cell", memory=800),
+    JobClass("free", latency_objective_ms=400, deadline_ms=3000, retry_safety=RetrySafety.IDEMPOTENT),
+    JobClass("once", latency_objective_ms=600, deadline_ms=4000),
+    JobClass("order", latency_objective_ms=600, deadline_ms=4000, is_ordered=True),
+    JobClass(
+        "pairs",
+        latency_objective_ms=500,
+        deadline_ms=3000,
+        retry_safety=RetrySafety.IDEMPOTENT,
+        is_ordered=True,
+    ),
+    JobClass(
+        "keyed",
+        latency_objective_ms=500,
+        deadline_ms=4000,
+        retry_safety=RetrySafety.DEDUPLICATED,
+        dedup_scope="cell",
+        dedup_window_ms=800,
+    ),
 )
 NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)
 IN_ORDER = ("order", "pairs")
@@ -53,8 +66,17 @@
         self.lines: dict[str, list[str]] = {}  # requests in order of a key, as taken, until over
         self.key_of: dict[str, str] = {}
         self.rests: dict[str, tuple[float, str]] = {}  # until when, and whose attempt it was
-        settings = Settings(CLASSES, siblings=siblings, turn_gap=gap, must_subscribe=True, tells_start=True,
-                            may_cancel=True, max_attempts=4, cold_from=0.2, ramp=3000)  # fmt: skip
+        settings = Settings(
+            CLASSES,
+            scheduler_count=siblings,
+            ordered_gap_ms=gap,
+            must_subscribe=True,
+            reports_starts=True,
+            may_cancel=True,
+            max_attempts=4,
+            initial_capacity_share=0.2,
+            ramp_ms=3000,
+        )
         self.d = Dispatcher(settings, seed)
         self.now = 0.0
         self.cells = {f"w{i}": i % 2 for i in range(6)}
@@ -86,15 +108,15 @@
                 until, whose = self.rests.get(self.key_of[action.request_id], (0.0, ""))
                 assert self.now >= until or whose == action.request_id
             assert not any((action.request_id, n) in self.out for n in range(len(tries)))
-            if action.request_id in self.ran and cls.repeat is not Repeat.FREE:
+            if action.request_id in self.ran and cls.retry_safety is not RetrySafety.IDEMPOTENT:
                 worker, when = self.ran[action.request_id]
-                assert cls.repeat is Repeat.GUARDED and self.now - when < cls.memory
+                assert cls.retry_safety is RetrySafety.DEDUPLICATED and self.now - when < cls.dedup_window_ms
                 assert self.cells[worker] == self.cells[action.worker]
             self.out[(action.request_id, len(tries))] = False
             tries.append((action.worker, self.now))
         elif isinstance(action, RejectRequest):
             cls, _ = self.open.pop(action.request_id)
-            assert cls.repeat is Repeat.FREE or action.request_id not in self.ran
+            assert cls.retry_safety is RetrySafety.IDEMPOTENT or action.request_id not in self.ran
         elif isinstance(action, FailRequest):
             del self.open[action.request_id]
         elif isinstance(action, CancelAttempt):
@@ -145,12 +167,12 @@
         pick = rng.random()
         if pick < 0.4:
             cls = rng.choice(CLASSES)
-            self.open[f"r{i}"] = cls, self.now + cls.deadline
+            self.open[f"r{i}"] = cls, self.now + cls.deadline_ms
             data = rng.choice("abc")
             if cls.name in IN_ORDER:
                 self.key_of[f"r{i}"] = data
                 self.lines.setdefault(data, []).append(f"r{i}")
-            self.give(RequestReceived(f"r{i}", cls.name, cls.deadline, data))
+            self.give(RequestReceived(f"r{i}", cls.name, cls.deadline_ms, data))
         elif pick < 0.42 and self.open:
             name = rng.choice(list(self.open))
             del self.open[name]
@@ -167,7 +189,7 @@
             worker = rng.choice(list(self.cells))
             state = rng.choice(list(Readiness))
             (self.ready.add if state is Readiness.READY else self.ready.discard)(worker)
-            info = WorkerInfo(worker, state, cell=self.cells[worker], online_since=self.now)
+            info = WorkerInfo(worker, state, cell=self.cells[worker], started_at_ms=self.now)
             self.give(EndpointsChanged(Scope.CHANGES, (info,)))
         elif pick < 0.96:
             self.give(EndpointsChanged(Scope.FAILED))
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -24,7 +24,7 @@
 from oxbowyard.control.cordon_file import CordonFile
 from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
 from oxbowyard.decision.platform_settings import settings_of
-from oxbowyard.decision.settings import JobClass, Repeat, Settings
+from oxbowyard.decision.settings import JobClass, RetrySafety, Settings
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.discovery.registry import Registry
 from oxbowyard.durable.journal import decode_dependencies, decode_request, encode_request
@@ -129,16 +129,16 @@
 def learned_adopted(text: bytes) -> bytes:
     """What a fresh process that goes on from these estimates hands on at once."""
     classes = (
-        JobClass("short", aim=1000, deadline=10000, repeat=Repeat.FREE),
-        JobClass("once", aim=4000, deadline=25000),
+        JobClass("short", latency_objective_ms=1000, deadline_ms=10000, retry_safety=RetrySafety.IDEMPOTENT),
+        JobClass("once", latency_objective_ms=4000, deadline_ms=25000),
     )
     settings = Settings(
-        classes, siblings=3, max_attempts=3, tells_start=True, may_cancel=True, ramp=90_000.0,
-        cold_from=0.15, tip_multiple=2.5, tip_after=3000.0,
+        classes, scheduler_count=3, max_attempts=3, reports_starts=True, may_cancel=True, ramp_ms=90_000.0,
+        initial_capacity_share=0.15, overload_multiple=2.5, overload_window_ms=3000.0,
     )  # fmt: skip
     facade = Facade(settings, 1, lambda: CLOCK_MS)
     infos = [WorkerInfo(f"w{i}", kind="fast" if i % 2 else "slow", weight=1.0 + i) for i in range(4)]
-    cold = WorkerInfo("w4", kind="slow", online_since=START_MS - 5000.0)
+    cold = WorkerInfo("w4", kind="slow", started_at_ms=START_MS - 5000.0)
     facade.update_endpoints(Scope.FULL, (*infos, cold))
     facade.adopt(decode(text, PID, CLOCK_MS))
     return encode(facade.snapshot(), PID)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -97,7 +97,7 @@
         names = {n for n in imports_of(path) if n.startswith("oxbowyard.decision.")}
         assert {n.split(".")[2] for n in names} <= public, path
         taken = {n.rpartition(".")[2] for n in names if n.startswith("oxbowyard.decision.settings.")}
-        assert taken <= {"JobClass", "Repeat", "Settings"}, path
+        assert taken <= {"JobClass", "RetrySafety", "Settings"}, path
 
 
 def test_every_package_is_installed() -> None:
--- a/tests/test_workers_in_part.py
+++ b/tests/test_workers_in_part.py
@@ -16,17 +16,23 @@
     WorkerInfo,
 )
 from oxbowyard.decision.platform_settings import settings_of
-from oxbowyard.decision.settings import JobClass, Repeat
+from oxbowyard.decision.settings import JobClass, RetrySafety
 
-FREE = JobClass("free", aim=300, deadline=5000, repeat=Repeat.FREE)
-ONCE = JobClass("once", aim=1000, deadline=12000)
+FREE = JobClass("free", latency_objective_ms=300, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
+ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=12000)
 
 
 def make(workers: int = 3, **more: object) -> Dispatcher:
     values: dict[str, object] = {
-        "classes": (FREE, ONCE), "max_attempts": 3, "tells_start": True, "may_cancel": True, "in_turn": True,
-        "connect_timeout": 200.0, "ramp": 8000.0, "cold_from": 0.3,
-    } | more  # fmt: skip
+        "classes": (FREE, ONCE),
+        "max_attempts": 3,
+        "reports_starts": True,
+        "may_cancel": True,
+        "fifo_workers": True,
+        "connect_timeout_ms": 200.0,
+        "ramp_ms": 8000.0,
+        "initial_capacity_share": 0.3,
+    } | more
     d = Dispatcher(Settings(**values), seed=1)  # type: ignore[arg-type]
     infos = tuple(WorkerInfo(f"w{i}", kind="std") for i in range(workers))
     d.handle(0.0, EndpointsChanged(Scope.FULL, infos))
@@ -118,7 +124,7 @@
 
 
 def test_where_jobs_do_not_begin_in_order_overtaking_says_nothing() -> None:
-    d = make(in_turn=False)
+    d = make(fifo_workers=False)
     home = served(d, 1, "warm")
     ask(d, 1000, "waits", "once")
     served(d, 1050, "passes")
@@ -127,9 +133,11 @@
 
 def test_the_settings_say_whether_jobs_begin_in_order() -> None:
     facts = {
-        "policyLimits": {"maxAttempts": 1}, "rules": {}, "siblings": 1,
+        "policyLimits": {"maxAttempts": 1},
+        "rules": {},
+        "scheduler_count": 1,
         "lanes": [{"name": "a", "aim": 1.0, "deadline": 2.0}],
-    }  # fmt: skip
-    assert settings_of(facts | {"familyInfo": {"queueOrder": "fifo"}}).in_turn
+    }
+    assert settings_of(facts | {"familyInfo": {"queueOrder": "fifo"}}).fifo_workers
     for order in ("backfill", "priority", None):
-        assert not settings_of(facts | {"familyInfo": {"queueOrder": order}}).in_turn
+        assert not settings_of(facts | {"familyInfo": {"queueOrder": order}}).fifo_workers
