--- a/oxbowyard/membership/messages.py
+++ b/oxbowyard/membership/messages.py
@@ -39,7 +39,7 @@
     zone: str
     incarnation: int  # only the member itself raises it
     state: MemberState
-    facts: dict[str, float] = {}  # noqa: RUF012  # msgspec copies it
+    facts: dict[str, float] = {}  # msgspec copies it
     accuser: str = ""  # who suspects it; each accuser counts as one confirmation
 
 
@@ -69,8 +69,8 @@
     header: Header
     sequence_number: int
     target: str  # the member that is probed: another one may use the address now
-    records: list[MemberRecord] = []  # noqa: RUF012
-    entries: list[GossipEntry] = []  # noqa: RUF012
+    records: list[MemberRecord] = []
+    entries: list[GossipEntry] = []
 
 
 class Ping(_ProbeMessage, frozen=True, array_like=True, tag=1):
@@ -88,7 +88,7 @@
     sequence_number: int
     target: str
     address: str
-    records: list[MemberRecord] = []  # noqa: RUF012
+    records: list[MemberRecord] = []
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
@@ -105,7 +105,7 @@
     header: Header
     wants_reply: bool
     records: list[MemberRecord]
-    entries: list[GossipEntry] = []  # noqa: RUF012
+    entries: list[GossipEntry] = []
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=6):
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -26,7 +26,24 @@
 )  # fmt: skip
 
 # Packages whose names are the field's, whole. One that is added here stays.
-FINISHED: tuple[str, ...] = ("core", "decision", "membership", "store")
+FINISHED: tuple[str, ...] = (
+    "backends",
+    "cli",
+    "configuration",
+    "control",
+    "core",
+    "daemon",
+    "decision",
+    "discovery",
+    "durable",
+    "handover",
+    "listeners",
+    "membership",
+    "operator",
+    "peers",
+    "start",
+    "store",
+)
 
 GLOSSARY = DOCS / "glossary.md"
 NOTE = DOCS / "design" / "readability.md"
