--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -292,6 +292,15 @@
         new, admin = old.start_second()
         try:
 
+            def has_file(name: str) -> bool:
+                names.update(old.files())
+                return f"oxbowyard-n1-{name}" in names
+
+            until(lambda: has_file("successor"), "the second process says that it waits")
+            os.kill(new.pid, signal.SIGSTOP)  # or it may take over, and remove the file, between two looks
+            until(lambda: has_file("handed"), "the first one says that it has handed over")
+            os.kill(new.pid, signal.SIGCONT)
+
             def taken_over() -> bool:
                 names.update(old.files())
                 try:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -31,7 +31,12 @@
 
 
 def make(gap: float = 0.0, workers: int = 4, **more: object) -> Dispatcher:
-    values: dict[str, object] = {"max_attempts": 3, "tells_start": True, "may_cancel": True, "turn_gap": gap}
+    values: dict[str, object] = {
+        "max_attempts": 3,
+        "reports_starts": True,
+        "may_cancel": True,
+        "ordered_gap_ms": gap,
+    }
     values.update(more)
     d = Dispatcher(Settings((ORDER, PAIRED, PLAIN), **values), seed=3)  # type: ignore[arg-type]
     d.handle(0.0, EndpointsChanged(Scope.FULL, tuple(WorkerInfo(f"w{i}") for i in range(workers))))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -179,7 +179,7 @@
 @contextmanager
 def group(tmp_path: Path, service: ServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
     """Processes with [start] and [membership], not started yet."""
-    config = CONFIG | {"discovery": service.address, "settings": ASKED | {"scheduler_count": size}}
+    config = CONFIG | {"discovery": service.address, "settings": ASKED | {"siblings": size}}
     with fleet(tmp_path, config) as made:
         made.tables["start"] = {"keep_every_s": 0.3, **start}
         made.kept = True
