--- /dev/null
+++ b/oxbowyard/daemon/context.py
@@ -0,0 +1,115 @@
+"""What the states of one program share, and how it is built from the configuration."""
+
+from __future__ import annotations
+
+import asyncio
+import tempfile
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ..clients.limits import MAX_BODIES_MEMORY_SHARE
+from ..clients.session import ClientSessions
+from ..control.cordon_file import CordonFile
+from ..control.counters import ConfigurationReloads
+from ..control.maintenance import Maintenance
+from ..listeners.acceptor import Acceptor
+from .composition import Subsystems, compose
+from .config import Config
+from .lifecycle import Component, Lifecycle
+from .loading import LoadedConfiguration
+from .operator_components import build_deferred_jobs_front, build_membership, build_start, open_store
+from .states import StateMachine
+from .units import BYTES_PER_MB, MS_PER_S
+
+if TYPE_CHECKING:  # only where the operator's file has its table
+    from ..durable.durable_store import DurableStore
+    from ..peers.component import MembershipComponent
+
+
+@dataclass
+class ProgramContext:
+    """The program's subsystems and what its states hand on to each other."""
+
+    loaded: LoadedConfiguration  # at the start; what a reload brings is compared with it
+    states: StateMachine
+    subsystems: Subsystems
+    sessions: ClientSessions
+    maintenance: Maintenance
+    components: Lifecycle  # of the operator's file
+    folder: Path  # for files that concern other processes of this scheduler
+    store: DurableStore | None  # of durable jobs
+    membership: MembershipComponent | None
+    longest_deadline_s: float  # of all classes that were in force so far
+    stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
+    reload_counts: ConfigurationReloads = field(default_factory=ConfigurationReloads)
+    acceptor: Acceptor | None = None
+    admin_acceptor: Acceptor | None = None
+
+    @property
+    def config(self) -> Config:
+        """The platform's configuration as it was at the start."""
+        return self.loaded.config
+
+    def bind_clients(self) -> Acceptor:
+        """A listener at the clients' address that does not accept yet; raises OSError."""
+        return Acceptor("http", self.config.host, self.config.port, self.sessions, shared=True)
+
+
+def build_context(loaded: LoadedConfiguration, take_over: bool) -> ProgramContext:
+    """Build everything that the configuration asks for; nothing works or listens yet.
+
+    `take_over` opens the durable store though another program has it. Raises ConfigurationError.
+    """
+    config = loaded.config
+    folder = Path(tempfile.gettempdir())
+    states = StateMachine()
+    store = open_store(loaded.durable, take_over) if loaded.durable else None
+    subsystems = compose(config, loaded.gearman, states.discovery_settled, loaded.waiting, store)
+    maintenance = _build_maintenance(subsystems, folder)
+    membership = None
+    if loaded.membership is not None:
+        membership = build_membership(
+            loaded.membership, subsystems, maintenance, lambda: states.membership_state
+        )
+    return ProgramContext(
+        loaded=loaded,
+        states=states,
+        subsystems=subsystems,
+        sessions=_build_sessions(loaded, subsystems, states),
+        maintenance=maintenance,
+        components=Lifecycle(_components(loaded, subsystems, membership)),
+        folder=folder,
+        store=store,
+        membership=membership,
+        longest_deadline_s=max(c.deadline for c in config.settings.classes) / MS_PER_S,
+    )
+
+
+def _build_maintenance(subsystems: Subsystems, folder: Path) -> Maintenance:
+    file = CordonFile(folder / f"oxbowyard-{subsystems.config.name}-out-by-hand.json")
+    return Maintenance(subsystems.registry, subsystems.scheduler.update_endpoints, file)
+
+
+def _components(
+    loaded: LoadedConfiguration, subsystems: Subsystems, membership: MembershipComponent | None
+) -> Iterator[Component]:
+    """The components of the operator's file in the order in which they start."""
+    if membership is not None:
+        yield membership
+    if loaded.start is not None:
+        yield build_start(loaded.start, subsystems, membership)
+
+
+def _build_sessions(
+    loaded: LoadedConfiguration, subsystems: Subsystems, states: StateMachine
+) -> ClientSessions:
+    return ClientSessions(
+        subsystems.scheduler,
+        subsystems.classes,
+        lambda: states.is_serving,
+        subsystems.descriptors.clients,
+        int(loaded.config.memory_mb * MAX_BODIES_MEMORY_SHARE * BYTES_PER_MB),
+        build_deferred_jobs_front(subsystems, loaded.durable),
+    )
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -17,7 +17,7 @@
 import oxbowyard.cli
 from oxbowyard.cli.app import app
 from oxbowyard.configuration.check import check_platform
-from oxbowyard.daemon.config import BadConfig, load
+from oxbowyard.daemon.config import ConfigurationError, load
 
 GOOD: dict[str, Any] = {
     "listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "settings": SETTINGS,
@@ -110,6 +110,16 @@
     assert "waiting" in json.dumps(operator)
 
 
+@pytest.mark.parametrize(
+    ("option", "name"), [([], "schema-platform.json"), (["--operator"], "schema-operator.json")]
+)
+def test_the_schemas_are_those_of_the_program_as_found(option: list[str], name: str) -> None:
+    """Byte for byte, with the docstrings of the models that msgspec puts into them. The fixtures are what
+    `python -m oxbowyard.cli config schema [--operator]` printed at 52dd340."""
+    done = runner.invoke(app, ["config", "schema", *option])
+    assert done.output == (ROOT / "tests" / "fixtures" / name).read_text()
+
+
 def test_version() -> None:
     done = runner.invoke(app, ["version"])
     assert done.exit_code == 0 and done.output.startswith("oxbowyard ")
@@ -157,10 +167,10 @@
 @pytest.mark.parametrize(("path", "value"), [("", None), *MUTATIONS], ids=lambda x: str(x))
 def test_the_model_and_the_loader_of_run_agree(tmp_path: Path, path: str, value: object) -> None:
     document = mutated(path, value) if path else GOOD
-    faulty = any(not fault.note for fault in check_platform(document, {}))
+    faulty = any(not issue.is_note for issue in check_platform(document, {}))
     try:
         load({"LB_CONFIG": str(written(tmp_path, document))})
         refused = False
-    except BadConfig:
+    except ConfigurationError:
         refused = True
     assert faulty == refused == bool(path)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,13 +12,13 @@
 
 from oxbowyard.clients.session import Bodies
 from oxbowyard.clients.wording import Fault
-from oxbowyard.daemon.assembly import Assembly
+from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import Config
 from oxbowyard.daemon.descriptors import Descriptors
 from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
 from oxbowyard.gearman.jobs import _key
-from oxbowyard.listeners.acceptor import ACCEPT_AGAIN, Acceptor
+from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
 
 OTHERS = tuple(JobClass(name, aim=1000, deadline=5000) for name in ("label-check", "accession"))
 
@@ -35,10 +35,12 @@
     assert with_gearman.total <= sockets
 
 
-def test_without_a_descriptor_the_gate_tries_again_now_and_then() -> None:
+def test_without_a_descriptor_the_acceptor_tries_again_now_and_then() -> None:
     class Sessions:
         free = 1
-        counts: Counter[str] = Counter()
+
+        def __init__(self) -> None:
+            self.counts: Counter[str] = Counter()
 
     class Listener:
         """A listener for whose next connection the system has no descriptor."""
@@ -50,15 +52,16 @@
             raise OSError(errno.EMFILE, "no descriptor")
 
     async def play() -> None:
-        acceptor = Acceptor("http", "127.0.0.1", 0, Sessions())  # type: ignore[arg-type]
+        sessions = Sessions()
+        acceptor = Acceptor("http", "127.0.0.1", 0, sessions)  # type: ignore[arg-type]
         with socket.create_connection(acceptor._listener.getsockname()):  # it stays readable all the time
             acceptor._listener = Listener(acceptor._listener)  # type: ignore[assignment]
             acceptor.open()
-            await asyncio.sleep(4.5 * ACCEPT_AGAIN)
+            await asyncio.sleep(4.5 * RETRY_NO_DESCRIPTOR_S)
             acceptor.close()
-            assert 2 <= Sessions.counts["no descriptor"] <= 6
-            await asyncio.sleep(2 * ACCEPT_AGAIN)
-            assert Sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
+            assert 2 <= sessions.counts["no descriptor"] <= 6
+            await asyncio.sleep(2 * RETRY_NO_DESCRIPTOR_S)
+            assert sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
 
     asyncio.run(play())
 
@@ -84,10 +87,10 @@
         settings = Settings(classes=(JobClass("preview", aim=1000, deadline=5000),))
         config = Config("n", "127.0.0.1", 0, "127.0.0.1:1", 1, 256, 32.0, 20_000, settings, True)
         gearman = load_gearman(Path("deploy/gearman.toml"), (*settings.classes, *OTHERS))
-        parts = Assembly(config, gearman)
-        assert parts.gearman and parts.gearman.config.max_connections == 64
-        assert parts.descriptors.requests > 50
-        assert parts.descriptors.clients > parts.descriptors.requests
-        await parts.close()
+        subsystems = compose(config, gearman)
+        assert subsystems.gearman and subsystems.gearman.config.max_connections == 64
+        assert subsystems.descriptors.requests > 50
+        assert subsystems.descriptors.clients > subsystems.descriptors.requests
+        await subsystems.close()
 
     asyncio.run(play())
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -27,7 +27,7 @@
 NOWHERE = CONFIG | {"discovery": "127.0.0.1:1"}
 
 
-@pytest.fixture()
+@pytest.fixture
 def workers() -> Iterator[str]:
     """Discovery's address; its workers serve at once."""
     loop = LoopThread()
@@ -201,14 +201,14 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind((rest[0].host, rest[0].port))
             rest[0].start()
-            until(lambda: "is taken" in rest[0].log(), "it says so")
+            until(lambda: "membership address in use" in rest[0].log(), "it says so")
             until(lambda: rest[0].view().get("me", {}).get("bound") is False, "and serves without")
         until(lambda: {"m0", "m2", "m3"} <= rest[0].sees("alive"), "it has joined")
 
 
 def test_a_flood_and_nonsense_are_dropped_and_bounded_and_the_others_stay(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as made:
-        first, *rest = started(made, 4)
+        first, *_ = started(made, 4)
         header = Header(1, GROUP, "x", 1, "127.0.0.1:9")
         junk = [
             b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -27,12 +27,12 @@
 from oxbowyard.decision.settings import JobClass, Repeat, Settings
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.discovery.registry import Registry
-from oxbowyard.durable.ledger import pack, parents_of, unpack
+from oxbowyard.durable.journal import decode_dependencies, decode_request, encode_request
 from oxbowyard.handover.learned import decode, encode
-from oxbowyard.operator.file import Faulty, OperatorConfig, load
-from oxbowyard.start import disk
+from oxbowyard.operator.file import OperatorConfig, OperatorFileError, load
+from oxbowyard.start.snapshot_file import read_snapshot, write_snapshot
 from oxbowyard.store.database import Database
-from oxbowyard.store.record import Change, JobState, JobStateChanged, StoredJob
+from oxbowyard.store.record import Change, JobStateChanged, StoredJob, StoredState
 
 FIXTURES = Path(__file__).parent / "fixtures"
 WALL_S = 4_000_000_000.0
@@ -50,9 +50,9 @@
 
 def operator_faults(path: Path) -> tuple[str, ...]:
     """What the program says of a faulty one, by keys."""
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         read_operator(path)
-    return tuple(caught.value.faults)
+    return tuple(caught.value.errors)
 
 
 def operator_tables(found: OperatorConfig) -> dict[str, Any]:
@@ -78,18 +78,18 @@
         number = job.accepted.number
         changes.append(job.accepted)
         if job.lease is not None:
-            changes.append(JobStateChanged(number, JobState.GRANTED, job.submissions, job.lease))
+            changes.append(JobStateChanged(number, StoredState.GRANTED, job.submissions, job.lease))
         if job.ended is not None:
             changes.append(job.ended)
-        elif job.state is not JobState.GRANTED:
+        elif job.state is not StoredState.GRANTED:
             changes.append(JobStateChanged(number, job.state, job.submissions))
     database.apply(changes)
 
 
 def packed_again(job: StoredJob) -> tuple[bytes, bytes]:
     """A stored request and its parents, read and written again."""
-    parents = [[parent.id, parent.when.value] for parent in parents_of(job)]
-    return pack(unpack(job, 5.0)), json.dumps(parents).encode()
+    parents = [[parent.id, parent.condition.value] for parent in decode_dependencies(job)]
+    return encode_request(decode_request(job, 5.0)), json.dumps(parents).encode()
 
 
 def stored_as(job: StoredJob) -> tuple[bytes, bytes]:
@@ -99,8 +99,8 @@
 
 def read_list(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
     """The list kept on disk: its version, entries and age."""
-    found = disk.read(path, "default", now, 86400.0, 100, 1 << 20)
-    return found.rev, [dict(row) for row in found.targets], found.age
+    found = read_snapshot(path, "default", now, 86400.0, 100, 1 << 20)
+    return found.revision, [dict(row) for row in found.targets], found.age_s
 
 
 def write_list(path: Path, rev: int, rows: list[dict[str, Any]]) -> None:
@@ -108,7 +108,7 @@
     registry = Registry(lambda: CLOCK_MS, 1000.0)
     registry.apply(parse_endpoint_list({"rev": rev, "all": True, "targets": rows}))
     registry.cordon("w3")
-    disk.write(path, "default", WALL_S, rev, registry.targets())
+    write_snapshot(path, "default", WALL_S, rev, registry.targets())
 
 
 def out_by_hand(path: Path) -> set[str]:
@@ -299,6 +299,10 @@
     assert scenes.members_answers(ROOT, tmp_path) == answers("members")
 
 
+def test_a_second_process_finds_the_files_of_the_first(tmp_path: Path) -> None:
+    assert scenes.replacement_files(ROOT, tmp_path) == answers("replacement")
+
+
 def test_the_waiting_api_answers_as_it_did_over_a_store_of_the_program_as_found(tmp_path: Path) -> None:
     store = FIXTURES / "jobs.db"
     folder = tmp_path / "program"
