--- a/tests/stage.py
+++ b/tests/stage.py
@@ -11,7 +11,6 @@
 import socket
 import struct
 import tomllib
-from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -144,7 +143,7 @@
     def move_endpoint(self, name: str, address: str) -> None:
         """The worker listens elsewhere, and no watch event has said so."""
         endpoints = self.subsystems.registry.endpoints
-        endpoints[name] = replace(endpoints[name], address=address)
+        endpoints[name] = endpoints[name]._replace(address=address)
 
     async def begin(self, listed: bool = True, names: tuple[str, ...] = ("w1",)) -> None:
         """Both fronts and the worker listen; the list names it, perhaps several times."""
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -43,6 +43,7 @@
     "peers",
     "start",
     "store",
+    "waiting",
 )
 
 GLOSSARY = DOCS / "glossary.md"
