--- a/benchmarks/crash_worker.py
+++ b/benchmarks/crash_worker.py
@@ -14,7 +14,8 @@
 import signal
 from pathlib import Path
 
-from oxbowyard.gearman.packet import Decoder, Packet, Type, encode
+from oxbowyard.gearman.codec import Decoder, Packet, encode
+from oxbowyard.gearman.packet_types import PacketType
 
 from .standin import HEAD_END
 
@@ -82,8 +83,8 @@
 
     async def _stay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         decoder = Decoder(1 << 20, magic=b"\0RES")
-        writer.write(b"".join(encode(Type.CAN_DO, name, magic=b"\0REQ") for name in FUNCTIONS))
-        writer.write(encode(Type.GRAB_JOB, magic=b"\0REQ"))
+        writer.write(b"".join(encode(PacketType.CAN_DO, name, magic=b"\0REQ") for name in FUNCTIONS))
+        writer.write(encode(PacketType.GRAB_JOB, magic=b"\0REQ"))
         try:
             while data := await reader.read(65536):
                 for packet in decoder.feed(data):
@@ -95,15 +96,15 @@
             writer.close()
 
     async def _take(self, packet: Packet, writer: asyncio.StreamWriter) -> None:
-        if packet.type == Type.NO_JOB:
-            writer.write(encode(Type.PRE_SLEEP, magic=b"\0REQ"))
-        elif packet.type == Type.NOOP:
-            writer.write(encode(Type.GRAB_JOB, magic=b"\0REQ"))
-        elif packet.type == Type.JOB_ASSIGN:
+        if packet.type == PacketType.NO_JOB:
+            writer.write(encode(PacketType.PRE_SLEEP, magic=b"\0REQ"))
+        elif packet.type == PacketType.NOOP:
+            writer.write(encode(PacketType.GRAB_JOB, magic=b"\0REQ"))
+        elif packet.type == PacketType.JOB_ASSIGN:
             handle, _, payload = packet.data.split(b"\0", 2)
             await self.work(payload.decode())
-            writer.write(encode(Type.WORK_COMPLETE, handle, b"made " + payload, magic=b"\0REQ"))
-            writer.write(encode(Type.GRAB_JOB, magic=b"\0REQ"))
+            writer.write(encode(PacketType.WORK_COMPLETE, handle, b"made " + payload, magic=b"\0REQ"))
+            writer.write(encode(PacketType.GRAB_JOB, magic=b"\0REQ"))
 
 
 def _line(writer: asyncio.StreamWriter, event: dict[str, str]) -> None:
--- a/benchmarks/durable_crash.py
+++ b/benchmarks/durable_crash.py
@@ -30,7 +30,8 @@
 
 import aiohttp
 
-from oxbowyard.gearman.packet import Type, encode
+from oxbowyard.gearman.codec import encode
+from oxbowyard.gearman.packet_types import PacketType
 
 from .standin import discover
 from .started import ROOT
@@ -224,10 +225,12 @@
         reader, writer = await asyncio.open_connection(*await started.address("gearman"))
         for name in names:
             function = b"file_specimen" if name.startswith("accession") else b"render_preview"
-            writer.write(encode(Type.SUBMIT_JOB_BG, function, name.encode(), name.encode(), magic=b"\0REQ"))
+            writer.write(
+                encode(PacketType.SUBMIT_JOB_BG, function, name.encode(), name.encode(), magic=b"\0REQ")
+            )
             head = await reader.readexactly(12)
             data = await reader.readexactly(int.from_bytes(head[8:], "big"))
-            if int.from_bytes(head[4:8], "big") == Type.JOB_CREATED:
+            if int.from_bytes(head[4:8], "big") == PacketType.JOB_CREATED:
                 audit.handed_in[name] = data.decode()
             await asyncio.sleep(0.01)
         writer.close()
--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -20,7 +20,7 @@
 from ..configuration.platform import PlatformFile
 from ..configuration.sources import values_in_force
 from ..configuration.validation_errors import ValidationIssue
-from ..gearman.admin import VERSION
+from ..gearman.text_commands import VERSION
 from .check import check_file
 
 EXIT_FAILED = 1
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -28,6 +28,7 @@
 from ..gearman.config import KIND, GearmanConfig
 from ..gearman.front import GearmanFront
 from ..gearman.jobs import Jobs
+from ..gearman.worker_transport import WorkerTransport
 from ..gearman.workers import Workers
 from .background_tasks import BackgroundTasks
 from .config import Config
@@ -129,7 +130,7 @@
     registry = Registry(clock, settings.drain_grace)
     descriptors = _descriptors(config, gearman)
     backends = _http_backends(config, settings, registry, descriptors)
-    workers = Workers(gearman) if gearman else None
+    workers = WorkerTransport(Workers(gearman)) if gearman else None
     scheduler = _scheduler(config, settings, _transport(backends, workers), clock, measure, descriptors)
     discovery = _discovery(config, settings, registry, scheduler, on_settled)
     jobs = None
@@ -203,7 +204,7 @@
     )
 
 
-def _transport(backends: HttpBackends, workers: Workers | None) -> BackendTransport:
+def _transport(backends: HttpBackends, workers: WorkerTransport | None) -> BackendTransport:
     """Attempts go to the worker by its kind: HTTP, or Gearman where that is on."""
     return backends if workers is None else RoutedTransport(backends, {KIND: workers})
 
@@ -256,10 +257,14 @@
 
 
 def _gearman_front(
-    config: GearmanConfig, workers: Workers, scheduler: Scheduler, name: str, waiting: JobQueue | None
+    config: GearmanConfig,
+    transport: WorkerTransport,
+    scheduler: Scheduler,
+    name: str,
+    waiting: JobQueue | None,
 ) -> GearmanFront:
-    workers.tell_to(scheduler.update_endpoints)
-    return GearmanFront(config, Jobs(config, scheduler, name, waiting), workers)
+    transport.workers.on_change = scheduler.update_endpoints
+    return GearmanFront(config, Jobs(config, scheduler, name, waiting), transport)
 
 
 def _not_idempotent(classes: Iterable[JobClass]) -> frozenset[str]:
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -51,7 +51,7 @@
     settings: MembershipSettings, subsystems: Subsystems, maintenance: Maintenance, state: Callable[[], str]
 ) -> MembershipComponent:
     """The component of `[membership]`: the group of schedulers. `state` tells this scheduler's."""
-    from ..gearman.admin import VERSION
+    from ..gearman.text_commands import VERSION
     from ..peers.component import MembershipComponent
     from ..peers.services import ProgramServices
 
--- /dev/null
+++ b/oxbowyard/gearman/assignment.py
@@ -0,0 +1,73 @@
+"""An assignment: one attempt of a job at a Gearman worker, from chosen to ended."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from ..core.request import AttemptContext, AttemptOutcome, Request, reason_not_to_send
+from ..decision.facade import Result
+from .codec import encode
+from .job import PRIORITY_EXTRA, UNIQUE_ENCODING, UNIQUE_EXTRA, Priority
+from .packet_types import PacketType
+
+
+@dataclass(slots=True, eq=False)
+class Assignment:
+    """One attempt at a worker: the worker is chosen first, and grabs the job later."""
+
+    handle: bytes  # its own, unlike the job's: an earlier attempt may still end
+    request: Request
+    context: AttemptContext
+    outcome: asyncio.Future[AttemptOutcome]
+    is_sent: bool = False
+    timeout: asyncio.TimerHandle | None = None  # the worker's own limit for the function
+
+    @property
+    def priority(self) -> int:
+        """Its place among the assignments of a worker, the lowest first."""
+        return int(self.request.extras.get(PRIORITY_EXTRA, Priority.NORMAL.value))
+
+    @property
+    def is_over(self) -> bool:
+        """Whether the attempt has its outcome."""
+        return self.outcome.done()
+
+    def end(self, outcome: AttemptOutcome) -> None:
+        """Set the outcome; one that is set already stays."""
+        self.cancel_timeout()
+        if not self.outcome.done():
+            self.outcome.set_result(outcome)
+
+    def end_if_too_late(self) -> None:
+        """End it unsent if its client has disconnected, read already or not, or its time is over."""
+        if not self.is_over and (reason := reason_not_to_send(self.request, self.context)):
+            self.end(AttemptOutcome(Result.NOT_SENT, reason=reason))
+
+    def mark_sent(self) -> None:
+        """The job goes to the worker now: from here on it may run."""
+        self.is_sent = True
+        self.context.written = True
+
+    def start_timeout(self, limit_s: float) -> None:
+        """End the attempt as failed after the worker's own limit; 0: there is none."""
+        if limit_s > 0:
+            outcome = AttemptOutcome(Result.ERROR, reason="worker's own limit")
+            self.timeout = asyncio.get_running_loop().call_later(limit_s, self.end, outcome)
+
+    def cancel_timeout(self) -> None:
+        """Stop the timer of the worker's own limit."""
+        if self.timeout is not None:
+            self.timeout.cancel()
+
+    def encode(self, grab_type: PacketType) -> bytes:
+        """The packet that answers a grab of this type."""
+        function = self.request.target.encode()
+        unique = self.request.extras.get(UNIQUE_EXTRA, "").encode(UNIQUE_ENCODING)
+        payload = self.request.payload
+        if grab_type is PacketType.GRAB_JOB_UNIQ:
+            return encode(PacketType.JOB_ASSIGN_UNIQ, self.handle, function, unique, payload)
+        if grab_type is PacketType.GRAB_JOB_ALL:
+            no_reducer = b""
+            return encode(PacketType.JOB_ASSIGN_ALL, self.handle, function, unique, no_reducer, payload)
+        return encode(PacketType.JOB_ASSIGN, self.handle, function, payload)
--- /dev/null
+++ b/oxbowyard/gearman/codec.py
@@ -0,0 +1,112 @@
+"""The codec of Gearman's binary packets and text commands. It does no I/O."""
+
+from __future__ import annotations
+
+import struct
+from dataclasses import dataclass
+
+from .errors import ErrorCode, StreamError
+from .packet_types import ARGUMENT_COUNTS, PacketType
+
+REQUEST_MAGIC = b"\0REQ"
+RESPONSE_MAGIC = b"\0RES"
+HEADER = struct.Struct(">4sII")  # magic, packet type, size of the data
+MAX_LINE_BYTES = 4096
+
+
+@dataclass(slots=True, frozen=True)
+class Packet:
+    """One binary packet; its data is not split into arguments yet."""
+
+    type: int  # perhaps a number that is no `PacketType`
+    data: bytes = b""
+
+    def arguments(self) -> list[bytes] | None:
+        """The arguments; None if the type is not served or their number is wrong."""
+        if self.type not in ARGUMENT_COUNTS:
+            return None
+        count = ARGUMENT_COUNTS[PacketType(self.type)]
+        if count == 0:
+            return None if self.data else []
+        arguments = self.data.split(b"\0", count - 1)
+        return arguments if len(arguments) == count else None
+
+
+@dataclass(slots=True, frozen=True)
+class TextCommand:
+    """One line of the text protocol, without its end."""
+
+    text: str
+
+
+def encode(packet_type: PacketType, *arguments: bytes, magic: bytes = RESPONSE_MAGIC) -> bytes:
+    """Encode a packet. What this program sends has the magic of a response."""
+    data = b"\0".join(arguments)
+    return HEADER.pack(magic, packet_type, len(data)) + data
+
+
+def encode_error(code: ErrorCode, text: str) -> bytes:
+    """Encode an ERROR packet."""
+    return encode(PacketType.ERROR, code.value.encode(), text.encode())
+
+
+class Decoder:
+    """Decodes a byte stream incrementally.
+
+    Args:
+        max_packet_bytes: The largest data of a packet that is accepted.
+        magic: The magic of the packets in this direction.
+    """
+
+    def __init__(self, max_packet_bytes: int, magic: bytes = REQUEST_MAGIC) -> None:
+        self._buffer = bytearray()
+        self._max_packet_bytes = max_packet_bytes
+        self._magic = magic
+
+    @property
+    def buffered_bytes(self) -> int:
+        """The number of bytes of an item that is not complete yet."""
+        return len(self._buffer)
+
+    def clear(self) -> None:
+        """Discard what is buffered."""
+        self._buffer.clear()
+
+    def feed(self, data: bytes) -> list[Packet | TextCommand]:
+        """Return the items that the data completes. Raises StreamError if the stream cannot be decoded."""
+        self._buffer += data
+        found: list[Packet | TextCommand] = []
+        while (item := self._next()) is not None:
+            found.append(item)
+        return found
+
+    def _next(self) -> Packet | TextCommand | None:
+        if not self._buffer:
+            return None
+        return self._next_packet() if self._buffer[0] == 0 else self._next_line()
+
+    def _next_packet(self) -> Packet | None:
+        if self._buffer[:4] != self._magic[: len(self._buffer)]:
+            raise StreamError(ErrorCode.INVALID_MAGIC, "not the magic of a request")
+        if len(self._buffer) < HEADER.size:
+            return None
+        _, packet_type, size = HEADER.unpack_from(self._buffer)
+        if size > self._max_packet_bytes:  # known from the header, before the data is buffered
+            text = f"a packet holds {self._max_packet_bytes} bytes at most"
+            raise StreamError(ErrorCode.PACKET_TOO_LARGE, text)
+        end = HEADER.size + size
+        if len(self._buffer) < end:
+            return None
+        packet = Packet(packet_type, bytes(self._buffer[HEADER.size : end]))
+        del self._buffer[:end]
+        return packet
+
+    def _next_line(self) -> TextCommand | None:
+        end = self._buffer.find(b"\n")
+        if end < 0:
+            if len(self._buffer) > MAX_LINE_BYTES:
+                raise StreamError(ErrorCode.LINE_TOO_LONG, "a line without an end")
+            return None
+        text = bytes(self._buffer[:end]).rstrip(b"\r").decode("utf-8", "replace")
+        del self._buffer[: end + 1]
+        return TextCommand(text)
--- a/oxbowyard/gearman/config.py
+++ b/oxbowyard/gearman/config.py
@@ -1,4 +1,8 @@
-"""The file that says where the Gearman front listens and what its functions are."""
+"""The configuration of the Gearman front: where it listens, its limits and its functions.
+
+It is a TOML file of its own (`deploy/gearman.toml`), or the table `[gearman]` of the operator's file.
+The operator knows the keys, and the texts of the errors.
+"""
 
 from __future__ import annotations
 
@@ -12,74 +16,99 @@
 
 KIND = "gearman"  # the kind of all Gearman workers, and the prefix of their names
 
+DEFAULT_MAX_PACKET_BYTES = 256 << 10
+DEFAULT_MAX_CONNECTIONS = 256
+DEFAULT_MAX_BUFFERED_BYTES = 4 << 20
+DEFAULT_PACKET_TIMEOUT_S = 2.4
+DEFAULT_MAX_QUEUE_JOBS = 200
+DEFAULT_MAX_HELD_BYTES = 32 << 20
+
+MAX_PORT = 65535
+MAX_TIMEOUT_S = 3600.0
+MAX_WAIT_S = 10 * 365 * 86400.0
+MS_PER_S = 1000
+
 
 @dataclass(slots=True, frozen=True)
 class Function:
-    """One Gearman function and the class of its own that its jobs have."""
+    """One Gearman function, and the job class that its jobs have."""
 
     name: str
     job_class: JobClass
-    queueing: bool = False  # refused, its jobs wait and are asked again: with the table [waiting]
-    patience: float | None = None  # seconds that its jobs may wait; None: as [waiting] says
+    queueing: bool = False  # a rejected job waits and is submitted again; needs the table [waiting]
+    max_wait_s: float | None = None  # how long its jobs may wait; None: as [waiting] says
+
+    @property
+    def deadline_s(self) -> float:
+        """How long a job may take."""
+        return self.job_class.deadline / MS_PER_S
 
 
 @dataclass(slots=True, frozen=True)
 class GearmanConfig:
-    """What the file says."""
+    """The configuration of the front, checked."""
 
     host: str
     port: int
-    max_packet: int
+    max_packet_bytes: int
     max_connections: int
-    max_buffered: int
-    packet_within: float
-    max_queue: int
-    max_held: int
+    max_buffered_bytes: int  # of incomplete packets, over all connections
+    packet_timeout_s: float  # until a connection's first packet, and for each that has begun
+    max_queue: int  # jobs of one function that wait for a worker
+    max_held_bytes: int  # workloads of all jobs
     functions: dict[str, Function]
 
 
 def load(path: Path, classes: Iterable[JobClass]) -> GearmanConfig:
-    """Read the file. Each function takes after a class of the settings; raises ValueError on a fault."""
+    """Read the configuration from a file of its own.
+
+    Args:
+        path: The TOML file.
+        classes: The job classes of the settings; each function is based on one of them.
+
+    Raises:
+        ValueError: The file cannot be read, or something in it is wrong.
+    """
     try:
         document = tomllib.loads(path.read_text())
-    except OSError as fault:
-        raise ValueError(f"cannot read {path.name}: {fault.strerror}") from None
-    except ValueError as fault:
-        raise ValueError(f"{path.name}: {fault}") from None
+    except OSError as error:
+        raise ValueError(f"cannot read {path.name}: {error.strerror}") from None
+    except ValueError as error:
+        raise ValueError(f"{path.name}: {error}") from None
     return parse(document, classes)
 
 
 def parse(document: dict[str, Any], classes: Iterable[JobClass]) -> GearmanConfig:
-    """Check what a file says, or a table of the operator's file; raises ValueError on a fault."""
+    """Check a file's content, or the table of the operator's file. Raises ValueError for a fault in it."""
     host, _, port = str(document.get("listen", "")).rpartition(":")
-    if not host or not port.isdecimal() or int(port) > 65535:
+    if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError("listen is not an address")
     bases = {c.name: c for c in classes}
     table = document.get("functions") or {}
     return GearmanConfig(
         host=host,
         port=int(port),
-        max_packet=_positive(document, "max_packet_bytes", 256 << 10),
-        max_connections=_positive(document, "max_connections", 256),
-        max_buffered=_positive(document, "max_buffered_bytes", 4 << 20),
-        packet_within=_seconds(document, "packet_within_s", 2.4),
-        max_queue=_positive(document, "max_queue", 200),
-        max_held=_positive(document, "max_held_bytes", 32 << 20),
+        max_packet_bytes=_positive(document, "max_packet_bytes", DEFAULT_MAX_PACKET_BYTES),
+        max_connections=_positive(document, "max_connections", DEFAULT_MAX_CONNECTIONS),
+        max_buffered_bytes=_positive(document, "max_buffered_bytes", DEFAULT_MAX_BUFFERED_BYTES),
+        packet_timeout_s=_seconds(document, "packet_within_s", DEFAULT_PACKET_TIMEOUT_S, MAX_TIMEOUT_S),
+        max_queue=_positive(document, "max_queue", DEFAULT_MAX_QUEUE_JOBS),
+        max_held_bytes=_positive(document, "max_held_bytes", DEFAULT_MAX_HELD_BYTES),
         functions={name: _function(name, row, bases) for name, row in table.items()},
     )
 
 
-def _seconds(row: dict[str, Any], name: str, default: float, most: float = 3600.0) -> float:
-    value = row.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < most:
-        raise ValueError(f"{name} must be above 0 and under {most:g}")
+def _seconds(row: dict[str, Any], key: str, default: float, maximum: float) -> float:
+    value = row.get(key, default)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < maximum:
+        raise ValueError(f"{key} must be above 0 and under {maximum:g}")
     return float(value)
 
 
-def _positive(row: dict[str, Any], name: str, default: float) -> int:
-    value = row.get(name, default)
+def _positive(row: dict[str, Any], key: str, default: float) -> int:
+    value = row.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value <= 0:
-        raise ValueError(f"{name} must be above 0")
+        raise ValueError(f"{key} must be above 0")
     return int(value)
 
 
@@ -87,11 +116,21 @@
     base = bases.get(row.get("class", ""))
     if base is None:
         raise ValueError(f"function {name}: class {row.get('class')!r} is not in the settings")
+    job_class = _job_class(name, row, base)
+    max_wait_s = _seconds(row, "patience_s", 0.0, MAX_WAIT_S) if "patience_s" in row else None
+    queueing = row.get("queueing", False)
+    if not isinstance(queueing, bool):
+        raise ValueError(f"function {name}: queueing must be true or false")
+    return Function(name, job_class, queueing, max_wait_s)
+
+
+def _job_class(name: str, row: dict[str, Any], base: JobClass) -> JobClass:
+    """The class of a function's jobs: its base class with the function's own deadline and weight."""
     deadline = float(_positive(row, "deadline_ms", base.deadline))
     worth = row.get("worth", base.worth)
     if isinstance(worth, bool) or not isinstance(worth, (int, float)) or worth < 0:
         raise ValueError(f"function {name}: worth must not be negative")
-    own = replace(
+    return replace(
         base,
         name=f"{KIND}:{name}",
         kind=KIND,
@@ -99,8 +138,3 @@
         aim=min(base.aim, deadline),
         worth=float(worth),
     )
-    patience = _seconds(row, "patience_s", 0.0, 10 * 365 * 86400.0) if "patience_s" in row else None
-    queueing = row.get("queueing", False)
-    if not isinstance(queueing, bool):
-        raise ValueError(f"function {name}: queueing must be true or false")
-    return Function(name, own, queueing, patience)
--- /dev/null
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -0,0 +1,150 @@
+"""Gearman jobs in the queue of deferred jobs: background jobs, and all jobs of queueing functions."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from ..core.request import Request
+from ..decision.settings import Repeat
+from ..waiting.job import JobOutcome, JobRejectedError, JobResult, RejectionCode, WaitOptions
+from .codec import encode, encode_error
+from .config import Function
+from .errors import ErrorCode, PacketRejectedError
+from .handles import parse_leased
+from .job import DEFERRED_PRIORITIES, PRIORITY_EXTRA, UNIQUE_ENCODING, UNIQUE_EXTRA, Job, JobClient, Priority
+from .job_requests import build_request, digest_key
+from .job_results import send_result
+from .job_table import JobTable
+from .packet_types import PacketType
+from .submission import Submission
+
+if TYPE_CHECKING:  # it is imported only where the operator's file has the table [waiting]
+    from ..waiting.job_queue import JobQueue
+
+ERROR_CODES = {
+    RejectionCode.STOPPING: ErrorCode.SHUTTING_DOWN,
+    RejectionCode.INVALID_TIME: ErrorCode.INVALID_EPOCH,
+    RejectionCode.TOO_LARGE: ErrorCode.TOO_LARGE,
+}
+
+
+def error_code(error: JobRejectedError) -> ErrorCode:
+    """The code that a client gets for a submission that the queue rejects."""
+    return ERROR_CODES.get(error.code, ErrorCode.JOB_QUEUE_FULL)
+
+
+class DeferredJobs:
+    """Submits Gearman jobs to the queue of deferred jobs, and takes back those of an earlier process."""
+
+    def __init__(self, queue: JobQueue, table: JobTable, functions: Mapping[str, Function]) -> None:
+        self._queue = queue
+        self._table = table
+        self._functions = functions
+        self._submitting: set[asyncio.Task[None]] = set()
+        queue.adopters.append(self.adopt)
+
+    def is_durable(self, submission: Submission) -> bool:
+        """Whether the job is stored before its client gets the handle."""
+        return submission.background and bool(self._queue.ids.run_id)
+
+    def submit(self, job: Job, request: Request, submission: Submission) -> None:
+        """Submit a job that is not stored. Raises PacketRejectedError; the table has it no more then."""
+        self._submit(job, request, _wait_options(submission))
+
+    def submit_durable(self, job: Job, request: Request, submission: Submission, client: JobClient) -> None:
+        """Submit a background job; its client gets the handle or an error once the store has it."""
+        options = _wait_options(submission)
+        if submission.unique and submission.function.job_class.repeat is not Repeat.FREE:
+            # What must not run twice is the same job for a client that got no answer to its first submission.
+            options = replace(options, idempotency_key=_idempotency_key(submission))
+        client.defer()
+        task = asyncio.get_running_loop().create_task(self._store(job, request, options, client))
+        self._submitting.add(task)
+        task.add_done_callback(self._submitting.discard)
+
+    async def _store(self, job: Job, request: Request, options: WaitOptions, client: JobClient) -> None:
+        try:
+            handle = await self._submit_and_store(job, request, options)
+            client.send(encode(PacketType.JOB_CREATED, handle.encode()))
+        except JobRejectedError as error:
+            self._table.remove(job)
+            client.send(encode_error(error_code(error), error.text))
+        except PacketRejectedError as error:
+            client.send(encode_error(error.code, error.text))
+        finally:
+            client.resume()
+
+    async def _submit_and_store(self, job: Job, request: Request, options: WaitOptions) -> str:
+        """Returns the handle, which is an earlier job's if this is the same one."""
+        if options.idempotency_key:
+            existing = await self._queue.intake.find_existing([(request, options)])
+            if existing:
+                self._table.remove(job)
+                return existing[0].job.id
+        handle = self._submit(job, request, options)
+        await self._queue.intake.durable()
+        return handle
+
+    def _submit(self, job: Job, request: Request, options: WaitOptions) -> str:
+        try:
+            (accepted,) = self._queue.submit([(request, options)], self._on_end(job))
+        except JobRejectedError as error:
+            self._table.remove(job)
+            raise PacketRejectedError(error_code(error), error.text) from None
+        if accepted.id != request.id:  # the same job as one that was submitted before
+            self._table.remove(job)
+        return accepted.id
+
+    def adopt(self, request: Request) -> tuple[Request, Callable[[JobResult], None]] | None:
+        """Take back a recovered job under its old handle; None if it is not a Gearman job.
+
+        The pair is what the queue expects of an adopter: the request to submit, and what its end calls.
+        """
+        function = self._functions.get(request.target)
+        if function is None or function.job_class.name != request.job_class:
+            return None
+        unique = request.extras.get(UNIQUE_EXTRA, "").encode(UNIQUE_ENCODING)
+        job = self._table.add(request.id.encode(), function, unique, len(request.payload), background=True)
+        priority = Priority(int(request.extras.get(PRIORITY_EXTRA, Priority.NORMAL.value)))
+        return build_request(job, request.payload, priority, self._table), self._on_end(job)
+
+    def cancel(self, job: Job) -> None:
+        """Cancel a job whose clients have all disconnected."""
+        self._queue.cancel(job.id, "its client left")
+
+    def deliver_late_result(self, handle: bytes, outcome: JobOutcome, body: bytes) -> bool:
+        """A worker reports the end of an attempt that is over; it may settle an indeterminate job.
+
+        Returns:
+            False if the handle is not that of an indeterminate job's last attempt.
+        """
+        attempt = parse_leased(handle)
+        if attempt is None:
+            return False
+        reason = "" if outcome is JobOutcome.SERVED else "its worker said so, late"
+        return self._queue.deliver_late_result(attempt.job_id, attempt.lease, outcome, body, reason)
+
+    def _on_end(self, job: Job) -> Callable[[JobResult], None]:
+        def on_end(result: JobResult) -> None:
+            self._table.remove(job)
+            send_result(job, result)
+
+        return on_end
+
+
+def _wait_options(submission: Submission) -> WaitOptions:
+    return WaitOptions(
+        submission.function.max_wait_s,
+        not_before_unix_s=submission.not_before_unix_s,
+        priority=DEFERRED_PRIORITIES[submission.priority],
+        durable=submission.background,
+    )
+
+
+def _idempotency_key(submission: Submission) -> str:
+    unique = digest_key(submission.unique)
+    workload = digest_key(submission.workload)
+    return f"gearman:{submission.function.name}:{unique}:{workload}"
--- /dev/null
+++ b/oxbowyard/gearman/job_requests.py
@@ -0,0 +1,34 @@
+"""The core's requests for Gearman jobs."""
+
+from __future__ import annotations
+
+import hashlib
+
+from ..core.request import Request
+from .job import PRIORITY_EXTRA, UNIQUE_ENCODING, UNIQUE_EXTRA, Job, Priority
+from .job_results import send_update
+from .job_table import JobTable
+
+KEY_BYTES = 16
+
+
+def digest_key(data: bytes) -> str | None:
+    """A short key for a unique id or a workload, which may be large; None for an empty one."""
+    return hashlib.blake2b(data, digest_size=KEY_BYTES).hexdigest() if data else None
+
+
+def build_request(job: Job, workload: bytes, priority: Priority, table: JobTable) -> Request:
+    """The request for a job, which reports its progress to the job's clients and to the table."""
+    extras = {UNIQUE_EXTRA: job.unique.decode(UNIQUE_ENCODING), PRIORITY_EXTRA: str(priority.value)}
+    return Request(
+        id=job.id,
+        job_class=job.function.job_class.name,
+        timeout_s=job.function.deadline_s,
+        target=job.function.name,
+        payload=workload,
+        key=digest_key(job.unique),
+        extras=extras,
+        on_running=lambda running: table.set_running(job, running),
+        on_update=lambda update: send_update(job, update),
+        client_connected=job.is_wanted,
+    )
--- /dev/null
+++ b/oxbowyard/gearman/job_table.py
@@ -0,0 +1,91 @@
+"""The jobs that have not ended, by handle, by unique id and by client, with their counts."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+
+from .config import Function
+from .job import Job, JobClient
+
+
+@dataclass(slots=True, frozen=True)
+class JobCounts:
+    """The number of a function's jobs."""
+
+    total: int  # that have not ended
+    running: int  # of these, on a worker
+
+    @property
+    def waiting(self) -> int:
+        """How many are on no worker yet."""
+        return self.total - self.running
+
+
+class JobTable:
+    """All jobs that have not ended."""
+
+    def __init__(self) -> None:
+        self.payload_bytes = 0  # the workloads of all jobs
+        self._by_handle: dict[bytes, Job] = {}
+        self._by_unique: dict[tuple[str, bytes], Job] = {}
+        self._by_client: dict[JobClient, dict[Job, None]] = {}
+        self._total: Counter[str] = Counter()  # by function
+        self._running: Counter[str] = Counter()  # by function
+
+    def add(self, handle: bytes, function: Function, unique: bytes, size: int, background: bool) -> Job:
+        """Add a job; `size` is that of its workload in bytes."""
+        job = Job(handle, function, unique, background, size)
+        self._by_handle[handle] = job
+        self.payload_bytes += size
+        self._total[function.name] += 1
+        if unique:
+            self._by_unique[function.name, unique] = job
+        return job
+
+    def remove(self, job: Job) -> None:
+        """Remove a job that has ended; one that was removed before stays so."""
+        if self._by_handle.pop(job.handle, None) is None:
+            return
+        name = job.function.name
+        self.payload_bytes -= job.payload_bytes
+        self._total[name] -= 1
+        self._running[name] -= job.running
+        for client in job.clients:
+            self._by_client.get(client, {}).pop(job, None)
+        if self._by_unique.get((name, job.unique)) is job:
+            del self._by_unique[name, job.unique]
+
+    def find(self, handle: bytes) -> Job | None:
+        """The job with this handle."""
+        return self._by_handle.get(handle)
+
+    def find_unique(self, function: Function, unique: bytes) -> Job | None:
+        """The function's job with this unique id; without an id no job is the same as another."""
+        return self._by_unique.get((function.name, unique)) if unique else None
+
+    def find_unique_in_any(self, unique: bytes) -> Job | None:
+        """The first job of any function with this unique id."""
+        return next((job for (_, known), job in self._by_unique.items() if known == unique), None)
+
+    def add_client(self, job: Job, client: JobClient) -> None:
+        """A client waits for a job."""
+        job.clients[client] = None
+        self._by_client.setdefault(client, {})[job] = None
+
+    def remove_client(self, client: JobClient) -> list[Job]:
+        """A client has disconnected; returns the jobs that it waited for."""
+        jobs = list(self._by_client.pop(client, ()))
+        for job in jobs:
+            del job.clients[client]
+        return jobs
+
+    def set_running(self, job: Job, running: bool) -> None:
+        """A worker has begun a job, or an attempt of it has ended."""
+        if running != job.running and job.handle in self._by_handle:
+            self._running[job.function.name] += 1 if running else -1
+        job.running = running
+
+    def counts(self, function: str) -> JobCounts:
+        """The number of a function's jobs."""
+        return JobCounts(self._total[function], self._running[function])
--- /dev/null
+++ b/oxbowyard/gearman/submission.py
@@ -0,0 +1,84 @@
+"""A submission: what a client's SUBMIT_JOB packet asks for."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from .config import Function
+from .errors import ErrorCode, PacketRejectedError
+from .job import Priority
+from .packet_types import PacketType
+
+MAX_EPOCH_DIGITS = 12  # of a Unix time in seconds
+UNIQUE_IS_WORKLOAD = b"-"  # this unique id stands for the workload itself
+
+
+@dataclass(slots=True, frozen=True)
+class SubmissionKind:
+    """What the type of a packet says of its job."""
+
+    priority: Priority
+    background: bool  # the client does not wait for the result
+
+
+SUBMISSION_KINDS = {
+    PacketType.SUBMIT_JOB: SubmissionKind(Priority.NORMAL, background=False),
+    PacketType.SUBMIT_JOB_BG: SubmissionKind(Priority.NORMAL, background=True),
+    PacketType.SUBMIT_JOB_HIGH: SubmissionKind(Priority.HIGH, background=False),
+    PacketType.SUBMIT_JOB_HIGH_BG: SubmissionKind(Priority.HIGH, background=True),
+    PacketType.SUBMIT_JOB_LOW: SubmissionKind(Priority.LOW, background=False),
+    PacketType.SUBMIT_JOB_LOW_BG: SubmissionKind(Priority.LOW, background=True),
+    PacketType.SUBMIT_JOB_EPOCH: SubmissionKind(Priority.NORMAL, background=True),
+}
+
+
+@dataclass(slots=True, frozen=True)
+class Submission:
+    """A job as a client submits it."""
+
+    function: Function
+    unique: bytes
+    workload: bytes
+    priority: Priority
+    background: bool
+    not_before_unix_s: float | None = None
+
+
+def parse_submission(
+    packet_type: PacketType, arguments: list[bytes], functions: Mapping[str, Function], can_defer: bool
+) -> Submission:
+    """Parse a packet that submits a job.
+
+    Args:
+        packet_type: One of `SUBMISSION_KINDS`.
+        arguments: The packet's arguments, as many as its type has.
+        functions: The configured functions by name.
+        can_defer: Whether there is a queue of deferred jobs; without it a job cannot have a time.
+
+    Raises:
+        PacketRejectedError: The time is not one, or the function is not configured.
+    """
+    not_before_unix_s = None
+    if packet_type is PacketType.SUBMIT_JOB_EPOCH:
+        name, unique, epoch, workload = arguments
+        not_before_unix_s = _parse_epoch(epoch, can_defer)
+    else:
+        name, unique, workload = arguments
+    function = functions.get(name.decode("utf-8", "replace"))
+    if function is None:
+        raise PacketRejectedError(ErrorCode.UNKNOWN_FUNCTION, "no such function here")
+    if unique == UNIQUE_IS_WORKLOAD:
+        unique = workload
+    kind = SUBMISSION_KINDS[packet_type]
+    return Submission(function, unique, workload, kind.priority, kind.background, not_before_unix_s)
+
+
+def _parse_epoch(text: bytes, can_defer: bool) -> float:
+    if not can_defer:
+        number = PacketType.SUBMIT_JOB_EPOCH.value
+        raise PacketRejectedError(ErrorCode.UNKNOWN_COMMAND, f"packet type {number} is not served here")
+    if not text.isdigit() or len(text) > MAX_EPOCH_DIGITS:
+        reason = "the time is not a whole number of seconds since 1970"
+        raise PacketRejectedError(ErrorCode.INVALID_EPOCH, reason)
+    return float(text)
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -117,7 +117,7 @@
         if name not in known:
             yield ValidationIssue(f"waiting.classes.{name}", "no such class here")
     for function in functions.values():
-        if function.patience is not None and function.patience > waiting.max_patience_s:
+        if function.max_wait_s is not None and function.max_wait_s > waiting.max_patience_s:
             yield ValidationIssue(
                 f"gearman.functions.{function.name}.patience_s", "over waiting.max_patience_s"
             )
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -16,7 +16,8 @@
 
 from oxbowyard.core.request import AttemptContext, Request
 from oxbowyard.decision.facade import Result
-from oxbowyard.gearman.packet import REQ, Type, encode
+from oxbowyard.gearman.codec import REQUEST_MAGIC, encode
+from oxbowyard.gearman.packet_types import PacketType
 from oxbowyard.waiting.settings import WaitingSettings
 
 MANNERS = pytest.mark.parametrize("manner", ["close", "half", "reset"])
@@ -289,8 +290,8 @@
 # ---- Gearman ----
 
 
-def _packet(type_: Type, *arguments: bytes) -> bytes:
-    return encode(type_, *arguments, magic=REQ)
+def _packet(type_: PacketType, *arguments: bytes) -> bytes:
+    return encode(type_, *arguments, magic=REQUEST_MAGIC)
 
 
 @MANNERS
@@ -304,16 +305,16 @@
     async def scene(stage: Stage) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
-        worker.sendall(_packet(Type.CAN_DO, b"file_specimen") + _packet(Type.PRE_SLEEP))
+        worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
         await turns()
-        client.sendall(_packet(Type.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
-        assert encode(Type.NOOP) in await stage.read(worker)
+        client.sendall(_packet(PacketType.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
+        assert encode(PacketType.NOOP) in await stage.read(worker)
         if asleep:
-            worker.sendall(_packet(Type.PRE_SLEEP))
+            worker.sendall(_packet(PacketType.PRE_SLEEP))
             await stage.read(worker)
-        worker.sendall(_packet(Type.GRAB_JOB))
+        worker.sendall(_packet(PacketType.GRAB_JOB))
         leave(client, manner)
-        assert await stage.read(worker) == encode(Type.NO_JOB)
+        assert await stage.read(worker) == encode(PacketType.NO_JOB)
         await asyncio.sleep(1.0)
         assert stage.scheduler.open_request_count == 0
 
@@ -330,17 +331,17 @@
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
         await turns()
-        client.sendall(_packet(Type.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
+        client.sendall(_packet(PacketType.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
         await turns()
-        worker.sendall(_packet(Type.CAN_DO, b"file_specimen") + _packet(Type.GRAB_JOB))
+        worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.GRAB_JOB))
         leave(client, manner)
         got = await stage.read(worker)
         for _ in range(20):
             await asyncio.sleep(0.1)
             worker.setblocking(True)
-            worker.sendall(_packet(Type.GRAB_JOB))
+            worker.sendall(_packet(PacketType.GRAB_JOB))
             got += await stage.read(worker)
-        assert got == encode(Type.NO_JOB) * 21
+        assert got == encode(PacketType.NO_JOB) * 21
         assert stage.scheduler.open_request_count == 0
 
     play(tmp_path, scene, WaitingSettings())
@@ -351,16 +352,16 @@
     async def scene(stage: Stage) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
-        worker.sendall(_packet(Type.CAN_DO, b"file_specimen") + _packet(Type.PRE_SLEEP))
+        worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
         await turns()
-        client.sendall(_packet(Type.SUBMIT_JOB_BG, b"file_specimen", b"u1", b"sheet"))
+        client.sendall(_packet(PacketType.SUBMIT_JOB_BG, b"file_specimen", b"u1", b"sheet"))
         await stage.read(worker)
-        worker.sendall(_packet(Type.GRAB_JOB))
+        worker.sendall(_packet(PacketType.GRAB_JOB))
         leave(client, manner)
         got = await stage.read(worker)
         assert got.startswith(b"\0RES\0\0\0\x0b") and got.endswith(b"sheet")
         handle = got[12:].split(b"\0")[0]
-        worker.sendall(_packet(Type.WORK_COMPLETE, handle, b"filed"))
+        worker.sendall(_packet(PacketType.WORK_COMPLETE, handle, b"filed"))
         await turns()
 
     play(tmp_path, scene)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,8 @@
 from oxbowyard.decision.facade import Result
 from oxbowyard.decision.settings import Repeat
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
-from oxbowyard.gearman.packet import REQ, Type, encode
+from oxbowyard.gearman.codec import REQUEST_MAGIC, encode
+from oxbowyard.gearman.packet_types import PacketType
 from oxbowyard.listeners.acceptor import Acceptor
 
 
@@ -310,9 +311,9 @@
         assert gearman
         peer = stage.client("gearman")
         await turns()
-        peer.sendall(encode(Type.ECHO_REQ, b"here", magic=REQ))
+        peer.sendall(encode(PacketType.ECHO_REQ, b"here", magic=REQUEST_MAGIC))
         assert not gearman.evict_idle_connection()
-        assert await stage.read(peer) == encode(Type.ECHO_RES, b"here")
+        assert await stage.read(peer) == encode(PacketType.ECHO_RES, b"here")
         silent = stage.client("gearman")
         await turns()
         assert gearman.evict_idle_connection() and b"CLOSED_FOR_ROOM" in await stage.read(silent)
@@ -325,25 +326,25 @@
     async def scene(stage: Stage) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
-        worker.sendall(encode(Type.CAN_DO, b"file_specimen", magic=REQ))
+        worker.sendall(encode(PacketType.CAN_DO, b"file_specimen", magic=REQUEST_MAGIC))
         await turns()
-        client.sendall(encode(Type.SUBMIT_JOB, b"file_specimen", b"u", b"sheet", magic=REQ))
+        client.sendall(encode(PacketType.SUBMIT_JOB, b"file_specimen", b"u", b"sheet", magic=REQUEST_MAGIC))
         await stage.read(client)
         assert stage.subsystems.gearman
         for connection in stage.subsystems.gearman._connections:  # the system holds little for a slow reader
             connection._transport.get_extra_info("socket").setsockopt(  # type: ignore[union-attr]
                 socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
             )
-        worker.sendall(encode(Type.GRAB_JOB, magic=REQ))
+        worker.sendall(encode(PacketType.GRAB_JOB, magic=REQUEST_MAGIC))
         handle = (await stage.read(worker))[12:].split(b"\0")[0]
         worker.setblocking(True)
-        worker.sendall(encode(Type.WORK_COMPLETE, handle, b"x" * 262_000, magic=REQ))
+        worker.sendall(encode(PacketType.WORK_COMPLETE, handle, b"x" * 262_000, magic=REQUEST_MAGIC))
         end = asyncio.create_task(stage.subsystems.close())
         await asyncio.sleep(0.5)
         assert not end.done(), "it has not read its answer yet"
         if sends_on:
             client.setblocking(True)
-            client.sendall(encode(Type.ECHO_REQ, b"y" * 1000, magic=REQ))
+            client.sendall(encode(PacketType.ECHO_REQ, b"y" * 1000, magic=REQUEST_MAGIC))
         got = b""
         while piece := await stage.read(client):
             got += piece
@@ -485,20 +486,20 @@
         stage = Stage(tmp_path, lanes=_guarded(1000.0))
         await stage.begin(listed=False)
         first, second, client = (stage.client("gearman") for _ in range(3))
-        can_do = encode(Type.CAN_DO, b"file_specimen", magic=REQ)
+        can_do = encode(PacketType.CAN_DO, b"file_specimen", magic=REQUEST_MAGIC)
         first.sendall(can_do)
         await turns()
-        client.sendall(encode(Type.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet", magic=REQ))
+        client.sendall(encode(PacketType.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet", magic=REQUEST_MAGIC))
         await turns()
-        first.sendall(encode(Type.GRAB_JOB, magic=REQ))
+        first.sendall(encode(PacketType.GRAB_JOB, magic=REQUEST_MAGIC))
         assert (await stage.read(first)).endswith(b"sheet")
         second.sendall(can_do)
         await turns()
         first.close()  # it may have run
         await asyncio.sleep(1.2 if late else 0.5)
-        second.sendall(encode(Type.GRAB_JOB, magic=REQ))
+        second.sendall(encode(PacketType.GRAB_JOB, magic=REQUEST_MAGIC))
         got = await stage.read(second)
-        assert got == encode(Type.NO_JOB) if late else got.endswith(b"sheet")
+        assert got == encode(PacketType.NO_JOB) if late else got.endswith(b"sheet")
         await stage.end()
 
     with asyncio.Runner(loop_factory=HeldLoop) as runner:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from oxbowyard.daemon.descriptors import Descriptors
 from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
-from oxbowyard.gearman.jobs import _key
+from oxbowyard.gearman.job_requests import digest_key
 from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
 
 OTHERS = tuple(JobClass(name, aim=1000, deadline=5000) for name in ("label-check", "accession"))
@@ -77,8 +77,8 @@
 
 
 def test_a_unique_id_of_any_size_is_a_short_key() -> None:
-    assert _key(b"") is None
-    keys = {_key(b"x" * size) for size in (1, 2, 200_000)}
+    assert digest_key(b"") is None
+    keys = {digest_key(b"x" * size) for size in (1, 2, 200_000)}
     assert len(keys) == 3 and all(key and len(key) <= 64 for key in keys)
 
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -10,7 +10,7 @@
 import pytest
 from sources import quoted, table_rows
 
-from oxbowyard.gearman.admin import VERSION
+from oxbowyard.gearman.text_commands import VERSION
 
 ROOT = Path(__file__).parent.parent / "oxbowyard"
 ARCHITECTURE = ROOT.parent / "docs" / "architecture.md"
