--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -36,6 +36,7 @@
     "decision",
     "discovery",
     "durable",
+    "gearman",
     "handover",
     "listeners",
     "membership",
