--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -17,7 +17,7 @@
 
 MAX_CONNECTIONS = 32  # by default; past it the connection that is silent longest is evicted for a new one
 MIN_SILENCE_S = 0.2  # before a silent connection may be evicted
-MAX_BODY_BYTES = 4096  # requests have no body: what announces a larger one is not read
+MAX_BODY_BYTES = 4096  # requests need no body; one with a larger body is rejected unread
 
 
 @dataclass(slots=True, frozen=True)
--- a/oxbowyard/core/service_measure.py
+++ b/oxbowyard/core/service_measure.py
@@ -1,4 +1,4 @@
-"""The service measure: the worth of the requests answered in time, as a share of all requests' worth."""
+"""The service measure: weighted goodput, the weight answered in time over that of all requests."""
 
 from __future__ import annotations
 
@@ -33,13 +33,14 @@
 
     Args:
         classes: The classes that are counted; requests of others are not.
-        by_work: A request is worth its class's weight times its running time, or the class's mean where
+        weight_is_per_work: A request counts its class's weight times its running time, or the class's mean
+            where
             nobody saw it run; else the weight alone.
     """
 
-    def __init__(self, classes: Iterable[JobClass], by_work: bool = True) -> None:
+    def __init__(self, classes: Iterable[JobClass], weight_is_per_work: bool = True) -> None:
         self._classes = {c.name: c for c in classes}
-        self._by_work = by_work
+        self._weight_is_per_work = weight_is_per_work
         self._tallies = {name: _ClassTally() for name in self._classes}
 
     def set_classes(self, classes: Iterable[JobClass]) -> None:
@@ -90,7 +91,7 @@
         requested = served = 0.0
         for name, tally in self._tallies.items():
             weight = self._classes[name].priority_weight
-            if self._by_work and tally.mean_run_s:
+            if self._weight_is_per_work and tally.mean_run_s:
                 requested += weight * max(tally.requests * tally.mean_run_s, tally.in_time_run_s)
                 served += weight * tally.in_time_run_s
             else:
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -66,7 +66,7 @@
         self.discovery.restore(self.config.known)
         self.background.start(self.discovery.run())
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use the classes and the number of attempts of these settings for requests from now on. The classes
         of Gearman's functions stay."""
         settings = _with_functions(settings, self.gearman.config if self.gearman else None)
@@ -126,7 +126,7 @@
     classes = _classes(settings.classes, waiting)
     settings = replace(settings, classes=classes.scheduled)
 
-    measure = ServiceMeasure(classes.measured, config.by_work)
+    measure = ServiceMeasure(classes.measured, config.weight_is_per_work)
     registry = Registry(clock, settings.drain_grace_ms)
     descriptors = _descriptors(config, gearman)
     backends = _http_backends(config, settings, registry, descriptors)
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -36,7 +36,7 @@
     memory_mb: float
     max_held_requests: int  # requests at once
     settings: Settings
-    by_work: bool  # a class's worth is for each unit of work, not for each request
+    weight_is_per_work: bool  # a class's weight counts per unit of work, not per request
     known: object = None  # the endpoint list that the file brings, if any
     admin: tuple[str, int] | None = None  # the admin API's address, if it is asked for
     load_names: Mapping[str, str] = field(default_factory=dict)
@@ -56,7 +56,7 @@
     "sockets",
     "memory_mb",
     "max_held_requests",
-    "by_work",
+    "weight_is_per_work",
     "load_names",
 )
 
@@ -137,7 +137,7 @@
         memory_mb=float(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
         max_held_requests=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
         settings=settings_of(settings),
-        by_work=settings.get("worthBy") == "work",
+        weight_is_per_work=settings.get("worthBy") == "work",
         known=document.get("known"),
         admin=address(admin, "admin") if admin else None,
         load_names=load_names(settings),
--- a/oxbowyard/daemon/garbage_collection.py
+++ b/oxbowyard/daemon/garbage_collection.py
@@ -1,7 +1,7 @@
 """Keeps Python's garbage collector from blocking the event loop while many jobs are deferred.
 
-A full pass walks every living object, deferred jobs too: 17 to 27 ms at 10,000 jobs, and over a second at a
-million. Nearly all objects here end by their reference counts, so full passes wait until few jobs are held.
+A full pass walks every living object, deferred jobs too, which blocks for over a second at a million jobs.
+Nearly all objects here end by their reference counts, so full passes wait until few jobs are held.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 log = logging.getLogger("oxbowyard.daemon")
 
 CHECK_INTERVAL_S = 60.0
-FEW_JOBS = 2_000  # with so many a full pass takes some 5 ms
+FEW_JOBS = 2_000  # with so many a full pass is short
 MAX_PASS_INTERVAL_S = 3600.0  # then a full pass is made whatever is held: reference cycles must not pile up
 NEVER_THRESHOLD = 1 << 30  # young collections until a full pass
 SLOW_PASS_S = 0.05  # a pass beyond this is logged
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -39,7 +39,7 @@
             return
         needing_restart = (
             *needs_restart(self._context.config, loaded.config),
-            *self._retune(loaded.config.settings),
+            *self._update_settings(loaded.config.settings),
             *self._changed_tables(loaded),
         )
         if needing_restart:
@@ -72,7 +72,7 @@
             self._context.states.enter(State.RELOADING)
         self._context.subsystems.discovery.move(address)
 
-    def _retune(self, settings: Settings) -> tuple[str, ...]:
+    def _update_settings(self, settings: Settings) -> tuple[str, ...]:
         """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
         Returns the names of the settings that need a restart."""
         needing_restart = restart_only_changes(self.settings, settings)
@@ -98,7 +98,7 @@
     def _apply(self, settings: Settings) -> None:
         context = self._context
         self.settings = settings
-        context.subsystems.retune(settings)
+        context.subsystems.apply_settings(settings)
         context.sessions.classes = frozenset(c.name for c in settings.classes)
         context.longest_deadline_s = max(
             context.longest_deadline_s, *(c.deadline_ms / MS_PER_S for c in settings.classes)
--- a/oxbowyard/discovery/poll_schedule.py
+++ b/oxbowyard/discovery/poll_schedule.py
@@ -40,7 +40,7 @@
 QUICK_RETRIES = 2  # polls in a row that time out and are retried nearly at once: a third would be too late
 QUICK_RETRY_SPREAD_S = 0.2
 LONG_TIMEOUT_EVERY = 4  # failures: one poll in so many finds out whether the service is only slow
-# The rate at which all schedulers together open watches. A service that bears less can't notify 200
+# The rate at which all schedulers together open watches. A service that opens fewer cannot notify 200
 # schedulers within the bound in any case.
 OPENED_WATCHES_PER_S = 50.0
 FIRST_POLLS_PER_S = 20.0  # the same after a start, where no time was lost by a dead watch
@@ -80,7 +80,7 @@
     random: Random
     max_poll_interval_ms: float = math.inf  # unpolled for longer, all that the service has counts as notified
     consecutive_failures: int = 0
-    list_expires_at: float = math.inf  # the service was seen to live since, and has not sent its list
+    list_expires_at: float = math.inf  # the service has answered since, but not with its list
     _notification_due_at: float = math.inf  # when a change that was missed may begin to count as notified
     _rejected_immediately: bool = False  # a poll of this outage
     _rejected_after_wait: bool = False
--- a/oxbowyard/durable/recovered_jobs.py
+++ b/oxbowyard/durable/recovered_jobs.py
@@ -68,7 +68,7 @@
 
 
 def indeterminate_reason(lease: Lease | None) -> str:
-    """The words by which an operator can find out whether a job ran."""
+    """What an operator needs to find out whether a job ran: the worker, and when it was granted."""
     if lease is None:
         return "it may have run before this scheduler stopped"
     at = datetime.fromtimestamp(lease.granted_at, UTC).isoformat(timespec="seconds")
--- a/oxbowyard/handover/protocol.py
+++ b/oxbowyard/handover/protocol.py
@@ -13,7 +13,7 @@
 MAX_WAIT_S = 4.5  # of a new process for the old one, from its start: it owes its readiness within 6 s
 
 
-class State(Enum):
+class HandoverState(Enum):
     """Where one process stands."""
 
     WAITING = "waiting"  # a successor that has not taken over
@@ -37,7 +37,7 @@
 
     files: PidFiles
     started_at: float  # the program's start, in seconds on the clock of `poll`
-    state: State = State.SERVING
+    state: HandoverState = HandoverState.SERVING
 
     def start(self) -> None:
         """Begin to serve, or to wait as the successor of the process that serves."""
@@ -46,13 +46,13 @@
             self._take_over()
             return
         log.info("successor waits for the serving process to hand over: pid=%d", serving_pid)
-        self.state = State.WAITING
+        self.state = HandoverState.WAITING
         self.files.write(self.files.successor)
 
     @property
     def is_waiting(self) -> bool:
         """Whether this process is a successor that has not taken over."""
-        return self.state is State.WAITING
+        return self.state is HandoverState.WAITING
 
     @property
     def successor(self) -> int | None:
@@ -62,17 +62,17 @@
     @property
     def may_report_ready(self) -> bool:
         """Whether this process may be reported ready to the operators."""
-        return self.state is State.SERVING
+        return self.state is HandoverState.SERVING
 
     def poll(self, now: float, in_flight: int) -> Action:
         """Look at the files; to be called every `HEARTBEAT_INTERVAL_S`.
 
         `now`: seconds, on the clock of `started_at`. `in_flight`: the requests that this process holds.
         """
-        if self.state is State.WAITING:
+        if self.state is HandoverState.WAITING:
             return self._poll_as_successor(now)
         self.files.touch(self.files.serving)
-        if self.state is State.SERVING:
+        if self.state is HandoverState.SERVING:
             return self._poll_as_serving()
         return self._poll_as_predecessor(in_flight)
 
@@ -95,22 +95,22 @@
     def _poll_as_serving(self) -> Action:
         if self.successor is None:
             return Action.NONE
-        self.state = State.HANDING_OVER
+        self.state = HandoverState.HANDING_OVER
         return Action.HAND_OVER
 
     def _poll_as_predecessor(self, in_flight: int) -> Action:
         files = self.files
         successor = self.successor
         if successor is None and files.read_pid(files.serving, ignore_stale=False) == files.pid:
-            self.state = State.SERVING  # it ended before it took over: nobody else has the clients
+            self.state = HandoverState.SERVING  # it ended before it took over: nobody else has the clients
             return Action.RESUME
-        if successor is not None and in_flight == 0 and self.state is State.HANDING_OVER:
-            self.state = State.HANDED_OVER
+        if successor is not None and in_flight == 0 and self.state is HandoverState.HANDING_OVER:
+            self.state = HandoverState.HANDED_OVER
             files.write(files.handed_over, successor)
         return Action.NONE
 
     def _take_over(self) -> None:
-        self.state = State.SERVING
+        self.state = HandoverState.SERVING
         self.files.write(self.files.serving)
         self.files.remove(self.files.successor)
         self.files.remove(self.files.handed_over)
--- a/oxbowyard/membership/state.py
+++ b/oxbowyard/membership/state.py
@@ -30,7 +30,7 @@
         self.score = max(self.score - 1, 0)
 
     def degrade(self, steps: int = 1) -> None:
-        """Something shows that this member hears badly, or that it runs late."""
+        """Record a sign that this member loses messages, or runs late."""
         self.score = min(self.score + steps, self.max_score)
 
 
--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -60,7 +60,7 @@
     ) -> list[FaultReport]:
         """What is to be reported of this scheduler's own faults; `clock_ms` is the decisions' time.
 
-        A start that a peer reported is left out: it would go to and fro.
+        A start that a peer reported is left out: each would report the other's report for ever.
         """
         self._reported_until = {key: until for key, until in self._reported_until.items() if until > now}
         if len(own_faults) > max(min(MAX_REPORTED_FAULTS, worker_count * MAX_REPORTED_SHARE), 1):
@@ -103,8 +103,8 @@
     ) -> tuple[WorkerFault, ...]:
         """What the peers' reports come to at this time, one fault for each worker, sorted by its id.
 
-        A start that hardly differs from what `own_faults` say is left out: reported to and fro, it would come
-        later each time.
+        A start that hardly differs from what `own_faults` say is left out: reported back and forth, it
+        would come later each time.
         """
         self._drop_expired(now)
         own_starts = {fault.worker: fault.cold_since_ms for fault in own_faults if fault.cold_since_ms}
--- a/oxbowyard/store/database.py
+++ b/oxbowyard/store/database.py
@@ -29,7 +29,7 @@
 )
 
 BUSY_TIMEOUT_MS = 2_000  # a snapshot or a reader holds no lock within the database for this long
-CHECKPOINT_PAGES = 1_000  # of the log before it is folded in: some 4 MiB
+CHECKPOINT_PAGES = 1_000  # of the log before a checkpoint: some 4 MiB
 MAX_BYTES_CHECKED_AT_OPEN = 32 << 20  # a larger file would take seconds, and is checked when it is copied
 MIN_PAGES = 64
 
@@ -129,7 +129,7 @@
         self._db = self._open()
 
     def close(self) -> None:
-        """Fold the log in, and release the store."""
+        """Checkpoint the log and release the store."""
         try:
             self._db.close()
         finally:
--- a/oxbowyard/store/schema.py
+++ b/oxbowyard/store/schema.py
@@ -28,6 +28,10 @@
 # From a version to the next. Version 1 did not say who resolved an indeterminate job.
 MIGRATIONS = {1: "ALTER TABLE jobs ADD COLUMN resolved_by TEXT"}
 
+# The columns keep the names of the first release; `record` has the field's. `token` is the idempotency key,
+# `print` the fingerprint, `patience` the longest wait, `quiet` waiting for an idle fleet, `lift` the
+# priority, `parents` the dependencies, `req` the request, `kept` the state, `asks` the submissions,
+# `backend` the worker and `lease` its token.
 COLUMNS = (
     "number, id, job_class, tenant, token, print, taken_at, patience, delay, quiet, lift, parents, req, "
     "payload, kept, asks, lease, backend, granted_at, end, ran, reason, result, retry_after, ended_at, "
