--- a/oxbowyard/core/lifecycle.py
+++ b/oxbowyard/core/lifecycle.py
@@ -70,7 +70,7 @@
             request.slots,
             request.is_retry,
         )
-        self.follow(self._facade.decide(ask), entry)
+        self.apply_decisions(self._facade.decide(ask), entry)
         return entry
 
     def client_disconnected(self, entry: OpenRequest) -> None:
@@ -82,14 +82,14 @@
         self._measure.record_answer(
             entry.request.job_class, AnswerKind.CLIENT_DISCONNECTED, elapsed_s, run_time_s=None
         )
-        self.follow(self._facade.report(ClientDisconnected(entry.request.id)))
+        self.apply_decisions(self._facade.report(ClientDisconnected(entry.request.id)))
         self._attempts.cancel(entry)
         self._admission.release(entry)
 
-    def follow(self, decisions: Decisions, about: OpenRequest | None = None) -> None:
+    def apply_decisions(self, decisions: Decisions, about: OpenRequest | None = None) -> None:
         """Carry out the actions, whichever requests they are for, and set the next tick.
 
-        `about` is the request that the decisions were asked about: after a fault of theirs it is answered
+        `about` is the request that the decisions are about: after a fault in the decisions it is answered
         here, unless an attempt of it is running.
         """
         if decisions.fault is not None:
@@ -113,7 +113,9 @@
 
     def attempt_started(self, entry: OpenRequest, action: StartAttempt) -> None:
         """Report that the backend started to run the request."""
-        self.follow(self._facade.report(AttemptStarted(entry.request.id, action.attempt, action.worker)))
+        self.apply_decisions(
+            self._facade.report(AttemptStarted(entry.request.id, action.attempt, action.worker))
+        )
 
     def attempt_ended(
         self, entry: OpenRequest, action: StartAttempt, outcome: AttemptOutcome, duration_ms: float
@@ -131,19 +133,19 @@
             load=outcome.load,
         )
         self._admission.release(entry)
-        self.follow(self._facade.report(ended), entry)
+        self.apply_decisions(self._facade.report(ended), entry)
 
     def attempt_not_sent(self, action: StartAttempt, is_final: bool) -> None:
         """Report an attempt that was decided on and not made, so that it does not count as running."""
         ended = AttemptEnded(
             action.request_id, action.attempt, action.worker, Result.NOT_SENT, final=is_final
         )
-        self.follow(self._facade.report(ended), self._admission.find(action.request_id))
+        self.apply_decisions(self._facade.report(ended), self._admission.find(action.request_id))
 
     # ---- Decisions ----
 
     def _tick(self) -> None:
-        self.follow(self._facade.tick(self._clock()))
+        self.apply_decisions(self._facade.tick(self._clock()))
 
     def _carry_out(self, action: RequestAction) -> None:
         entry = self._admission.find(action.request_id)
@@ -184,7 +186,7 @@
         else:
             answer = entry.make_answer(AnswerKind.FAILED, reason)
         self._finish(entry, answer)
-        self.follow(self._facade.report(ClientDisconnected(entry.request.id)))
+        self.apply_decisions(self._facade.report(ClientDisconnected(entry.request.id)))
 
     def _finish(self, entry: OpenRequest, answer: Answer) -> None:
         """Give the final answer, unless there is one."""
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -102,7 +102,7 @@
         self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str = "discovery"
     ) -> None:
         """Take a list of backends, or changes of it. A complete list leaves those of other sources alone."""
-        self._lifecycle.follow(
+        self._lifecycle.apply_decisions(
             self._facade.update_endpoints(scope, self._endpoints.update(scope, backends, source))
         )
 
@@ -130,4 +130,4 @@
 
     def apply_peer_faults(self, faults: tuple[WorkerFault, ...]) -> None:
         """Take all faults of backends that other schedulers report and that hold now."""
-        self._lifecycle.follow(self._facade.apply_peer_faults(faults))
+        self._lifecycle.apply_decisions(self._facade.apply_peer_faults(faults))
--- a/oxbowyard/decision/affinity.py
+++ b/oxbowyard/decision/affinity.py
@@ -12,7 +12,7 @@
 
 from .events import RequestReceived
 from .hashing import rendezvous_position
-from .load_estimate import REQUEST_SPAN_MS
+from .load_estimate import REQUEST_TIME_CONSTANT_MS
 from .settings import JobClass
 from .state import AffinityKey, DispatcherState, Worker
 
@@ -27,17 +27,17 @@
 
 def key_of(state: DispatcherState, event: RequestReceived, job_class: JobClass) -> AffinityKey:
     """The record of a request's key, made the most recent one."""
-    place = (event.key or "", job_class.kind)
-    key = state.keys.pop(place, None) or AffinityKey(state.key_hash(event.key))
+    key_id = (event.key or "", job_class.kind)
+    key = state.keys.pop(key_id, None) or AffinityKey(state.key_hash(event.key))
     if len(state.keys) >= MAX_KEYS:
         state.keys.pop(next(iter(state.keys)))
-    state.keys[place] = key
+    state.keys[key_id] = key
     return key
 
 
 def record_request(key: AffinityKey, now: float) -> None:
     """Count a request of the key."""
-    fading = math.exp((key.last_request_at_ms - now) / REQUEST_SPAN_MS)
+    fading = math.exp((key.last_request_at_ms - now) / REQUEST_TIME_CONSTANT_MS)
     key.recent_requests = key.recent_requests * fading + 1
     key.last_request_at_ms = now
 
--- a/oxbowyard/decision/dispatcher.py
+++ b/oxbowyard/decision/dispatcher.py
@@ -28,7 +28,7 @@
     StreamStarted,
     TimerFired,
 )
-from .load_estimate import MEAN_SPAN_MS, refresh_fleet_estimates
+from .load_estimate import MEAN_TIME_CONSTANT_MS, refresh_fleet_estimates
 from .observation import observe_end, observe_start
 from .outlier_detection import apply_peer_faults
 from .placement import place, place_next_in_queue
@@ -84,7 +84,7 @@
         refresh_fleet_estimates(state, now)
         affinity.record_request(key, now)
         quota = state.quotas.get(event.tenant or "")
-        over_quota = quota is not None and quota.is_exceeded_by_next(now, state.traffic_share)
+        over_quota = quota is not None and not quota.try_acquire(now, state.traffic_ratio)
         if event.time_left_ms <= 0:
             state.actions.append(RejectRequest(event.request_id))
             return
@@ -141,7 +141,7 @@
         """The attempt is no longer in flight."""
         state, worker, job = self.state, attempt.worker, attempt.job
         attempt.ended = True
-        worker.mean_in_flight.update(worker.in_flight, now, MEAN_SPAN_MS)
+        worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
         worker.in_flight -= 1
         state.in_flight -= 1
         job.key.in_flight -= 1
--- a/oxbowyard/decision/estimators.py
+++ b/oxbowyard/decision/estimators.py
@@ -101,33 +101,33 @@
 
 @dataclass(slots=True)
 class TimeWeightedMean:
-    """The mean of a value over time; what it was a span ago counts for a third."""
+    """The mean of a value over time; older values fade exponentially."""
 
     mean: float = 0.0
     updated_at_ms: float = 0.0
 
-    def update(self, value: float, now: float, span_ms: float) -> float:
+    def update(self, value: float, now: float, time_constant_ms: float) -> float:
         """The value was this since the last update; return the mean now."""
         if now > self.updated_at_ms:
-            self.mean += (value - self.mean) * -math.expm1((self.updated_at_ms - now) / span_ms)
+            self.mean += (value - self.mean) * -math.expm1((self.updated_at_ms - now) / time_constant_ms)
             self.updated_at_ms = now
         return self.mean
 
 
 @dataclass(slots=True)
 class DecayingScore:
-    """A score between 0 and 1 of which a third is left after a span."""
+    """A score between 0 and 1 that decays exponentially."""
 
     value: float = 0.0
     updated_at_ms: float = 0.0
 
-    def current(self, now: float, span_ms: float) -> float:
+    def current(self, now: float, time_constant_ms: float) -> float:
         """What is left of the score."""
-        return self.value * math.exp((self.updated_at_ms - now) / span_ms)
+        return self.value * math.exp((self.updated_at_ms - now) / time_constant_ms)
 
-    def add(self, amount: float, now: float, span_ms: float) -> None:
+    def add(self, amount: float, now: float, time_constant_ms: float) -> None:
         """Increase the score, to 1 at most."""
-        self.value = min(self.current(now, span_ms) + amount, 1.0)
+        self.value = min(self.current(now, time_constant_ms) + amount, 1.0)
         self.updated_at_ms = now
 
 
--- a/oxbowyard/decision/observation.py
+++ b/oxbowyard/decision/observation.py
@@ -8,7 +8,7 @@
 from .affinity import reset_orders
 from .events import AttemptEnded, Result
 from .load_estimate import record_reported_jobs
-from .ranking import FAILURE_SPAN_MS, QUEUED_SHARE, record_speed
+from .ranking import FAILURE_TIME_CONSTANT_MS, QUEUED_SHARE, record_speed
 from .state import MAX_SERVICE_TIME_RATIO, SERVICE_TIME_SAMPLES, Attempt, DispatcherState, Worker
 
 SLOTS_STEP = 0.1  # how far one start moves the estimated slots
@@ -64,7 +64,7 @@
     if not has_started and result in (Result.TIMEOUT, Result.CANCELLED):
         failures = min(2 * state.unobserved_share**2, MAX_UNSTARTED_FAILURES)
         outlier_detection.record_class_failure(state, worker, attempt.job.job_class, failures, now)
-        worker.failure_score.add(UNSTARTED_FAILURE_SCORE, now, FAILURE_SPAN_MS)
+        worker.failure_score.add(UNSTARTED_FAILURE_SCORE, now, FAILURE_TIME_CONSTANT_MS)
     if result in ANSWERS:
         worker.last_progress_at_ms = now
     if has_started:
@@ -83,7 +83,7 @@
             _observe_connection_failure(state, worker, event, now)
         case Result.ERROR:
             outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
-            worker.failure_score.add(1.0, now, FAILURE_SPAN_MS)
+            worker.failure_score.add(1.0, now, FAILURE_TIME_CONSTANT_MS)
         case Result.FULL if attempt.load_before < worker.pool.slots and not worker.pool.private:
             # It has free slots: it rejects the class.
             outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
--- a/oxbowyard/decision/outlier_detection.py
+++ b/oxbowyard/decision/outlier_detection.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from .events import PeerFaultsChanged
-from .load_estimate import REQUEST_SPAN_MS
-from .ranking import FAILURE_SPAN_MS
+from .load_estimate import REQUEST_TIME_CONSTANT_MS
+from .ranking import FAILURE_TIME_CONSTANT_MS
 from .settings import JobClass, RetrySafety
 from .state import Attempt, ClassEjection, DispatcherState, Job, Worker
 
@@ -81,7 +81,7 @@
         not_idempotent = attempt.job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
         failures = LOST_NOT_IDEMPOTENT_FAILURES if not_idempotent else FAILURE
         record_class_failure(state, attempt.worker, attempt.job.job_class, failures, now)
-        attempt.worker.failure_score.add(LOST_JOB_FAILURE_SCORE, now, FAILURE_SPAN_MS)
+        attempt.worker.failure_score.add(LOST_JOB_FAILURE_SCORE, now, FAILURE_TIME_CONSTANT_MS)
 
 
 def record_class_failure(
@@ -144,4 +144,4 @@
 
 def _mean_send_interval_ms(state: DispatcherState, recent_requests: float) -> float:
     """The time between own sends to one worker, on average."""
-    return REQUEST_SPAN_MS * len(state.ready_workers) / recent_requests
+    return REQUEST_TIME_CONSTANT_MS * len(state.ready_workers) / recent_requests
--- a/oxbowyard/decision/placement.py
+++ b/oxbowyard/decision/placement.py
@@ -7,7 +7,7 @@
 from .admission import should_reject
 from .affinity import resize_set
 from .completion import give_up
-from .load_estimate import MEAN_SPAN_MS, estimated_load
+from .load_estimate import MEAN_TIME_CONSTANT_MS, estimated_load
 from .ranking import has_idle_connection
 from .routing import choose_worker
 from .settings import RetrySafety
@@ -66,7 +66,7 @@
     number = len(job.attempts)
     job.attempts.append(attempt)
     job.in_flight += 1
-    worker.mean_in_flight.update(worker.in_flight, now, MEAN_SPAN_MS)
+    worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
     worker.in_flight += 1
     worker.unstarted[attempt] = None
     state.unstarted_attempts[attempt] = None
--- a/oxbowyard/decision/ranking.py
+++ b/oxbowyard/decision/ranking.py
@@ -8,18 +8,18 @@
 
 import math
 
-from .load_estimate import MEAN_SPAN_MS, estimated_load, expected_queue_wait
+from .load_estimate import MEAN_TIME_CONSTANT_MS, estimated_load, expected_queue_wait
 from .settings import JobClass, RetrySafety
 from .slow_start import warmth
 from .state import MAX_SERVICE_TIME_RATIO, Attempt, DispatcherState, Worker
 
 SPILL_RANK = 1.1  # a job leaves its affinity set where it would start nearly at once: estimates are rough
 QUEUED_SHARE = 0.1  # a job that waited for more than this share of a service time was queued
-SPEED_SPAN_MS = 5000.0  # a worker's speed is judged by the jobs of this time
+SPEED_TIME_CONSTANT_MS = 5000.0  # a worker's speed is judged by the jobs of this time
 SPEED_PRIOR_JOBS = 2.0
 SPEED_TOLERANCE = 1.5  # a worker this much slower than usual may be so by chance
 FAILURE_RANK = 6.0  # added to the rank at a failure score of 1, for jobs that must not run twice
-FAILURE_SPAN_MS = 8000.0  # the failure score decays over this time
+FAILURE_TIME_CONSTANT_MS = 8000.0  # the failure score decays over this time
 
 
 def rank(state: DispatcherState, worker: Worker, job_class: JobClass, now: float) -> float:
@@ -45,7 +45,7 @@
         own_service_time = state.service_times_ms.mean(job_class.name, service_time)
         result += (slowdown - 1) * own_service_time / service_time
     if job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT and worker.failure_score.value:
-        result += FAILURE_RANK * worker.failure_score.current(now, FAILURE_SPAN_MS)
+        result += FAILURE_RANK * worker.failure_score.current(now, FAILURE_TIME_CONSTANT_MS)
     return result
 
 
@@ -60,14 +60,14 @@
     """The rank, and what fetching the key's data would cost where the worker has not cached it."""
     if key_hash in worker.cached_keys:
         return worker_rank
-    service_time = worker.pool.mean_service_time_ms or MEAN_SPAN_MS
+    service_time = worker.pool.mean_service_time_ms or MEAN_TIME_CONSTANT_MS
     return worker_rank + state.key_fetch_cost_ms.difference / service_time
 
 
 def record_speed(state: DispatcherState, attempt: Attempt, completed: bool, now: float) -> None:
     """Take in the end of an attempt that had started."""
     worker = attempt.worker
-    fading = math.exp((worker.completions_at_ms - now) / SPEED_SPAN_MS)
+    fading = math.exp((worker.completions_at_ms - now) / SPEED_TIME_CONSTANT_MS)
     expected = worker.expected_completions * fading + _expected_completions(state, attempt, now)
     worker.expected_completions = expected
     worker.completions = worker.completions * fading + completed
--- a/oxbowyard/decision/retry.py
+++ b/oxbowyard/decision/retry.py
@@ -12,16 +12,18 @@
         return False
     if job.deadline_ms - now <= state.tick_interval_ms:
         return False
-    repeat = job.job_class.retry_safety
-    if job.first_run_worker is None or repeat is RetrySafety.IDEMPOTENT:
+    retry_safety = job.job_class.retry_safety
+    if job.first_run_worker is None or retry_safety is RetrySafety.IDEMPOTENT:
         return True
-    return repeat is RetrySafety.DEDUPLICATED and now - job.first_run_at_ms < job.job_class.dedup_window_ms
+    return (
+        retry_safety is RetrySafety.DEDUPLICATED and now - job.first_run_at_ms < job.job_class.dedup_window_ms
+    )
 
 
 def may_attempt_at(job: Job, worker: Worker, now: float) -> bool:
     """Whether this worker may run the job, given where an attempt may have run.
 
-    A keyed job is repeated only at workers that remember its first run, and while they do.
+    A deduplicated job is repeated only at workers that remember its first run, and while they do.
     """
     first_worker, job_class = job.first_run_worker, job.job_class
     if first_worker is None or job_class.retry_safety is RetrySafety.IDEMPOTENT:
--- a/oxbowyard/decision/routing.py
+++ b/oxbowyard/decision/routing.py
@@ -50,7 +50,8 @@
     affinity_wait_ms = max(
         AFFINITY_WAIT_SHARE * job.job_class.latency_objective_ms, state.key_fetch_cost_ms.difference
     )
-    set_size = key.set_size if key.key_hash != state.hash_salt else 0  # no key: no affinity
+    is_keyless = key.key_hash == state.hash_salt
+    set_size = 0 if is_keyless else key.set_size
     # Dispatchers look at different members of a wide set.
     first_member = (key.key_hash ^ state.hash_salt) % max(set_size, 1)
     max_others = MIN_SPILL_CANDIDATES + round(EXTRA_SPILL_CANDIDATES * (1 - state.unobserved_share))
--- a/oxbowyard/decision/snapshot.py
+++ b/oxbowyard/decision/snapshot.py
@@ -16,7 +16,7 @@
 from .state import AffinityKey, ClassEjection, DispatcherState, Worker, WorkerPool
 
 VERSION = 1
-MAX_KEYS = 500  # affinity sets that are handed over, those of the busiest keys
+MAX_SNAPSHOT_KEYS = 500  # affinity sets that are handed over, those of the busiest keys
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     connection_cost_ms: float
     mean_worker_in_flight: float
     recent_requests: float
-    traffic_share: float
+    traffic_ratio: float
     pools: dict[str, PoolEstimates]
     workers: dict[str, WorkerEstimates]
     keys: list[KeyEstimates]
@@ -141,7 +141,7 @@
         "connection_cost_ms": "connect",
         "mean_worker_in_flight": "fleet",
         "recent_requests": "heat",
-        "traffic_share": "part",
+        "traffic_ratio": "part",
         "pools": "pools",
         "workers": "workers",
         "keys": "keys",
@@ -177,10 +177,10 @@
         connection_cost_ms=state.connection_cost_ms,
         mean_worker_in_flight=state.mean_worker_in_flight,
         recent_requests=state.recent_requests,
-        traffic_share=state.traffic_share,
+        traffic_ratio=state.traffic_ratio,
         pools={kind: _pool_estimates(pool) for kind, pool in state.pools.items()},
         workers={worker.name: _worker_estimates(worker) for worker in state.workers.values()},
-        keys=[_key_estimates(place, key) for place, key in busiest[:MAX_KEYS] if place[0]],
+        keys=[_key_estimates(key_id, key) for key_id, key in busiest[:MAX_SNAPSHOT_KEYS] if key_id[0]],
     )
 
 
@@ -207,7 +207,7 @@
         snapshot.key_fetch_cost_ms,
     )
     state.connection_cost_ms = snapshot.connection_cost_ms
-    state.traffic_share = snapshot.traffic_share
+    state.traffic_ratio = snapshot.traffic_ratio
     state.mean_worker_in_flight = max(state.mean_worker_in_flight, snapshot.mean_worker_in_flight)
     state.recent_requests = max(state.recent_requests, snapshot.recent_requests)
     state.load_updated_at_ms = now
@@ -255,8 +255,8 @@
         worker.cached_keys.touch(key_hash, len(known.cached_keys))
 
 
-def _key_estimates(place: tuple[str, str | None], key: AffinityKey) -> KeyEstimates:
-    name, kind = place
+def _key_estimates(key_id: tuple[str, str | None], key: AffinityKey) -> KeyEstimates:
+    name, kind = key_id
     return KeyEstimates(
         name, kind, key.set_size, key.recent_requests, key.last_request_at_ms, key.resized_at_ms
     )
--- a/oxbowyard/decision/state.py
+++ b/oxbowyard/decision/state.py
@@ -164,7 +164,7 @@
 
 
 class DispatcherState:
-    """Everything that one dispatcher knows. Each module states which fields it writes."""
+    """Everything that one dispatcher knows."""
 
     __slots__ = (
         "actions",
@@ -196,7 +196,7 @@
         "subscribe_timer_set",
         "tick_interval_ms",
         "tick_timer_set",
-        "traffic_share",
+        "traffic_ratio",
         "unblocked_queues",
         "unknown_class",
         "unobserved_share",
@@ -244,7 +244,7 @@
         self.unobserved_share = 0.0  # share of the fleet's traffic that own traffic does not show
         self.weights_reported = False  # the endpoint list's weights tell the workers' loads
         self.sparse_traffic = settings.scheduler_count > SPARSE_TRAFFIC_SCHEDULERS
-        self.traffic_share = 1.0  # this dispatcher's traffic over the mean dispatcher's
+        self.traffic_ratio = 1.0  # this dispatcher's traffic over the mean dispatcher's
         self.service_times_ms = RunningMeans(SERVICE_TIME_SAMPLES)  # by class
         self.key_fetch_cost_ms = MeanDifference(SERVICE_TIME_SAMPLES, MAX_SERVICE_TIME_RATIO)
         self.connection_cost_ms = 0.0
--- a/oxbowyard/waiting/core_submissions.py
+++ b/oxbowyard/waiting/core_submissions.py
@@ -40,8 +40,8 @@
     request_id: str
     task: asyncio.Task[Answer] | None = None  # None: its release waits for the journal
     submitted_at_ms: float = 0.0
-    cancelled_at: RunState | None = None  # cancelled, when so much was known of its run
-    lease_expired: bool = False  # that is why
+    run_state_at_cancel: RunState | None = None  # None: not cancelled
+    lease_expired: bool = False  # cancelled because its lease expired
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,7 +105,7 @@
     def cancel(self, job_id: str) -> None:
         """Cancel a released job; it may have run."""
         submission = self._submissions.setdefault(job_id, _Submission(job_id))
-        if submission.cancelled_at is None:
+        if submission.run_state_at_cancel is None:
             self._cancel(submission)
 
     def has_running_tasks(self) -> bool:
@@ -130,7 +130,7 @@
 
     def _send(self, job: Job, job_class: str) -> None:
         submission = self._submissions[job.id]
-        if self.is_stopping and job.durable and submission.cancelled_at is None:
+        if self.is_stopping and job.durable and submission.run_state_at_cancel is None:
             del self._submissions[job.id]  # the next run of the program submits it
             self._drive(self._clock())
             return
@@ -142,7 +142,7 @@
         request = self._request(job, job_class, submission.request_id)
         submission.task = self._loop.create_task(self._scheduler.serve(request))
         submission.task.add_done_callback(partial(self._on_answer, job))
-        if submission.cancelled_at is not None:  # cancelled while the journal was written
+        if submission.run_state_at_cancel is not None:  # cancelled while the journal was written
             submission.task.cancel()
 
     def _request(self, job: Job, job_class: str, request_id: str) -> Request:
@@ -198,7 +198,7 @@
         submission = self._submissions.pop(job.id)
         now = self._clock()
         self._lease_watch.end(job.id)
-        run_state = submission.cancelled_at or RunState.MAY_BE_RUNNING
+        run_state = submission.run_state_at_cancel or RunState.MAY_BE_RUNNING
         if task.cancelled() and submission.lease_expired:
             self._on_lease_expired(job, run_state, now)
         elif task.cancelled():
@@ -244,7 +244,7 @@
 
     def _expire_lease(self, job_id: str) -> None:
         submission = self._submissions.get(job_id)
-        if submission is None or submission.cancelled_at is not None or submission.task is None:
+        if submission is None or submission.run_state_at_cancel is not None or submission.task is None:
             return
         log.warning("lease expired, its worker was silent: job=%s", job_id)
         submission.lease_expired = True
@@ -258,6 +258,6 @@
             self._policy.job_rejected(now, job, 0.0, may_retry=True)
 
     def _cancel(self, submission: _Submission) -> None:
-        submission.cancelled_at = self._scheduler.run_state(submission.request_id)
+        submission.run_state_at_cancel = self._scheduler.run_state(submission.request_id)
         if submission.task is not None:
             submission.task.cancel()
--- a/oxbowyard/waiting/job_queue.py
+++ b/oxbowyard/waiting/job_queue.py
@@ -40,8 +40,8 @@
 
 log = logging.getLogger("oxbowyard.waiting")
 
-# An aged job's latency objective in deadlines. By the decisions' settings a class that earns little for its
-# work may wait for a sixth of its objective: so only a wait past its deadline is rejected.
+# An aged job's latency objective in deadlines. The decisions let a class of low priority wait for as little
+# as a sixth of its objective, so that only a wait past its deadline is rejected.
 AGED_OBJECTIVE_DEADLINES = 6.0
 
 # Takes a recovered request and returns it with the front's callback, if it came by that front.
--- a/oxbowyard/waiting/policy.py
+++ b/oxbowyard/waiting/policy.py
@@ -90,7 +90,7 @@
         if known:
             return known
         accepted = accept_jobs(self._state, now, submissions)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
         return accepted
 
     # ---- Recovery from a store ----
@@ -124,7 +124,7 @@
         if job is None or not job.is_waiting:
             return None
         end_job(self._state, job, now, JobOutcome.CANCELLED, reason)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
         return job
 
     def stop(self, now: float, keep_durable: bool = False) -> None:
@@ -136,7 +136,7 @@
         state.is_stopping = True
         jobs = list(state.jobs.values())
         state.shutting_down = iter([job for job in jobs if not (keep_durable and job.durable)])
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
 
     def job_started(self, now: float, job: Job, delay_ms: float) -> None:
         """A worker started a submitted job, this long after it was submitted."""
@@ -156,7 +156,7 @@
             job.release_due_ms = max(job.release_due_ms, now)
             set_state(state, job, JobState.SCHEDULED)
             set_timer(state, job, min(now + backoff_ms, job.wait_deadline_ms))
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
 
     def job_ended(
         self,
@@ -173,13 +173,13 @@
             window.record_prompt_start()
         window.submitted -= 1
         end_job(self._state, job, now, outcome, reason, run_state, result_bytes)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
 
     def job_indeterminate(self, now: float, job: Job, reason: str) -> None:
         """A submitted job may have run, and its end is not known."""
         self.rate.window(job.job_class).submitted -= 1
         mark_indeterminate(self._state, job, reason)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
 
     def resolve(
         self,
@@ -194,7 +194,7 @@
         if job.state is not JobState.INDETERMINATE:
             return False
         end_job(self._state, job, now, outcome, reason, run_state, result_bytes)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
         return True
 
     def resolve_never_ran(self, now: float, job: Job) -> bool:
@@ -208,16 +208,16 @@
             end_job(self._state, job, now, JobOutcome.WAIT_EXPIRED, reason)
         else:
             unblock(self._state, job, now)
-        self._work(now, STEPS_PER_CALL)
+        self._run_due_work(now, STEPS_PER_CALL)
         return True
 
     # ---- Time ----
 
     def tick(self, now: float) -> None:
         """Do a bounded part of what is due."""
-        self._work(now, STEPS_PER_TICK)
+        self._run_due_work(now, STEPS_PER_TICK)
 
-    def _work(self, now: float, steps: int) -> None:
+    def _run_due_work(self, now: float, steps: int) -> None:
         state = self._state
         steps = end_for_shutdown(state, now, steps)
         steps = notify_dependents(state, now, steps)
--- a/oxbowyard/waiting/settings.py
+++ b/oxbowyard/waiting/settings.py
@@ -20,8 +20,8 @@
 class ClassSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """`[waiting.classes.NAME]`."""
 
-    queueing: bool = False  # refused by the decisions, it waits and is asked again
-    quiet: bool = False  # all its jobs wait for a quiet fleet, whether they say so or not
+    queueing: bool = False  # a rejected job waits and is submitted again
+    quiet: bool = False  # all its jobs wait for an idle fleet, whether they ask for it or not
     max_jobs: Count | None = None  # in place of max_jobs_per_class
 
 
@@ -31,19 +31,19 @@
     classes: dict[str, ClassSettings] = field(default_factory=dict)
 
     # What may be held. A waiting job takes 1 KiB and its payload.
-    max_jobs: Count = 10_000  # in all, those that are asked included: 10 MiB of a scheduler's 192
+    max_jobs: Count = 10_000  # in all, submitted ones included: 10 MiB of a scheduler's 192
     max_jobs_per_class: Count = 5_000  # one class must not take all places
     max_jobs_per_tenant: Count = 5_000  # nor one tenant
     max_held_bytes: Bytes = 32 << 20  # payloads of all: few large jobs fill the memory before the places
     max_job_bytes: Bytes = 64 << 10  # of one payload: what the platform's protocol carries to a worker
-    max_body_bytes: Bytes = 1 << 20  # of one hand-in over HTTP, where a batch carries its payloads in JSON
-    max_parents: Count = 64  # of one job: its hand-in looks at each
-    max_depth: Count = 10_000  # of a chain, counted when its end is handed in
-    max_batch: Count = 1_000  # jobs in one hand-in: it is taken in one go
+    max_body_bytes: Bytes = 1 << 20  # of one request over HTTP, where a batch carries its payloads in JSON
+    max_parents: Count = 64  # of one job: each is looked up when it is submitted
+    max_depth: Count = 10_000  # of a chain of dependencies, counted when its last job is submitted
+    max_batch: Count = 1_000  # jobs in one batch, which is accepted or rejected as a whole
     max_children: Count = 10_000  # of one job
     default_patience_s: Seconds = 3600.0  # of a job that names none
     max_patience_s: Seconds = 86400.0  # a job must not hold its place for ever
-    max_delay_s: Seconds = 30 * 86400.0  # nor lie about its time by a slip of digits
+    max_delay_s: Seconds = 30 * 86400.0  # catches mistyped times
 
     # What is kept of ended jobs, so that their clients and children find them.
     keep_ended_s: Seconds = 600.0
@@ -52,17 +52,23 @@
 
     # The order of release; docs/design/waiting.md has the bound that follows.
     age_limit_s: Seconds = 30.0  # after so long nothing newer passes a job, whatever its class
-    quiet_limit_s: Seconds = 600.0  # after so long a quiet job waits like others; not under age_limit_s
+    quiet_limit_s: Seconds = (
+        600.0  # after so long a job stops waiting for an idle fleet; not under age_limit_s
+    )
     aged_per_s: Rate = 5.0  # of the jobs that have waited so long, this many a second go whatever comes
 
-    # The pace of release.
-    first_window: Count = 4  # asked at once of one class, before any has shown how it goes
-    max_window: Count = 256  # and at most: each holds a descriptor while it is asked
-    fill_share: Annotated[float, Meta(gt=0, le=8)] = 1.5  # of the reckoned slots, urgent work included
-    quiet_share: Share = 0.7  # the same for quiet jobs
-    calm_s: Seconds = 2.0  # after a refusal the fleet is not quiet for so long
-    start_within_ms: Annotated[float, Meta(gt=0, le=60_000)] = 200.0  # later starts: too many are out
-    retry_first_s: Seconds = 0.25  # before a refused class is asked again; doubled with each refusal
+    # The rate of release.
+    first_window: Count = 4  # submitted at once of one class at first
+    max_window: Count = 256  # and at most: each holds a descriptor until it is answered
+    fill_share: Annotated[float, Meta(gt=0, le=8)] = (
+        1.5  # of the estimated slots, requests that are not deferred included
+    )
+    quiet_share: Share = 0.7  # the same for jobs that wait for an idle fleet
+    calm_s: Seconds = 2.0  # after a rejection the fleet does not count as idle for so long
+    start_within_ms: Annotated[float, Meta(gt=0, le=60_000)] = (
+        200.0  # later starts show that too many jobs are submitted
+    )
+    retry_first_s: Seconds = 0.25  # backoff of a rejected class; doubled with each rejection
     retry_most_s: Seconds = 8.0
 
     # Clients that wait for a job's end.
@@ -84,7 +90,7 @@
         return self.classes.get(job_class, DEFAULT)
 
     def bound_s(self, quiet: bool = False) -> float:
-        """The longest that a ready job waits to be asked while a worker is listed for its class."""
+        """The longest that a ready job waits to be submitted while a worker is listed for its class."""
         due_within = self.quiet_limit_s if quiet else self.age_limit_s
         return due_within + self.age_limit_s + self.max_jobs / self.aged_per_s
 
