--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 import oxbowyard.__main__ as program
-import oxbowyard.clients.waiting  # imported before the fork, once for all
+import oxbowyard.clients.job_routes  # imported before the fork, once for all
 import oxbowyard.durable.durable_store
 import oxbowyard.operator.file  # noqa: F401
 from oxbowyard.durable.journal import DurableJournal
--- a/oxbowyard/clients/__init__.py
+++ b/oxbowyard/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Client sessions over HTTP: the platform's protocol."""
+"""Client connections over HTTP: the platform's protocol, and the API of deferred jobs below /jobs."""
--- /dev/null
+++ b/oxbowyard/clients/client_connections.py
@@ -0,0 +1,146 @@
+"""The clients' connections on aiohttp's low-level server. Requests go to the core."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable, Collection
+
+from aiohttp import web
+from aiohttp.web_request import BaseRequest
+
+from ..core.scheduler import Scheduler
+from ..listeners.disconnects import is_readable
+from .body_memory import BodyMemory
+from .connection import Connection, Phase
+from .connection_set import ConnectionSet
+from .errors import MethodNotAllowedError, RequestError
+from .eviction import select_evicted
+from .request_handler import schedule
+from .responses import error_response
+
+log = logging.getLogger("oxbowyard.clients")
+
+READINESS_PATH = "/up"
+JOBS_PATH = "/jobs"  # of deferred jobs, where they are switched on
+
+# Answers a request below JOBS_PATH; raises RequestError.
+JobsHandler = Callable[[BaseRequest, BodyMemory | None], Awaitable[web.StreamResponse]]
+
+
+def is_jobs_path(target: str) -> bool:
+    """Whether the request target is one of deferred jobs."""
+    path = target.partition("?")[0]
+    return path == JOBS_PATH or path.startswith(JOBS_PATH + "/")
+
+
+class ClientConnections(ConnectionSet):
+    """Reads requests from the clients' connections and answers them."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        classes: Collection[str],
+        is_up: Callable[[], bool],
+        max_connections: int,
+        max_body_memory_bytes: int,
+        jobs_handler: JobsHandler | None = None,
+    ) -> None:
+        """Serve clients of one listener.
+
+        Args:
+            scheduler: The core that answers requests.
+            classes: The job classes that clients may name; a change of settings replaces them.
+            is_up: Whether the scheduler is ready for clients.
+            max_connections: How many may be open at once.
+            max_body_memory_bytes: How much the bodies of all requests in progress may take together.
+            jobs_handler: Answers requests below `/jobs`; None: deferred jobs are switched off.
+        """
+        super().__init__(self._handle, max_connections)
+        self._scheduler = scheduler
+        self.classes = classes
+        self._is_up = is_up
+        self._body_memory = BodyMemory(max_body_memory_bytes)
+        self._jobs_handler = jobs_handler
+        self._closing = False
+        self._all_closed: asyncio.Future[None] | None = None  # awaited by `close`
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
+        super().on_connection_lost(connection)
+        if not self._open and self._all_closed is not None and not self._all_closed.done():
+            self._all_closed.set_result(None)
+
+    def evict_idle_connection(self) -> bool:
+        """Close the connection that is needed least, whose descriptor is free a moment later.
+
+        Returns whether there was one that may be closed.
+        """
+        now = asyncio.get_running_loop().time()
+        evicted = select_evicted(self._open, self._max_connections, now)
+        if evicted is None:
+            return False
+        self._evict(evicted)
+        return True
+
+    def wind_down(self) -> None:
+        """From now on each response closes its connection."""
+        self._closing = True
+
+    def wind_up(self) -> None:
+        """Connections stay open again after their responses."""
+        self._closing = False
+
+    def close_idle(self) -> None:
+        """Close the connections that wait for a further request, unless one has arrived unread.
+
+        HTTP lets a server close between requests: a client whose request crosses the close sends it again.
+        """
+        idle = [c for c in self._open if c.phase is Phase.KEEP_ALIVE and not is_readable(c.transport)]
+        for connection in idle:
+            connection.force_close()
+
+    async def close(self, timeout_s: float) -> None:
+        """Close every connection once no response is pending on it; after `timeout_s`, close all the same.
+
+        What has arrived unread is read and answered first. No new connection may be accepted any more.
+        """
+        for connection in list(self._open):
+            connection.wind_down()
+        try:
+            async with asyncio.timeout(timeout_s):
+                while self._open:
+                    self._all_closed = asyncio.get_running_loop().create_future()
+                    await self._all_closed
+        except TimeoutError:
+            log.error("connections closed with a response pending: count=%d", len(self._open))
+            for connection in list(self._open):
+                connection.force_close()
+
+    async def _handle(self, request: BaseRequest) -> web.StreamResponse:
+        try:
+            response = await self._respond(request)
+        except RequestError as error:
+            response = error_response(request, error)
+        except asyncio.CancelledError:
+            raise
+        except Exception:
+            log.exception("internal error while answering a client: path=%s", request.path)
+            response = web.Response(status=500, text="internal fault\n")
+        if self._closing:
+            response.force_close()
+        return response
+
+    async def _respond(self, request: BaseRequest) -> web.StreamResponse:
+        target = request.raw_path
+        if target.partition("?")[0] == READINESS_PATH:
+            return self._readiness(request)
+        if self._jobs_handler is not None and is_jobs_path(target):
+            return await self._jobs_handler(request, self._body_memory)
+        return await schedule(request, self._scheduler, self.classes, self._body_memory)
+
+    def _readiness(self, request: BaseRequest) -> web.StreamResponse:
+        if request.method not in ("GET", "HEAD"):
+            raise MethodNotAllowedError("ask with GET")
+        up = self._is_up() and not self._closing
+        return web.Response(status=200 if up else 503, text="up\n" if up else "not up\n")
--- a/oxbowyard/clients/connection.py
+++ b/oxbowyard/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: what phase it is in, and how long it may stay there."""
+"""One client's HTTP connection: the phase that it is in, and for how long it may be."""
 
 from __future__ import annotations
 
@@ -17,298 +17,305 @@
 from .limits import (
     DRAIN_TIMEOUT_S,
     KEEP_ALIVE_TIMEOUT_S,
-    MAX_AHEAD_BYTES,
-    MAX_FIELD_BYTES,
-    MAX_FIELDS,
     MAX_HEAD_BYTES,
+    MAX_HEADER_BYTES,
+    MAX_HEADERS,
+    MAX_PIPELINED_BYTES,
     MAX_UNREAD_BYTES,
     READ_CHUNK_BYTES,
     REQUEST_TIMEOUT_S,
     RESPONSE_READ_TIMEOUT_S,
     UNREAD_REQUEST_TIMEOUT_S,
 )
+from .responses import KeepAliveResponse, bare_response
 
-LOOK_AGAIN = 0.02  # seconds until what lies unread has been read, or is looked at again
-DISCONNECT_POLL_S = 0.025  # seconds between looks at a connection that is not read while its answer is owed
-HALF_CLOSE_DELAY_S = 0.02  # seconds after which an end of the client's sending is taken for its leaving
+READ_RETRY_S = 0.02  # until what was unread at a timeout has been read, or the timeout holds
+DISCONNECT_POLL_S = 0.025  # between checks of a connection whose reading is paused
+HALF_CLOSE_DELAY_S = 0.02  # until a half-close between requests is taken for a disconnect
 
 
 class Phase(Enum):
-    """What a connection is doing."""
+    """What a connection is doing. The values are logged."""
 
-    SILENT = "silent"  # connected, nothing has come
-    UNFINISHED = "unfinished"  # a request has begun and is not whole
-    OWED = "owed"  # a whole request came: its answer is owed, or on its way
-    KEPT = "kept"  # between requests
+    SILENT = "silent"  # connected, and nothing has come
+    READING = "reading"  # a request has begun and is not complete
+    RESPONDING = "responding"  # a complete request came: its response is pending or being written
+    KEEP_ALIVE = "keep-alive"  # between requests
     DRAINING = "draining"  # answered with an error: what still comes is dropped
 
 
-# What has come by the end of its time in one of these is read first: closed over it, the peer would be reset.
-HEARD_OUT = (Phase.SILENT, Phase.UNFINISHED, Phase.KEPT)
+# At a timeout in one of these, unread bytes are read first: a close before would reset the client.
+READ_BEFORE_CLOSE = (Phase.SILENT, Phase.READING, Phase.KEEP_ALIVE)
 
 
-class Understood(web.Response):
-    """A 4xx to a proper request, as one for which there is no room: its connection goes on."""
+class ConnectionOwner(Protocol):
+    """Who holds the connections of a listener."""
 
+    counts: Counter[str]  # of events that have no log line of their own
 
-class Owner(Protocol):
-    """What a connection needs of those who hold all of them."""
+    def on_connection_lost(self, connection: Connection) -> None:
+        """The connection has ended."""
 
-    counts: Counter[str]
 
-    def left(self, connection: Connection) -> None:
-        """The connection has ended."""
+def abort_body(body: StreamReader | None) -> bool:
+    """Fail whoever reads the body, since the rest will not come. Returns False if it is complete."""
+    if body is None or body.is_eof():
+        return False
+    body.set_exception(web.RequestPayloadError("ended within its body"))
+    return True
+
+
+def _is_error(request: BaseRequest, response: StreamResponse) -> bool:
+    """Whether what follows the request on its connection may not be a request."""
+    is_client_error = 400 <= response.status < 500 and not isinstance(response, KeepAliveResponse)
+    return is_client_error or not request.content.is_eof()
 
 
 class Connection(RequestHandler):
-    """The library's connection with limits of our own.
+    """aiohttp's connection with this program's limits.
 
-    One that ends within a body is told so; any other end means that the client went.
+    A client that half-closes within a body is answered with an error; any other half-close is a disconnect.
+
+    Attributes:
+        phase: What the connection is doing.
+        since: When it entered the phase, in seconds of the event loop.
+        request_deadline: When the request being read must be complete, likewise.
+        body: The body being read by a handler; None at other times.
+        is_half_closed: Whether the client has closed its side.
+        has_requested: Whether a complete request for a job has come.
     """
 
     __slots__ = (
-        "_ahead", "_alarm", "_answered", "_drained", "_head", "_looked", "_overrun", "_owner",
-        "_winding_down", "ended", "finish_by", "has_asked", "phase", "reading", "since",
-    )  # fmt: skip
-
-    def __init__(self, manager: web.Server, owner: Owner) -> None:
+        "_discards_input",
+        "_drained",
+        "_head_bytes",
+        "_owner",
+        "_pipelined_bytes",
+        "_response_count",
+        "_timer",
+        "_unread_checked",
+        "_winding_down",
+        "body",
+        "has_requested",
+        "is_half_closed",
+        "phase",
+        "request_deadline",
+        "since",
+    )
+
+    def __init__(self, manager: web.Server, owner: ConnectionOwner) -> None:
         super().__init__(
             manager,
             loop=asyncio.get_running_loop(),
-            access_log=None,  # type: ignore[arg-type]  # documented, and off is what it means
-            max_field_size=MAX_FIELD_BYTES,
-            max_headers=MAX_FIELDS,
-            auto_decompress=False,  # a body passes on as it came
-            lingering_time=0.0,  # what is left of a body is dropped here, not parsed
+            access_log=None,  # type: ignore[arg-type]  # documented as: no access log
+            max_field_size=MAX_HEADER_BYTES,
+            max_headers=MAX_HEADERS,
+            auto_decompress=False,  # a body is forwarded as it came
+            lingering_time=0.0,  # the rest of a body is dropped here, not parsed
         )
         self._owner = owner
-        self._alarm: asyncio.TimerHandle | None = None
-        self._answered = 0  # requests, broken ones too, whose answer was written
-        self._head = 0  # bytes of a head that has no end yet
-        self._ahead = 0  # bytes that came before the answer that is owed
-        self._drained: asyncio.Future[None] | None = None
-        self._looked = False  # its time in this phase is over, and what lay unread then is being read
+        self._timer: asyncio.TimerHandle | None = None
+        self._response_count = 0  # to malformed requests too
+        self._head_bytes = 0  # of a head that is not complete
+        self._pipelined_bytes = 0  # that came while a response was pending
+        self._drained: asyncio.Event | None = None
+        self._unread_checked = False  # the phase has timed out, and what was unread then is being read
         self._winding_down = False
-        self._overrun = False  # it sent too much ahead: what follows is dropped, and this answer is its last
-        self.reading: StreamReader | None = None
-        self.ended = False
-        self.has_asked = False  # for a job: only whoever asks for no job at all is a stranger
+        self._discards_input = False  # too much was pipelined: this response is the last
+        self.body: StreamReader | None = None
+        self.is_half_closed = False
+        self.has_requested = False
         self.phase = Phase.SILENT
         self.since = self._loop.time()
-        self.finish_by = self.since + REQUEST_TIMEOUT_S  # when the request that comes must be whole
+        self.request_deadline = self.since + REQUEST_TIMEOUT_S
 
     # ---- Phases ----
 
-    def _enter(self, phase: Phase, alarm_at: float | None = None) -> None:
+    def _enter(self, phase: Phase, timeout_at: float | None = None) -> None:
         self.phase = phase
         self.since = self._loop.time()
-        self._looked = False
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = None if alarm_at is None else self._loop.call_at(alarm_at, self._late)
-
-    def whole(self) -> None:
-        """The request that was read is whole: from here on its answer is owed, however long that takes."""
-        self.has_asked = True
-        self._enter(Phase.OWED)
-        self._look_for_end()
-
-    def stays(self) -> bool:
-        """Whether the client is still there; an end that was not read yet is seen too, and acted on."""
-        if self.transport is None or self.ended:
+        self._unread_checked = False
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = None if timeout_at is None else self._loop.call_at(timeout_at, self._on_timeout)
+
+    def on_request_complete(self) -> None:
+        """The request was read to its end: from here on its response is pending, without a time limit."""
+        self.has_requested = True
+        self._enter(Phase.RESPONDING)
+        self._check_paused_reading()
+
+    def is_client_connected(self) -> bool:
+        """Whether the client is connected, as the system knows it. A disconnect closes the connection."""
+        if self.transport is None or self.is_half_closed:
             return False
         if peer_disconnected(self.transport):
-            self.ended = True
-            self._loop.call_soon(self._went)
-        return not self.ended
-
-    def _look_for_end(self) -> None:
-        """Whoever sent many requests ahead is not read for now. Its leaving is seen all the same, also where
-        it stands behind more than the system holds for us."""
-        if self.transport is None or self.transport.is_reading() or self.phase is not Phase.OWED:
+            self.is_half_closed = True
+            self._loop.call_soon(self._close_after_disconnect)
+        return not self.is_half_closed
+
+    def _check_paused_reading(self, timer_fired: bool = False) -> None:
+        """While aiohttp pauses reading because of pipelined requests, watch for a disconnect all the same."""
+        if timer_fired:
+            self._timer = None
+        if self.transport is None or self.transport.is_reading() or self.phase is not Phase.RESPONDING:
             return
-        if unread_bytes(self.transport) > MAX_UNREAD_BYTES:
-            self._overrun = True
+        if unread_bytes(self.transport) > MAX_UNREAD_BYTES:  # a disconnect may be behind them, unseen
+            self._discards_input = True
             self.transport.resume_reading()
-        elif self._alarm is None and self.stays():
-            self._alarm = self._loop.call_later(DISCONNECT_POLL_S, self._look_again)
-
-    def _look_again(self) -> None:
-        self._alarm = None
-        self._look_for_end()
-
-    @property
-    def is_stranger(self) -> bool:
-        """It has not asked for a job so far, and is asking for nothing now."""
-        return self.phase is Phase.SILENT or (self.phase is Phase.KEPT and not self.has_asked)
-
-    def _late(self) -> None:
-        self._alarm = None
-        if self.phase is Phase.UNFINISHED and self._pending:
-            return  # its body has a timer of its own, set to the same moment
-        if self.phase in HEARD_OUT and not self._looked and is_readable(self.transport):
-            self._looked = True  # once: who sends on and on without an end is ended all the same
-            self._alarm = self._loop.call_later(LOOK_AGAIN, self._late)
+        elif self._timer is None and self.is_client_connected():
+            self._timer = self._loop.call_later(DISCONNECT_POLL_S, self._check_paused_reading, True)
+
+    def _on_timeout(self) -> None:
+        self._timer = None
+        if self.phase is Phase.READING and self._is_response_pending:
+            return  # the reader of its body has the same deadline
+        if self.phase in READ_BEFORE_CLOSE and not self._unread_checked and is_readable(self.transport):
+            self._unread_checked = True  # once: a client that keeps sending is closed all the same
+            self._timer = self._loop.call_later(READ_RETRY_S, self._on_timeout)
             return
-        self._owner.counts[f"late while {self.phase.value}"] += self.phase is not Phase.KEPT
-        self.dismiss()
+        self._owner.counts[f"timed out while {self.phase.value}"] += self.phase is not Phase.KEEP_ALIVE
+        self._close_on_timeout()
 
     @property
-    def _pending(self) -> bool:
-        """A head that was whole has no answer yet."""
-        return self._request_count > self._answered
+    def _is_response_pending(self) -> bool:
+        """Whether a complete head has no response yet."""
+        return self._request_count > self._response_count
 
     @property
-    def unheard(self) -> bool:
-        """What has come may be a whole request that nobody took yet: unread, or read in this very turn."""
+    def has_unread_request(self) -> bool:
+        """Whether a complete request may have come that no handler has read yet."""
         if is_readable(self.transport):
             return True
-        if not self._pending or self.phase is not Phase.UNFINISHED:
+        if not self._is_response_pending or self.phase is not Phase.READING:
             return False
-        body = self.reading or (self._messages[0][1] if self._messages else None)
-        return body is None or body.is_eof()  # none: it is being handed over
+        body = self.body or (self._messages[0][1] if self._messages else None)
+        return body is None or body.is_eof()  # None: its handler is about to begin
 
-    def dismiss(self) -> None:
-        """End the connection; a client in the middle of its request is told why."""
-        if self.phase is Phase.UNFINISHED and not self._pending:
+    def _close_on_timeout(self) -> None:
+        if self.phase is Phase.READING and not self._is_response_pending:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
-        elif self.phase is Phase.OWED and self.transport is not None:
-            self.transport.abort()  # the answer was not read: nothing more can be said
+        elif self.phase is Phase.RESPONDING and self.transport is not None:
+            self.transport.abort()  # the response was not read: nothing can be added
         else:
             self.force_close()
 
     def wind_down(self) -> None:
-        """Close as soon as nothing is owed: a request that has come, read or not, gets its answer first."""
+        """Close once no response is pending. A request that has come, read or not, is answered first."""
         self._winding_down = True
-        young = self.phase is Phase.SILENT and self._loop.time() < self.since + UNREAD_REQUEST_TIMEOUT_S
-        if self.phase not in (Phase.SILENT, Phase.KEPT) or self.transport is None:
-            return  # its answer closes it, or its own time; or it is closed
-        if young or is_readable(self.transport):
-            self._loop.call_later(LOOK_AGAIN, self.wind_down)
+        is_new = self.phase is Phase.SILENT and self._loop.time() < self.since + UNREAD_REQUEST_TIMEOUT_S
+        if self.phase not in (Phase.SILENT, Phase.KEEP_ALIVE) or self.transport is None:
+            return  # its response closes it, or its timeout; or it is closed
+        if is_new or is_readable(self.transport):
+            self._loop.call_later(READ_RETRY_S, self.wind_down)
         else:
             self.force_close()
 
-    def yield_place(self) -> None:
-        """Close now, for another: its descriptor is wanted."""
-        if self.phase is Phase.UNFINISHED and not self._pending and self.transport is not None:
-            self.transport.write(_plain(HTTPStatus.REQUEST_TIMEOUT))
+    def evict(self) -> None:
+        """Close at once, since the descriptor is needed for a new connection."""
+        if self.phase is Phase.READING and not self._is_response_pending and self.transport is not None:
+            self.transport.write(bare_response(HTTPStatus.REQUEST_TIMEOUT))
         self.force_close()
 
-    # ---- What the transport tells ----
+    # ---- Callbacks of the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A new connection has come up: its request is expected within `REQUEST_TIMEOUT_S` seconds."""
-        # The transport's own size would let one client hold four times as much at a time, and the loop.
+        """The connection is open. Its request is expected within `REQUEST_TIMEOUT_S` seconds."""
+        # The transport's default would give one client four times as much of the loop's turn.
         transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
         super().connection_made(transport)
-        self._enter(Phase.SILENT, self.finish_by)
+        self._enter(Phase.SILENT, self.request_deadline)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """The connection has ended; `exc` is None after an orderly close."""
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._end_drain()
-        self._owner.left(self)
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._drained is not None:
+            self._drained.set()
+        self._owner.on_connection_lost(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the client sent; past the limits of `clients.limits` it is rejected."""
-        if self.phase is Phase.DRAINING or self._overrun:
+        """Parse what the client sent. What exceeds the limits of `clients.limits` is rejected."""
+        if self.phase is Phase.DRAINING or self._discards_input:
             return
         if self.phase is Phase.SILENT:
-            self._enter(Phase.UNFINISHED, self.finish_by)
-        elif self.phase is Phase.KEPT and data:  # the library may call this with none, to parse what waits
-            self.finish_by = self._loop.time() + REQUEST_TIMEOUT_S
-            self._enter(Phase.UNFINISHED, self.finish_by)
+            self._enter(Phase.READING, self.request_deadline)
+        elif self.phase is Phase.KEEP_ALIVE and data:  # aiohttp calls this with none to parse what it holds
+            self.request_deadline = self._loop.time() + REQUEST_TIMEOUT_S
+            self._enter(Phase.READING, self.request_deadline)
         super().data_received(data)
-        if self.phase is Phase.OWED:
-            self._ahead += len(data)
-            self._overrun = self._ahead > MAX_AHEAD_BYTES  # not read on, its leaving could not be seen either
-            self._look_for_end()
-        if self.phase is not Phase.UNFINISHED or self._pending:
-            self._head = 0
+        if self.phase is Phase.RESPONDING:
+            self._pipelined_bytes += len(data)
+            self._discards_input = self._pipelined_bytes > MAX_PIPELINED_BYTES
+            self._check_paused_reading()
+        if self.phase is not Phase.READING or self._is_response_pending:
+            self._head_bytes = 0
             return
-        self._head += len(data)
-        if self._head > MAX_HEAD_BYTES:
+        self._head_bytes += len(data)
+        if self._head_bytes > MAX_HEAD_BYTES:
             self._owner.counts["head too long"] += 1
             self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def eof_received(self) -> bool | None:  # type: ignore[override]
-        """The client has closed its side. Returns whether our side stays open for an answer."""
+        """The client has closed its side. Returns whether our side stays open for a response."""
         if self.phase is Phase.DRAINING:
-            self._end_drain()
-            return False
-        # The way back stays open for a 400. The end may come in one read with the head, before the handler
-        # has seen that; a moment later, an end that broke no body off means that the client went.
-        self.ended = True
-        if not self.break_off():
-            self._loop.call_later(HALF_CLOSE_DELAY_S, self._went)
-        return True
-
-    def break_off(self) -> bool:
-        """Tell the reader of a body that the rest of it will not come."""
-        if not self.ended or self.reading is None or self.reading.is_eof():
+            if self._drained is not None:
+                self._drained.set()
             return False
-        self.reading.set_exception(web.RequestPayloadError("ended within its body"))
+        # Our side stays open for a 400. The half-close may be read together with the head, before its handler
+        # begins to read the body; if no body is read a moment later, the client has disconnected.
+        self.is_half_closed = True
+        if not abort_body(self.body):
+            self._loop.call_later(HALF_CLOSE_DELAY_S, self._close_after_disconnect)
         return True
 
-    def _went(self) -> None:
-        if self.reading is None and self.transport is not None and self.phase is not Phase.DRAINING:
+    def _close_after_disconnect(self) -> None:
+        if self.body is None and self.transport is not None and self.phase is not Phase.DRAINING:
             self.transport.close()
 
-    # ---- Answers ----
+    # ---- Responses ----
 
     async def finish_response(
         self, request: BaseRequest, resp: StreamResponse, start_time: float | None
     ) -> tuple[StreamResponse, bool]:
-        """Write an answer; after an error, take what the client still sends before the connection closes."""
-        faulty = 400 <= resp.status < 500 and not isinstance(resp, Understood)
-        faulty = faulty or not request.content.is_eof()
-        if faulty or self._overrun:  # whatever follows here can't be trusted to be a request, or was dropped
+        """Write a response. After an error, drop what the client still sends before the connection closes."""
+        is_error = _is_error(request, resp)
+        if is_error or self._discards_input:  # what follows may not be a request, or was dropped
             resp.force_close()
-            self._owner.counts["bad requests" if faulty else "too much sent ahead"] += 1
-        self._enter(Phase.OWED, self._loop.time() + RESPONSE_READ_TIMEOUT_S)
+            self._owner.counts["bad requests" if is_error else "too much sent ahead"] += 1
+        self._enter(Phase.RESPONDING, self._loop.time() + RESPONSE_READ_TIMEOUT_S)
         result = await super().finish_response(request, resp, start_time)
-        self._answered += 1
-        if (faulty or self._overrun) and self.transport is not None and not self.ended:
-            self._drained = self._loop.create_future()
+        self._response_count += 1
+        if (is_error or self._discards_input) and self.transport is not None and not self.is_half_closed:
+            self._drained = asyncio.Event()
             self._drain()
-            await self._drained
+            await self._drained.wait()
         elif resp.keep_alive:
-            self._rest()
+            self._await_next_request()
         return result
 
-    def _rest(self) -> None:
-        now = self._loop.time()
-        self._ahead = 0
-        if self._pending:  # the next request came before its turn
-            self.finish_by = now + REQUEST_TIMEOUT_S
-            self._enter(Phase.UNFINISHED, self.finish_by)
+    def _await_next_request(self) -> None:
+        self._pipelined_bytes = 0
+        if self._is_response_pending:  # a pipelined request
+            self.request_deadline = self._loop.time() + REQUEST_TIMEOUT_S
+            self._enter(Phase.READING, self.request_deadline)
         else:
-            self._enter(Phase.KEPT, now + KEEP_ALIVE_TIMEOUT_S)
-            if self._winding_down:  # that answer was worded before the end began
+            self._enter(Phase.KEEP_ALIVE, self._loop.time() + KEEP_ALIVE_TIMEOUT_S)
+            if self._winding_down:  # the shutdown began after this response was made
                 self._loop.call_soon(self.wind_down)
 
     def _reject(self, status: HTTPStatus) -> None:
-        """An error for what never became a request, so that the library has nothing to answer."""
+        """Answer with an error what never became a request of aiohttp's."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(_plain(status))
+        self.transport.write(bare_response(status))
         self._drain()
 
     def _drain(self) -> None:
-        """Our side is closed after the error; closing both at once would reset a client that still sends."""
+        """Close our side after an error. To close both at once would reset a client that still sends."""
         assert self.transport is not None
         self._enter(Phase.DRAINING, self._loop.time() + DRAIN_TIMEOUT_S)
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        self.transport.resume_reading()  # it may stand still, for a body that nobody reads any more
-
-    def _end_drain(self) -> None:
-        if self._drained is not None and not self._drained.done():
-            self._drained.set_result(None)
-
-
-def _plain(status: HTTPStatus) -> bytes:
-    line = f"HTTP/1.1 {status.value} {status.phrase}"
-    return f"{line}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n".encode()
+        self.transport.resume_reading()  # it may be paused by a body that is not read any more
--- a/oxbowyard/clients/connection_set.py
+++ b/oxbowyard/clients/connection_set.py
@@ -1,4 +1,4 @@
-"""The connections that one listener's owner holds: how many there are, and how many more may come."""
+"""The open connections of one listener, up to a maximum."""
 
 from __future__ import annotations
 
@@ -17,30 +17,31 @@
 class ConnectionSet:
     """Open connections, oldest first, each served by aiohttp's low-level server with `handler`."""
 
-    def __init__(self, handler: Handler, most: int) -> None:
-        self._most = most
+    def __init__(self, handler: Handler, max_connections: int) -> None:
+        """`handler` answers every request; `max_connections` may be open at once."""
+        self._max_connections = max_connections
         self._open: dict[Connection, None] = {}
-        self.counts: Counter[str] = Counter()  # of what no line is logged for
-        # A client that goes ends the wait for its answer.
+        self.counts: Counter[str] = Counter()  # of events that have no log line of their own
+        # A disconnect cancels the handler.
         self.server = web.Server(handler, handler_cancellation=True)
 
     def make_connection(self) -> asyncio.Protocol:
-        """For a new connection; `free` said that there is room for it."""
+        """The protocol of a new connection; `free` says whether one may be accepted."""
         connection = Connection(self.server, self)
         self._open[connection] = None
         return connection
 
-    def left(self, connection: Connection) -> None:
-        """A connection has ended."""
+    def on_connection_lost(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
         self._open.pop(connection, None)
 
     @property
     def free(self) -> int:
-        """How many more connections may come."""
-        return max(self._most - len(self._open), 0)
+        """How many more connections may be accepted."""
+        return max(self._max_connections - len(self._open), 0)
 
     def _evict(self, connection: Connection) -> None:
-        """Close one for another; its descriptor is free a moment later."""
-        self.counts["closed for room"] += 1
-        connection.yield_place()
-        self.left(connection)
+        """Close one for a new one; its descriptor is free a moment later."""
+        self.counts["evicted"] += 1
+        connection.evict()
+        self.on_connection_lost(connection)
--- /dev/null
+++ b/oxbowyard/clients/eviction.py
@@ -0,0 +1,93 @@
+"""Which connection is closed for a new one when all that the descriptors allow are open."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection
+from dataclasses import dataclass
+
+from .connection import Connection, Phase
+from .limits import (
+    MAX_STRANGERS_SHARE,
+    MIN_AGE_UNDER_PRESSURE_S,
+    MIN_KEEP_ALIVE_AGE_S,
+    MIN_READING_AGE_S,
+    MIN_STRANGER_AGE_S,
+)
+
+
+@dataclass(slots=True, frozen=True)
+class EvictionRule:
+    """Connections that may be closed once they have been in their phase for `min_age_s`."""
+
+    matches: Callable[[Connection], bool]
+    min_age_s: float
+
+
+def is_stranger(connection: Connection) -> bool:
+    """Whether the client has not sent a request for a job so far, and is not sending one now."""
+    idle = connection.phase is Phase.KEEP_ALIVE and not connection.has_requested
+    return connection.phase is Phase.SILENT or idle
+
+
+def _is_draining(connection: Connection) -> bool:
+    return connection.phase is Phase.DRAINING
+
+
+def _is_keep_alive(connection: Connection) -> bool:
+    return connection.phase is Phase.KEEP_ALIVE
+
+
+def _is_reading(connection: Connection) -> bool:
+    return connection.phase is Phase.READING
+
+
+# In this order, and of several the one longest in its phase. Never one with a response pending.
+RULES = (
+    EvictionRule(_is_draining, 0.0),
+    EvictionRule(is_stranger, MIN_STRANGER_AGE_S),
+    EvictionRule(_is_keep_alive, MIN_KEEP_ALIVE_AGE_S),
+    EvictionRule(_is_reading, MIN_READING_AGE_S),
+)
+# When none of these matches, unless there are so many strangers that their rule soon will.
+RULES_UNDER_PRESSURE = (
+    EvictionRule(_is_keep_alive, MIN_AGE_UNDER_PRESSURE_S),
+    EvictionRule(_is_reading, MIN_AGE_UNDER_PRESSURE_S),
+)
+
+
+def select_evicted(
+    connections: Collection[Connection], max_connections: int, now: float
+) -> Connection | None:
+    """Select the connection to close.
+
+    Args:
+        connections: The open connections.
+        max_connections: How many may be open.
+        now: The time of the event loop, in seconds.
+
+    Returns:
+        The connection that is needed least; None if none may be closed.
+    """
+    evicted = _first_match(RULES, connections, now)
+    if evicted is not None:
+        return evicted
+    strangers = sum(is_stranger(connection) for connection in connections)
+    if strangers >= MAX_STRANGERS_SHARE * max_connections:
+        return None
+    return _first_match(RULES_UNDER_PRESSURE, connections, now)
+
+
+def _first_match(
+    rules: Collection[EvictionRule], connections: Collection[Connection], now: float
+) -> Connection | None:
+    for rule in rules:
+        matching = (connection for connection in connections if rule.matches(connection))
+        oldest = min(matching, key=lambda connection: connection.since, default=None)
+        if oldest is not None and now - oldest.since >= rule.min_age_s and _is_read(oldest):
+            return oldest
+    return None
+
+
+def _is_read(connection: Connection) -> bool:
+    """Whether all that came has been read: closed before, a whole request would be lost."""
+    return connection.phase is Phase.DRAINING or not connection.has_unread_request
--- /dev/null
+++ b/oxbowyard/clients/request_handler.py
@@ -0,0 +1,115 @@
+"""Reads one request from its connection, passes it to the core and words the response."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Collection
+from contextlib import nullcontext
+from dataclasses import replace
+
+from aiohttp import web
+from aiohttp.web_request import BaseRequest
+
+from ..core.scheduler import Scheduler
+from ..listeners.disconnects import peer_disconnected
+from .body_memory import BodyMemory
+from .connection import Connection, abort_body
+from .errors import BadRequestError, BodyTimeoutError, BodyTooLargeError
+from .limits import MAX_BODY_BYTES, REQUEST_TIMEOUT_S
+from .request_parsing import parse_class, parse_request, single_header, split_target
+from .responses import answer_response
+
+BYTES_PER_KIB = 1024
+
+
+async def schedule(
+    http_request: BaseRequest,
+    scheduler: Scheduler,
+    classes: Collection[str],
+    body_memory: BodyMemory | None = None,
+) -> web.Response:
+    """Serve one request from its head to its response.
+
+    Args:
+        http_request: The request, whose body has not been read.
+        scheduler: The core that answers it.
+        classes: The job classes that a client may name.
+        body_memory: Where memory for the body is reserved; None: without a bound.
+
+    Raises:
+        RequestError: The request is not accepted.
+    """
+    # Checked before the body is read: a request for an unknown path is answered at once.
+    path, _ = split_target(http_request.raw_path)
+    parse_class(path, single_header(http_request.headers, "Req-Kind"), http_request.method, classes)
+    size_bytes = MAX_BODY_BYTES if http_request.content_length is None else http_request.content_length
+    if size_bytes > MAX_BODY_BYTES:
+        raise _body_too_large(MAX_BODY_BYTES)
+    with body_memory.reserve(size_bytes) if body_memory else nullcontext():
+        payload = await read_body(http_request)
+        request = parse_request(
+            http_request.method, http_request.raw_path, http_request.headers, payload, classes
+        )
+        request = replace(request, client_connected=lambda: _is_client_connected(http_request))
+        answer = await scheduler.serve(request)
+    return answer_response(answer)
+
+
+async def read_body(request: BaseRequest, max_bytes: int = MAX_BODY_BYTES) -> bytes:
+    """Read a request's whole body within its connection's time for the request.
+
+    Raises:
+        BodyTooLargeError: It has more than `max_bytes`.
+        BodyTimeoutError: It did not arrive in time.
+        BadRequestError: The client disconnected within it.
+    """
+    body = bytearray()
+    # In an application with the middleware the connection is aiohttp's own, which ends with the body.
+    connection = request.protocol if isinstance(request.protocol, Connection) else None
+    deadline = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
+    if connection is not None:
+        deadline = connection.request_deadline
+        connection.body = request.content
+        if connection.is_half_closed:
+            abort_body(request.content)
+    try:
+        async with asyncio.timeout_at(deadline):
+            while chunk := await request.content.readany():
+                body += chunk
+                if len(body) > max_bytes:
+                    raise _body_too_large(max_bytes)
+    except TimeoutError:
+        raise BodyTimeoutError("the body did not come") from None
+    except web.RequestPayloadError:
+        raise BadRequestError("the body broke off") from None
+    finally:
+        if connection is not None:
+            connection.body = None
+    if connection is not None:
+        connection.on_request_complete()
+    return bytes(body)
+
+
+def check_body_size(request: BaseRequest, max_bytes: int) -> int:
+    """The bytes to reserve for a request's body.
+
+    Raises:
+        BodyTooLargeError: The request announces more than `max_bytes`.
+    """
+    size_bytes = request.content_length
+    if size_bytes is None:
+        size_bytes = max_bytes if request.can_read_body else 0
+    if size_bytes > max_bytes:
+        raise _body_too_large(max_bytes)
+    return size_bytes
+
+
+def _body_too_large(max_bytes: int) -> BodyTooLargeError:
+    return BodyTooLargeError(f"a body holds {max_bytes // BYTES_PER_KIB} KiB at most")
+
+
+def _is_client_connected(request: BaseRequest) -> bool:
+    connection = request.protocol
+    if isinstance(connection, Connection):
+        return connection.is_client_connected()
+    return not peer_disconnected(connection.transport)
--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -43,7 +43,7 @@
     def evict_idle_connection(self) -> bool:
         """Close the connection that is silent longest; returns whether there was one to close."""
         now = asyncio.get_running_loop().time()
-        silent = [c for c in self._open if c.phase in (Phase.SILENT, Phase.UNFINISHED)]
+        silent = [c for c in self._open if c.phase in (Phase.SILENT, Phase.READING)]
         longest = min(silent, key=lambda connection: connection.since, default=None)
         if longest is None or now - longest.since < MIN_SILENCE_S:
             return False
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from ..clients.client_connections import ClientConnections
 from ..clients.limits import MAX_BODIES_MEMORY_SHARE
-from ..clients.session import ClientSessions
 from ..control.cordon_file import CordonFile
 from ..control.counters import ConfigurationReloads
 from ..control.maintenance import Maintenance
@@ -35,7 +35,7 @@
     loaded: LoadedConfiguration  # at the start; what a reload brings is compared with it
     states: StateMachine
     subsystems: Subsystems
-    sessions: ClientSessions
+    sessions: ClientConnections
     maintenance: Maintenance
     components: Lifecycle  # of the operator's file
     folder: Path  # for files that concern other processes of this scheduler
@@ -104,8 +104,8 @@
 
 def _build_sessions(
     loaded: LoadedConfiguration, subsystems: Subsystems, states: StateMachine
-) -> ClientSessions:
-    return ClientSessions(
+) -> ClientConnections:
+    return ClientConnections(
         subsystems.scheduler,
         subsystems.classes,
         lambda: states.is_serving,
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -11,7 +11,7 @@
 from random import SystemRandom
 from typing import TYPE_CHECKING, Any
 
-from ..clients.session import Waiting
+from ..clients.client_connections import JobsHandler
 from ..control.maintenance import Maintenance
 from .composition import Subsystems
 from .config import ConfigurationError
@@ -37,14 +37,14 @@
         raise ConfigurationError(str(error)) from None
 
 
-def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> Waiting | None:
+def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> JobsHandler | None:
     """The HTTP front of deferred jobs, if `[waiting]` is there."""
     if subsystems.waiting is None:
         return None
-    from ..clients.waiting import WaitingFront
+    from ..clients.job_routes import JobRoutes
 
     resolve_over_http = durable is not None and durable.resolve_over_http
-    return WaitingFront(subsystems.waiting, subsystems.classes, resolve_over_http)
+    return JobRoutes(subsystems.waiting, subsystems.classes, resolve_over_http)
 
 
 def build_membership(
--- a/oxbowyard/middleware/aiohttp.py
+++ b/oxbowyard/middleware/aiohttp.py
@@ -7,15 +7,20 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
 
-from ..clients.session import fault_response, schedule
-from ..clients.wording import Fault
+from ..clients.errors import RequestError
+from ..clients.request_handler import schedule
+from ..clients.responses import error_response
 from ..core.scheduler import Scheduler
 
 
 def scheduling(scheduler: Scheduler, classes: Collection[str]) -> Middleware:
-    """Schedule POST /CLASS, worded as the daemon's own front takes it, before the application sees it.
+    """Middleware that schedules POST /CLASS, in the daemon's form, before the application sees it.
 
-    Run the application with `handler_cancellation=True`: else a client that leaves is waited for in vain.
+    Run the application with `handler_cancellation=True`: otherwise a disconnect does not cancel the request.
+
+    Args:
+        scheduler: The core that answers the requests.
+        classes: The job classes; every other path goes to the application's own handlers.
     """
     names = frozenset(classes)
 
@@ -25,7 +30,7 @@
             return await handler(request)
         try:
             return await schedule(request, scheduler, names)
-        except Fault as fault:
-            return fault_response(request, fault)
+        except RequestError as error:
+            return error_response(request, error)
 
     return middleware
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -17,7 +17,7 @@
 
 from virtual import VirtualLoop
 
-from oxbowyard.clients.session import ClientSessions
+from oxbowyard.clients.client_connections import ClientConnections
 from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import load
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
@@ -135,7 +135,7 @@
         packets = gearman.parse(document, self.config.settings.classes)
         self.subsystems = compose(self.config, packets, waiting=waiting, clock=lambda: loop.time() * 1000)
         self.scheduler = self.subsystems.scheduler
-        self.sessions = ClientSessions(self.scheduler, self.subsystems.classes, lambda: True, 64, 1 << 24)
+        self.sessions = ClientConnections(self.scheduler, self.subsystems.classes, lambda: True, 64, 1 << 24)
         self.acceptor = Acceptor("http", "127.0.0.1", 0, self.sessions)
         self.worker = Worker()
         self._server: asyncio.Server | None = None
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -14,9 +14,10 @@
 from player import ROOT
 
 from oxbowyard.backends.answer_lines import FINAL_STATES, AnswerReader
+from oxbowyard.clients.job_documents import BatchDocument, JobDocument, JobView
 from oxbowyard.clients.limits import MAX_BODY_BYTES
-from oxbowyard.clients.waiting import BatchForm, JobForm, JobView
-from oxbowyard.clients.wording import DEADLINE_FORM, ID_FORM, STATUS
+from oxbowyard.clients.request_parsing import DURATION_PATTERN, ID_PATTERN
+from oxbowyard.clients.responses import STATUS
 from oxbowyard.core.request import RunState
 from oxbowyard.decision.facade import Result
 from oxbowyard.waiting.job import JobOutcome, JobState
@@ -61,7 +62,7 @@
 
 def test_the_described_forms_are_those_the_program_takes() -> None:
     forms = {p["name"]: p["schema"].get("pattern") for p in SUBMIT["parameters"]}
-    for name, form in (("Req-Id", ID_FORM), ("Req-Deadline", DEADLINE_FORM)):
+    for name, form in (("Req-Id", ID_PATTERN), ("Req-Deadline", DURATION_PATTERN)):
         for text in ("9b1f", "a b", "", "-x", "480m", "480", "1.5u", "1s", "~", "x" * 129):
             assert bool(re.fullmatch(forms[name][1:-1], text)) == bool(form.fullmatch(text)), (name, text)
     assert (
@@ -131,7 +132,7 @@
 
 def test_the_described_job_has_the_fields_that_the_program_takes() -> None:
     schemas = WAITING["components"]["schemas"]
-    for name, form in (("Job", JobForm), ("JobView", JobView), ("Batch", BatchForm)):
+    for name, form in (("Job", JobDocument), ("JobView", JobView), ("Batch", BatchDocument)):
         assert set(schemas[name]["properties"]) == {f.encode_name for f in msgspec.structs.fields(form)}
     assert set(schemas["State"]["enum"]) | {"forgotten"} == {s.value for s in JobState}
     assert set(schemas["JobView"]["properties"]["end"]["enum"]) == {e.value for e in JobOutcome}
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -60,12 +60,12 @@
     async def scene(stage: Stage) -> None:
         await stage.begin()
         if not room:
-            stage.sessions._most = 0  # it waits in the system's queue for a place
+            stage.sessions._max_connections = 0  # it waits in the system's queue for a place
         clients = [stage.client() for _ in range(3)]
         for number, client in enumerate(clients):
             client.sendall(ask("preview", f"a{number}"))
         await turns(between)
-        stage.sessions._most = 64
+        stage.sessions._max_connections = 64
         await _leave(stage)
         for client in clients:
             assert b" 200 OK" in await stage.read(client)
@@ -76,7 +76,7 @@
 def test_a_crowd_at_the_closing_gate_takes_no_more_descriptors_than_there_are(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         await stage.begin()
-        stage.sessions._most = 8
+        stage.sessions._max_connections = 8
         silent = [stage.client() for _ in range(4)]
         await turns()
         await asyncio.sleep(0.5)  # these have had their time, and make room
@@ -216,9 +216,9 @@
         client.sendall(ask("preview")[:cut])
         await turns()
         (connection,) = stage.sessions._open
-        assert connection.phase is (Phase.UNFINISHED if cut else Phase.SILENT)
+        assert connection.phase is (Phase.READING if cut else Phase.SILENT)
         client.sendall(ask("preview")[cut:])
-        connection._late()  # the alarm of this turn, before the loop has read what came in it
+        connection._on_timeout()  # the alarm of this turn, before the loop has read what came in it
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
 
@@ -233,13 +233,13 @@
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
         (connection,) = stage.sessions._open
-        assert connection.phase is Phase.KEPT
+        assert connection.phase is Phase.KEEP_ALIVE
         client.setblocking(True)
         client.sendall(ask("preview", "a2"))
-        connection._late()
+        connection._on_timeout()
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
-        connection._late()
+        connection._on_timeout()
         assert await stage.read(client) == b"" and not stage.sessions._open, "nothing came: closed"
 
     play(tmp_path, scene)
@@ -253,16 +253,16 @@
         await turns()
         (connection,) = stage.sessions._open
         for _ in range(3):  # something lies unread each time that its time is over
-            if connection.phase is Phase.UNFINISHED:
+            if connection.phase is Phase.READING:
                 client.sendall(b"X-More: 1\r\n")
-                connection._late()
+                connection._on_timeout()
                 await turns()
         assert b" 408 " in await stage.read(client)
 
     play(tmp_path, scene)
 
 
-def test_room_is_not_made_of_a_connection_whose_request_has_come(tmp_path: Path) -> None:
+def test_eviction_spares_a_connection_whose_request_has_come(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         await stage.begin()
         asks, silent = stage.client(), stage.client()
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("waits", [False, True])  # for its body, which comes in the turn of the crossing
-def test_room_is_not_made_of_a_request_that_became_whole_in_that_very_turn(
+def test_eviction_spares_a_request_that_became_whole_in_that_very_turn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, waits: bool
 ) -> None:
     read = Connection.data_received
@@ -291,11 +291,11 @@
         await turns()
         await asyncio.sleep(1.5)  # it has had its time
 
-        def and_room(connection: Connection, data: bytes) -> None:
+        def and_evict(connection: Connection, data: bytes) -> None:
             read(connection, data)
             assert not stage.sessions.evict_idle_connection()
 
-        monkeypatch.setattr(Connection, "data_received", and_room)
+        monkeypatch.setattr(Connection, "data_received", and_evict)
         client.sendall(ask("accession")[cut:])
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
@@ -303,7 +303,7 @@
     play(tmp_path, scene)
 
 
-def test_room_is_not_made_of_a_gearman_peer_whose_first_packet_lies_unread(tmp_path: Path) -> None:
+def test_eviction_spares_a_gearman_peer_whose_first_packet_lies_unread(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         await stage.begin()
         gearman = stage.subsystems.gearman
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from oxbowyard.clients.session import Bodies
-from oxbowyard.clients.wording import Fault
+from oxbowyard.clients.body_memory import BodyMemory
+from oxbowyard.clients.errors import BodyMemoryFullError
 from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import Config
 from oxbowyard.daemon.descriptors import Descriptors
@@ -67,12 +67,12 @@
 
 
 def test_bodies_are_bounded_in_all() -> None:
-    bodies = Bodies(100)
-    with bodies.hold(60):
-        with pytest.raises(Fault) as fault, bodies.hold(60):
+    memory = BodyMemory(100)
+    with memory.reserve(60):
+        with pytest.raises(BodyMemoryFullError) as fault, memory.reserve(60):
             pass
         assert fault.value.status == 503  # it never ran: a new try does no harm
-    with bodies.hold(100):
+    with memory.reserve(100):
         pass
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -138,7 +138,8 @@
     assert "aiohttp" in loaded
     assert not loaded & {"msgspec", "sortedcontainers", "hypothesis", "typer", "pydantic"}
     for name in (
-        "waiting.policy", "waiting.room", "store", "durable", "operator", "clients.waiting",
+        "waiting.policy", "waiting.job_queue", "store", "durable", "operator",
+        "clients.job_routes", "clients.job_parsing", "clients.job_documents",
         "cli", "configuration", "membership", "peers", "start",
     ):  # fmt: skip
         assert f"oxbowyard.{name}" not in told.split()
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -26,7 +26,21 @@
 )  # fmt: skip
 
 # Packages whose names are the field's, whole. One that is added here stays.
-FINISHED: tuple[str, ...] = ("core", "decision", "membership", "store")
+FINISHED: tuple[str, ...] = (
+    "backends",
+    "clients",
+    "control",
+    "core",
+    "decision",
+    "discovery",
+    "durable",
+    "handover",
+    "listeners",
+    "membership",
+    "middleware",
+    "operator",
+    "store",
+)
 
 GLOSSARY = DOCS / "glossary.md"
 NOTE = DOCS / "design" / "readability.md"
