--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -29,6 +29,7 @@
 FINISHED: tuple[str, ...] = (
     "backends",
     "cli",
+    "clients",
     "configuration",
     "control",
     "core",
@@ -40,6 +41,7 @@
     "handover",
     "listeners",
     "membership",
+    "middleware",
     "operator",
     "peers",
     "start",
