--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -94,7 +94,7 @@
 
     if admin_address is None and config is not None:
         admin_address = _admin_address(config)
-    if not admin_address:
+    if not admin_address or admin_address == "None":  # what a script passes on that has no address
         _fail("no door: give --door, or a configuration that names one as admin", EXIT_INVALID)
     try:
         view = fetch_members(admin_address)
