--- a/benchmarks/gear_queue.py
+++ b/benchmarks/gear_queue.py
@@ -3,7 +3,7 @@
     pip install -r benchmarks/requirements-gear.txt
     python -m benchmarks.gear_queue [--runs 20] [--plain]
 
-`--plain` runs it without the waiting room, as it was. The workers answer at once, as gear's own workers do.
+`--plain` runs it without deferred jobs. The workers answer at once, as gear's own workers do.
 """
 
 from __future__ import annotations
--- a/oxbowyard/backends/answer_tail.py
+++ b/oxbowyard/backends/answer_tail.py
@@ -9,11 +9,18 @@
 
 TAIL_TIMEOUT_S = 0.25  # for the end of the chunks after the last line
 MAX_TAIL_BYTES = 1 << 16
-# What the library raises for an answer that breaks off or can't be read; ValueError is for a line that is too
-# long, and for an answer without an end.
+# What the library raises for an answer that breaks off or cannot be read: ValueError
+# for a line that is too long, and AnswerTooLongError of our own.
 BROKEN_ANSWER = (aiohttp.ClientError, OSError, HttpProcessingError, ValueError)
 
 
+class AnswerTooLongError(ValueError):
+    """An answer goes on past the bound on its bytes or lines."""
+
+    def __init__(self) -> None:
+        super().__init__("answer without an end")
+
+
 class TailReader:
     """Reads the ends of answers whose outcome is known, up to a number of them at once.
 
@@ -50,7 +57,7 @@
             while size <= MAX_TAIL_BYTES and (piece := await response.content.readany()):
                 size += len(piece)
         if size > MAX_TAIL_BYTES:
-            raise ValueError("answer without an end")
+            raise AnswerTooLongError
         response.release()
     except (TimeoutError, *BROKEN_ANSWER):
         response.close()
--- a/oxbowyard/backends/http.py
+++ b/oxbowyard/backends/http.py
@@ -23,11 +23,11 @@
 from ..decision.facade import Result
 from ..discovery.registry import Registry
 from .answer_lines import MAX_LINES, AnswerReader, outcome_of_status
-from .answer_tail import BROKEN_ANSWER, TailReader
+from .answer_tail import BROKEN_ANSWER, AnswerTooLongError, TailReader
 from .load_report import parse_header
 
 LAST_BYTE_DELAY_S = 0.010  # between the rest of a body and its last byte, for a job that must not run twice
-READ_BUFFER_BYTES = 1 << 18  # half of a line's bound: a result of 64 KiB may grow sixfold in JSON
+READ_BUFFER_BYTES = 1 << 18  # the library reads lines of up to twice this; 64 KiB may grow sixfold in JSON
 MAX_ANSWER_BYTES = 1 << 20  # a result, and progress every second for an hour
 MAX_TAILS = 64
 
@@ -115,20 +115,21 @@
         `context.written` is set before the last byte goes: a break while it is written may leave it sent.
         """
         if self._registry.address(backend) != address:
-            # Connecting took long: its drain second has passed, or it is at another address by now.
+            # While it connected, its grace period for requests ended, or it moved to another address.
             raise _NotSentError("backend left while connecting")
-        held_bytes = 0
+        unsent = request.payload
         if request.job_class in self.non_repeatable and len(request.payload) > 1:
             # A backend that resets the connection at once does so before the last byte: then the job never
             # ran, and may go elsewhere. Written in one piece it would count as run.
-            held_bytes = 1
+            payload, last_byte = request.payload[:-1], request.payload[-1:]
             _check_still_wanted(request, context)  # an attempt begins with its first byte
-            yield request.payload[:-held_bytes]
+            yield payload
             await asyncio.sleep(LAST_BYTE_DELAY_S)
+            unsent = last_byte
         await lease_recorded(request, backend)  # a record that comes after the last byte may never come
         _check_still_wanted(request, context)
         context.written = True
-        yield request.payload[-held_bytes:]
+        yield unsent
         self.sent_attempts[request.job_class] += 1  # the library asks for more once this piece is written
 
     async def _read_answer(
@@ -158,7 +159,7 @@
         while line := await response.content.readline():
             size += len(line)
             if size > MAX_ANSWER_BYTES or reader.line_count >= MAX_LINES:
-                raise ValueError("answer without an end")
+                raise AnswerTooLongError
             outcome = reader.read(line)
             if outcome is not None:
                 return outcome
@@ -175,7 +176,7 @@
     return aiohttp.ClientSession(
         request_class=_TimedRequest,
         # A connection for each attempt: backends close kept ones early and unseen, or were restarted
-        # meanwhile, and what is written to one may have run. A new one costs 1 to 4 ms, little for a job.
+        # meanwhile, and what is written to one may have run.
         # The core bounds the requests and so the connections: a limit here would be a hidden queue.
         connector=aiohttp.TCPConnector(limit=0, limit_per_host=0, force_close=True),
         cookie_jar=aiohttp.DummyCookieJar(),
--- a/oxbowyard/clients/client_connections.py
+++ b/oxbowyard/clients/client_connections.py
@@ -16,7 +16,7 @@
 from .connection_set import ConnectionSet
 from .errors import MethodNotAllowedError, RequestError
 from .eviction import select_evicted
-from .request_handler import schedule
+from .request_handler import serve_request
 from .responses import error_response
 
 log = logging.getLogger("oxbowyard.clients")
@@ -83,11 +83,11 @@
         self._evict(evicted)
         return True
 
-    def wind_down(self) -> None:
+    def start_draining(self) -> None:
         """From now on each response closes its connection."""
         self._closing = True
 
-    def wind_up(self) -> None:
+    def stop_draining(self) -> None:
         """Connections stay open again after their responses."""
         self._closing = False
 
@@ -106,7 +106,7 @@
         What has arrived unread is read and answered first. No new connection may be accepted any more.
         """
         for connection in list(self._open):
-            connection.wind_down()
+            connection.close_when_idle()
         try:
             async with asyncio.timeout(timeout_s):
                 while self._open:
@@ -122,8 +122,6 @@
             response = await self._respond(request)
         except RequestError as error:
             response = error_response(request, error)
-        except asyncio.CancelledError:
-            raise
         except Exception:
             log.exception("internal error while answering a client: path=%s", request.path)
             response = web.Response(status=500, text="internal fault\n")
@@ -137,7 +135,7 @@
             return self._readiness(request)
         if self._jobs_handler is not None and is_jobs_path(target):
             return await self._jobs_handler(request, self._body_memory)
-        return await schedule(request, self._scheduler, self.classes, self._body_memory)
+        return await serve_request(request, self._scheduler, self.classes, self._body_memory)
 
     def _readiness(self, request: BaseRequest) -> web.StreamResponse:
         if request.method not in ("GET", "HEAD"):
--- a/oxbowyard/clients/connection.py
+++ b/oxbowyard/clients/connection.py
@@ -86,6 +86,7 @@
     """
 
     __slots__ = (
+        "_closes_when_idle",
         "_discards_input",
         "_drained",
         "_head_bytes",
@@ -94,7 +95,6 @@
         "_response_count",
         "_timer",
         "_unread_checked",
-        "_winding_down",
         "body",
         "has_requested",
         "is_half_closed",
@@ -120,7 +120,7 @@
         self._pipelined_bytes = 0  # that came while a response was pending
         self._drained: asyncio.Event | None = None
         self._unread_checked = False  # the phase has timed out, and what was unread then is being read
-        self._winding_down = False
+        self._closes_when_idle = False
         self._discards_input = False  # too much was pipelined: this response is the last
         self.body: StreamReader | None = None
         self.is_half_closed = False
@@ -200,14 +200,14 @@
         else:
             self.force_close()
 
-    def wind_down(self) -> None:
+    def close_when_idle(self) -> None:
         """Close once no response is pending. A request that has come, read or not, is answered first."""
-        self._winding_down = True
+        self._closes_when_idle = True
         is_new = self.phase is Phase.SILENT and self._loop.time() < self.since + UNREAD_REQUEST_TIMEOUT_S
         if self.phase not in (Phase.SILENT, Phase.KEEP_ALIVE) or self.transport is None:
             return  # its response closes it, or its timeout; or it is closed
         if is_new or is_readable(self.transport):
-            self._loop.call_later(READ_RETRY_S, self.wind_down)
+            self._loop.call_later(READ_RETRY_S, self.close_when_idle)
         else:
             self.force_close()
 
@@ -302,8 +302,8 @@
             self._enter(Phase.READING, self.request_deadline)
         else:
             self._enter(Phase.KEEP_ALIVE, self._loop.time() + KEEP_ALIVE_TIMEOUT_S)
-            if self._winding_down:  # the shutdown began after this response was made
-                self._loop.call_soon(self.wind_down)
+            if self._closes_when_idle:  # the shutdown began after this response was made
+                self._loop.call_soon(self.close_when_idle)
 
     def _reject(self, status: HTTPStatus) -> None:
         """Answer with an error what never became a request of aiohttp's."""
--- a/oxbowyard/clients/eviction.py
+++ b/oxbowyard/clients/eviction.py
@@ -7,11 +7,11 @@
 
 from .connection import Connection, Phase
 from .limits import (
-    MAX_STRANGERS_SHARE,
+    MAX_NO_REQUEST_SHARE,
     MIN_AGE_UNDER_PRESSURE_S,
     MIN_KEEP_ALIVE_AGE_S,
+    MIN_NO_REQUEST_AGE_S,
     MIN_READING_AGE_S,
-    MIN_STRANGER_AGE_S,
 )
 
 
@@ -23,7 +23,7 @@
     min_age_s: float
 
 
-def is_stranger(connection: Connection) -> bool:
+def has_no_request(connection: Connection) -> bool:
     """Whether the client has not sent a request for a job so far, and is not sending one now."""
     idle = connection.phase is Phase.KEEP_ALIVE and not connection.has_requested
     return connection.phase is Phase.SILENT or idle
@@ -44,11 +44,11 @@
 # In this order, and of several the one longest in its phase. Never one with a response pending.
 RULES = (
     EvictionRule(_is_draining, 0.0),
-    EvictionRule(is_stranger, MIN_STRANGER_AGE_S),
+    EvictionRule(has_no_request, MIN_NO_REQUEST_AGE_S),
     EvictionRule(_is_keep_alive, MIN_KEEP_ALIVE_AGE_S),
     EvictionRule(_is_reading, MIN_READING_AGE_S),
 )
-# When none of these matches, unless there are so many strangers that their rule soon will.
+# When none of these matches, unless so many connections have no request that their rule soon will.
 RULES_UNDER_PRESSURE = (
     EvictionRule(_is_keep_alive, MIN_AGE_UNDER_PRESSURE_S),
     EvictionRule(_is_reading, MIN_AGE_UNDER_PRESSURE_S),
@@ -71,8 +71,8 @@
     evicted = _first_match(RULES, connections, now)
     if evicted is not None:
         return evicted
-    strangers = sum(is_stranger(connection) for connection in connections)
-    if strangers >= MAX_STRANGERS_SHARE * max_connections:
+    without_request = sum(has_no_request(connection) for connection in connections)
+    if without_request >= MAX_NO_REQUEST_SHARE * max_connections:
         return None
     return _first_match(RULES_UNDER_PRESSURE, connections, now)
 
--- a/oxbowyard/clients/request_handler.py
+++ b/oxbowyard/clients/request_handler.py
@@ -1,4 +1,4 @@
-"""Reads one request from its connection, passes it to the core and words the response."""
+"""Reads one request from its connection, passes it to the core and writes the response."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 BYTES_PER_KIB = 1024
 
 
-async def schedule(
+async def serve_request(
     http_request: BaseRequest,
     scheduler: Scheduler,
     classes: Collection[str],
@@ -64,7 +64,7 @@
         BadRequestError: The client disconnected within it.
     """
     body = bytearray()
-    # In an application with the middleware the connection is aiohttp's own, which ends with the body.
+    # Behind `oxbowyard.middleware` the connection is aiohttp's own, which has no deadline for requests.
     connection = request.protocol if isinstance(request.protocol, Connection) else None
     deadline = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
     if connection is not None:
--- a/oxbowyard/daemon/hot_restart.py
+++ b/oxbowyard/daemon/hot_restart.py
@@ -67,7 +67,7 @@
         context.states.enter(State.HANDING_OVER)
         self.hand_over_estimates()
         await context.acceptor.close_and_wait()
-        context.sessions.wind_down()
+        context.sessions.start_draining()
         context.sessions.close_idle()
         await context.components.hand_over()
 
@@ -80,7 +80,7 @@
             log.error("cannot accept clients again, stopping: error=%s", error)
             context.stop_requested.set()
             return
-        context.sessions.wind_up()
+        context.sessions.stop_draining()
         context.acceptor = acceptor
         acceptor.open()
         context.states.enter(State.SERVING)
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -22,7 +22,7 @@
 async def shut_down(context: ProgramContext, hot_restart: HotRestart) -> None:
     """End the program gracefully, from any state in which it runs."""
     context.states.enter(State.LEAVING)
-    context.sessions.wind_down()
+    context.sessions.start_draining()
     if context.subsystems.waiting:
         context.subsystems.waiting.stop()
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
@@ -51,7 +51,7 @@
     if context.acceptor is not None:
         await context.acceptor.close_and_wait()
     if context.subsystems.gearman:
-        context.subsystems.gearman.wind_down()
+        context.subsystems.gearman.start_draining()
     longest_s = max(context.longest_deadline_s, context.subsystems.scheduler.max_time_left_s())
     await context.sessions.close(longest_s + MAX_OVERRUN_S)
 
--- a/oxbowyard/gearman/connection.py
+++ b/oxbowyard/gearman/connection.py
@@ -69,7 +69,7 @@
         self._timer: asyncio.TimerHandle | None = None  # for the first packet, and each that has begun
         self._ended = False  # nothing is sent any more, and what still comes is dropped
         self._inbox: deque[Packet | TextCommand] = deque()
-        self._deferred = False
+        self._input_paused = False
         self.is_silent = True  # nothing complete has come from the peer
         self.accepts_exceptions = False
         self.address = "-"
@@ -116,20 +116,20 @@
                 self.end(ErrorCode.TOO_MUCH_UNFINISHED, text)
 
     def _handle_inbox(self) -> None:
-        while self._inbox and not self._deferred and self._transport is not None and not self._ended:
+        while self._inbox and not self._input_paused and self._transport is not None and not self._ended:
             self._handler.handle(self._inbox.popleft())
 
-    def defer(self) -> None:
+    def pause_input(self) -> None:
         """An answer has to wait, and so has what the peer sent after: answers keep their order."""
-        self._deferred = True
+        self._input_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
-    def resume(self) -> None:
-        """The deferred answer has been sent."""
-        self._deferred = False
+    def resume_input(self) -> None:
+        """The answer that the input waited for has been sent."""
+        self._input_paused = False
         self._handle_inbox()
-        if not self._deferred and self._transport is not None and not self._transport.is_closing():
+        if not self._input_paused and self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     @property
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -60,7 +60,7 @@
         if submission.unique and submission.function.job_class.retry_safety is not RetrySafety.IDEMPOTENT:
             # What must not run twice is the same job for a client that got no answer to its first submission.
             options = replace(options, idempotency_key=_idempotency_key(submission))
-        client.defer()
+        client.pause_input()
         task = asyncio.get_running_loop().create_task(self._store(job, request, options, client))
         self._submitting.add(task)
         task.add_done_callback(self._submitting.discard)
@@ -75,7 +75,7 @@
         except PacketRejectedError as error:
             client.send(encode_error(error.code, error.text))
         finally:
-            client.resume()
+            client.resume_input()
 
     async def _submit_and_store(self, job: Job, request: Request, options: WaitOptions) -> str:
         """Returns the handle, which is an earlier job's if this is the same one."""
--- a/oxbowyard/gearman/front.py
+++ b/oxbowyard/gearman/front.py
@@ -41,7 +41,7 @@
         self._acceptor = Acceptor("gearman", self.config.host, self.config.port, self)
         self._acceptor.open()
 
-    def wind_down(self) -> None:
+    def start_draining(self) -> None:
         """Accept no more jobs and connections; jobs that were accepted go on."""
         self._jobs.limits.shutting_down = True
         if self._acceptor is not None:
--- a/oxbowyard/gearman/job.py
+++ b/oxbowyard/gearman/job.py
@@ -39,10 +39,10 @@
     def is_connected(self) -> bool:
         """Whether the client is still there."""
 
-    def defer(self) -> None:
+    def pause_input(self) -> None:
         """Handle nothing more from the client until `resume` is called."""
 
-    def resume(self) -> None:
+    def resume_input(self) -> None:
         """Handle what the client sends again."""
 
 
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -97,8 +97,6 @@
     async def _serve(self, job: Job, request: Request) -> None:
         try:
             answer = await self._scheduler.serve(request)
-        except asyncio.CancelledError:
-            raise
         except Exception:  # its clients get their answer all the same
             log.exception("internal error while serving a job: job=%s", request.id)
             answer = Answer(AnswerKind.FAILED, reason="internal fault")
--- a/oxbowyard/gearman/worker.py
+++ b/oxbowyard/gearman/worker.py
@@ -28,7 +28,7 @@
     name: str
     connection: WorkerConnection
     abilities: dict[str, float] = field(default_factory=dict)  # function: its limit in seconds, 0: none
-    chosen: list[Assignment] = field(default_factory=list)  # it was chosen for them, and has not grabbed them
+    pending: list[Assignment] = field(default_factory=list)  # assigned, not grabbed yet
     grabbed: dict[bytes, Assignment] = field(default_factory=dict)  # by handle, until it reports their end
     asleep: bool = False
     announced: bool = False  # as able to do at least one function of the configuration
@@ -41,11 +41,11 @@
 
     def load(self) -> dict[str, float]:
         """Its load report, as other backends send it."""
-        return {"free_slots": 0.0 if self.grabbed else 1.0, "waiting": float(len(self.chosen))}
+        return {"free_slots": 0.0 if self.grabbed else 1.0, "waiting": float(len(self.pending))}
 
-    def choose(self, assignment: Assignment) -> None:
-        """It is chosen for an attempt, and woken up if it sleeps."""
-        self.chosen.append(assignment)
+    def assign(self, assignment: Assignment) -> None:
+        """Give it an attempt to grab; a sleeping worker is woken up."""
+        self.pending.append(assignment)
         self._wake()
 
     def sleep(self) -> None:
@@ -53,23 +53,23 @@
         self.asleep = True
         self._wake()
 
-    def next_chosen(self) -> Assignment | None:
-        """The assignment that it grabs next: by priority, then in the order of choice."""
-        for assignment in self.chosen:
+    def next_pending(self) -> Assignment | None:
+        """The assignment that it grabs next: by priority, then in the order of assignment."""
+        for assignment in self.pending:
             assignment.end_if_too_late()
-        candidates = (assignment for assignment in self.chosen if not assignment.is_over)
+        candidates = (assignment for assignment in self.pending if not assignment.is_over)
         return min(candidates, key=lambda assignment: assignment.priority, default=None)
 
     def give_back(self, reason: str) -> None:
         """End the chosen assignments that it will not grab as rejected, so that they go elsewhere."""
-        for assignment in list(self.chosen):
+        for assignment in list(self.pending):
             if self.holds_ended_job or assignment.request.target not in self.abilities:
-                self.chosen.remove(assignment)
+                self.pending.remove(assignment)
                 assignment.end(AttemptOutcome(Result.FULL, reason=reason))
 
     def end_all(self) -> None:
         """End all assignments: its connection has ended."""
-        for assignment in self.chosen:
+        for assignment in self.pending:
             outcome = AttemptOutcome(Result.UNREACHABLE, reason="worker left before it took the job")
             assignment.end(outcome)
         for assignment in self.grabbed.values():
@@ -80,6 +80,6 @@
             assignment.end(outcome)
 
     def _wake(self) -> None:
-        if self.asleep and self.chosen:
+        if self.asleep and self.pending:
             self.asleep = False
             self.connection.send(encode(PacketType.NOOP))
--- a/oxbowyard/gearman/worker_transport.py
+++ b/oxbowyard/gearman/worker_transport.py
@@ -35,14 +35,14 @@
         self._numbers = itertools.count(1)  # of attempts
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        """Choose a worker for a request, and wait until it has grabbed and ended it."""
+        """Assign a request to the worker `backend`, and wait until it has grabbed and ended it."""
         worker = self.workers.connected.get(backend)
         if worker is None or request.target not in worker.abilities:
             return AttemptOutcome(Result.NOT_SENT, reason="worker is gone or can't do it any more")
         handle = attempt_handle(request.id, next(self._numbers), request.lease)
         outcome: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
         assignment = Assignment(handle, request, context, outcome)
-        worker.choose(assignment)
+        worker.assign(assignment)
         try:
             return await outcome
         finally:
@@ -50,8 +50,8 @@
 
     def _clean_up(self, worker: Worker, assignment: Assignment) -> None:
         assignment.cancel_timeout()
-        if assignment in worker.chosen:  # cancelled before it was grabbed
-            worker.chosen.remove(assignment)
+        if assignment in worker.pending:  # cancelled before it was grabbed
+            worker.pending.remove(assignment)
         # The worker does not know that it is over, and works on.
         if assignment.handle in worker.grabbed and worker.name in self.workers.connected:
             self.workers.announce(worker)
@@ -60,11 +60,11 @@
     def grab(self, worker: Worker, grab_type: PacketType) -> None:
         """Send the worker its next job, or that there is none."""
         worker.asleep = False
-        assignment = worker.next_chosen()
+        assignment = worker.next_pending()
         if assignment is None:
             worker.connection.send(encode(PacketType.NO_JOB))
             return
-        worker.chosen.remove(assignment)
+        worker.pending.remove(assignment)
         worker.grabbed[assignment.handle] = assignment
         record_lease = assignment.request.record_lease
         if record_lease is None:
--- a/oxbowyard/middleware/aiohttp.py
+++ b/oxbowyard/middleware/aiohttp.py
@@ -8,7 +8,7 @@
 from aiohttp.typedefs import Handler, Middleware
 
 from ..clients.errors import RequestError
-from ..clients.request_handler import schedule
+from ..clients.request_handler import serve_request
 from ..clients.responses import error_response
 from ..core.scheduler import Scheduler
 
@@ -29,7 +29,7 @@
         if request.path[1:].split("/", 1)[0] not in names:
             return await handler(request)
         try:
-            return await schedule(request, scheduler, names)
+            return await serve_request(request, scheduler, names)
         except RequestError as error:
             return error_response(request, error)
 
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import json
 import os
 import re
@@ -26,6 +27,8 @@
 SETTINGS: dict[str, Any] = json.loads((Path(__file__).parent / "settings.json").read_text())
 TIMEOUT_S = 10.0
 POLL_S = 0.02
+# In `$TMPDIR` for a moment: what Python's `tempfile` tries the folder with, and a file before it gets its name.
+TRANSIENT_NAME = re.compile(r"[a-z0-9_]{8}|oxbowyard-.+\.\d+")
 # A loopback address of this process's own: what another process binds or connects from is at another one.
 HOST = f"127.{100 + (os.getpid() >> 16) % 100}.{(os.getpid() >> 8) & 255}.{os.getpid() & 255}"
 HTTP_PORT, ADMIN_PORT, MEMBERSHIP_PORT = 18443, 18090, 17946
@@ -201,8 +204,13 @@
         return self.ask("POST", f"/{job_class}?obj=7f3a9c21e0b4d655", b"sheet", headers)
 
     def files(self) -> dict[str, bytes]:
-        """The files in `$TMPDIR`."""
-        return {path.name: path.read_bytes() for path in sorted((self.folder / "tmp").iterdir())}
+        """The files in `$TMPDIR`, but for those that are being written or are removed meanwhile."""
+        files: dict[str, bytes] = {}
+        for path in sorted((self.folder / "tmp").iterdir()):
+            if not TRANSIENT_NAME.fullmatch(path.name):
+                with contextlib.suppress(FileNotFoundError):
+                    files[path.name] = path.read_bytes()
+        return files
 
     def stop(self) -> int:
         """SIGTERM; the exit code."""
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -186,7 +186,7 @@
         self.acceptor.close()
         await self.sessions.close(1.0)
         assert self.subsystems.gearman and self._server
-        self.subsystems.gearman.wind_down()
+        self.subsystems.gearman.start_draining()
         await self.subsystems.close()
         self._server.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -45,7 +45,7 @@
 
 async def _leave(stage: Stage) -> None:
     """As the program leaves, from when it accepts nothing more."""
-    stage.sessions.wind_down()
+    stage.sessions.start_draining()
     await stage.acceptor.close_and_wait()
     await stage.sessions.close(30.0)
 
@@ -168,7 +168,7 @@
         client.sendall(ask("accession"))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
-        end = asyncio.create_task(stage.sessions.close(30.0))  # with no wind_down before it
+        end = asyncio.create_task(stage.sessions.close(30.0))  # with no start_draining before it
         await turns()
         stage.worker.end(0)
         await end
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -45,7 +45,7 @@
 
 
 class Stage:
-    """A waiting room over a scheduler whose transport is one function."""
+    """A job queue over a scheduler whose transport is one function."""
 
     def __init__(
         self, attempt: Attempt, workers: int = 4, journal: Any = None, wall: Any = time.time, **more: Any
