--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -27,7 +27,7 @@
 SETTINGS: dict[str, Any] = json.loads((Path(__file__).parent / "settings.json").read_text())
 TIMEOUT_S = 10.0
 POLL_S = 0.02
-# In `$TMPDIR` for a moment: what Python's `tempfile` tries the folder with, and a file before it gets its name.
+# In `$TMPDIR` for a moment: by what Python's `tempfile` tries the folder, and a file before it gets its name.
 TRANSIENT_NAME = re.compile(r"[a-z0-9_]{8}|oxbowyard-.+\.\d+")
 # A loopback address of this process's own: what another process binds or connects from is at another one.
 HOST = f"127.{100 + (os.getpid() >> 16) % 100}.{(os.getpid() >> 8) & 255}.{os.getpid() & 255}"
