--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from oxbowyard.simhost import Link
+from oxbowyard.simhost import SimulatorSession
 
 ROOT = Path(__file__).parent.parent
 FLEET_SIZES = (12, 200, 1100)
@@ -56,11 +56,11 @@
 
 def cost_us(workers: int) -> float:
     """Microseconds of processor time for a job, its request, start and end together."""
-    random, link = Random(workers), Link()
-    link.message(0.0, ["born", 0, 1, settings(workers)])
+    random, link = Random(workers), SimulatorSession()
+    link.handle_line(0.0, ["born", 0, 1, settings(workers)])
     rows = [[f"w{i}", "ab"[i % 2], "m", i % 3, "Ready", 1.0, None] for i in range(workers)]
-    link.message(0.0, ["inventory", 0, rows])
-    link.message(0.0, ["membership", 0, "restored", 1, 0])
+    link.handle_line(0.0, ["inventory", 0, rows])
+    link.handle_line(0.0, ["membership", 0, "restored", 1, 0])
     rate = LOAD * workers * SLOTS / MEAN_SERVICE_TIME_MS / schedulers(workers)
     queue: list[tuple[float, int, list[Any]]] = []
     sequence = spent = 0
@@ -78,7 +78,7 @@
             heapq.heappush(queue, (now + random.expovariate(rate), sequence, ["arrival"]))
             message = ["submit", 0, name, None, cls, None, False, False, 10_000.0, 1, False, None, key]
         begin = time.process_time_ns()
-        replies = link.message(now, message)
+        replies = link.handle_line(now, message)
         if arrived > WARM_UP_JOBS:
             spent += time.process_time_ns() - begin
         for reply in replies:
--- a/benchmarks/decision_replay.py
+++ b/benchmarks/decision_replay.py
@@ -35,7 +35,7 @@
     WorkerInfo,
 )
 from oxbowyard.handover import learned
-from oxbowyard.simhost import Link
+from oxbowyard.simhost import SimulatorSession
 
 SNAPSHOT_EVERY_MS = 5000.0
 CONNECT_TIMEOUT_MS = 250.0
@@ -49,7 +49,7 @@
 def private_workers(names: list[str], classes: list[str], slots: int) -> Event:
     """Workers that connected to this scheduler alone and run some classes only."""
     workers = tuple(
-        WorkerInfo(name, classes=frozenset(classes), slots=slots, private=True, kind="private")
+        WorkerInfo(name, classes=frozenset(classes), slots=slots, is_exclusive=True, kind="private")
         for name in names
     )
     return EndpointsChanged(Scope.CHANGES, workers)
@@ -233,7 +233,7 @@
     def __init__(self, draw: Draw, seed: int) -> None:
         self.draw = draw
         self.random = Random(f"{draw.name}-{seed}")
-        self.link = Link()
+        self.link = SimulatorSession()
         self.digest = hashlib.blake2b(digest_size=16)
         self.now = 0.0
         self.count: Counter[str] = Counter()
@@ -327,7 +327,7 @@
     def tell(self, message: list[Any]) -> None:
         """Hand one line of the wire to its scheduler and carry out what it answers."""
         self.count[message[0]] += 1
-        replies = self.link.message(self.now, message)
+        replies = self.link.handle_line(self.now, message)
         self.carry_out(replies)
 
     def give(self, who: int, event: Event) -> None:
@@ -600,7 +600,7 @@
             worker.running = [a for a in worker.running if not a.over]
             worker.queue = [a for a in worker.queue if not a.over]
         self.start(0)
-        snapshot.adopt(self.link.instances[0].state, learned.decode(text, 1, self.now), self.now)
+        snapshot.restore(self.link.instances[0].state, learned.decode(text, 1, self.now), self.now)
 
 
 @dataclass(frozen=True)
--- a/oxbowyard/backends/answer_lines.py
+++ b/oxbowyard/backends/answer_lines.py
@@ -26,7 +26,7 @@
     if status in (503, 504) and declined == "1":
         return AttemptOutcome(Result.FULL, load=load, reason=f"declined with {status}")
     is_about_request = 400 <= status < 500 and status not in BACKEND_STATUSES
-    result = Result.REJECTED if is_about_request else Result.ERROR
+    result = Result.INVALID_REQUEST if is_about_request else Result.ERROR
     return AttemptOutcome(result, load=load, reason=f"status {status}")
 
 
--- a/oxbowyard/core/lifecycle.py
+++ b/oxbowyard/core/lifecycle.py
@@ -92,8 +92,8 @@
         `about` is the request that the decisions are about: after a fault in the decisions it is answered
         here, unless an attempt of it is running.
         """
-        if decisions.fault is not None:
-            log.error("decision fault: %r", decisions.fault, exc_info=decisions.fault)
+        if decisions.error is not None:
+            log.error("decision fault: %r", decisions.error, exc_info=decisions.error)
         for action in decisions.actions:
             try:
                 self._carry_out(action)
@@ -101,7 +101,7 @@
                 log.exception("could not carry out %s", action)
                 if entry := self._admission.find(action.request_id):
                     self._answer_without_decision(entry, "internal fault")
-        if decisions.fault is not None and about is not None and about.attempt is None:
+        if decisions.error is not None and about is not None and about.attempt is None:
             self._answer_without_decision(about, "internal fault")
         self._timer.set(decisions.next_tick_ms)
 
@@ -129,7 +129,7 @@
             action.worker,
             outcome.result,
             duration_ms,
-            final=entry.is_answered,
+            is_final=entry.is_answered,
             load=outcome.load,
         )
         self._admission.release(entry)
@@ -138,7 +138,7 @@
     def attempt_not_sent(self, action: StartAttempt, is_final: bool) -> None:
         """Report an attempt that was decided on and not made, so that it does not count as running."""
         ended = AttemptEnded(
-            action.request_id, action.attempt, action.worker, Result.NOT_SENT, final=is_final
+            action.request_id, action.attempt, action.worker, Result.NOT_SENT, is_final=is_final
         )
         self.apply_decisions(self._facade.report(ended), self._admission.find(action.request_id))
 
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -122,7 +122,7 @@
 
     def restore(self, learned: Snapshot) -> None:
         """Go on from what the replaced process has learned."""
-        self._facade.adopt(learned)
+        self._facade.restore_snapshot(learned)
 
     def worker_faults(self) -> list[WorkerFault]:
         """The faults of backends that this scheduler's own attempts show. It walks all backends."""
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from ..decision.platform_settings import load_names, settings_of
+from ..decision.platform_settings import get_load_report_names, parse_settings
 from ..decision.settings import Settings
 
 DEFAULT_NAME = "oxbowyard"
@@ -137,11 +137,11 @@
         sockets=int(limits.get("sockets") or DEFAULT_SOCKETS),
         memory_mb=_finite(limits.get("memory_mb") or DEFAULT_MEMORY_MB, "limits.memory_mb"),
         max_held_requests=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
-        settings=settings_of(settings),
+        settings=parse_settings(settings),
         weight_is_per_work=settings.get("worthBy") == "work",
         known=document.get("known"),
         admin=address(admin, "admin") if admin else None,
-        load_names=load_names(settings),
+        load_names=get_load_report_names(settings),
         shape=shape_of(document),
     )
 
--- a/oxbowyard/decision/admission.py
+++ b/oxbowyard/decision/admission.py
@@ -7,17 +7,22 @@
 
 import math
 
-from .load_estimate import expected_queue_wait
+from .load_estimate import estimate_queue_wait_ms
 from .ranking import SPILL_RANK
 from .settings import JobClass
-from .state import DispatcherState, Job, Worker
+from .state import DispatcherState, RequestState, Worker
 
 MAX_WAIT_SHARE = 0.5  # a job that waits for more of its latency objective would seldom be in time
 MAX_PRIORITY_FACTOR = 3.0  # a class may wait this much longer, or shorter, for its priority weight
 
 
 def should_reject(
-    state: DispatcherState, job: Job, worker: Worker, rank: float, now: float, extra_wait_ms: float = 0.0
+    state: DispatcherState,
+    request: RequestState,
+    worker: Worker,
+    rank: float,
+    now: float,
+    extra_wait_ms: float = 0.0,
 ) -> bool:
     """Whether a job should be shed rather than wait at this worker, where it has this rank.
 
@@ -26,11 +31,11 @@
     """
     pool = worker.pool
     # A rank estimated from little may be higher in truth.
-    if job.over_quota and rank + state.unobserved_share**2 / math.sqrt(pool.slots) >= SPILL_RANK:
+    if request.is_over_quota and rank + state.unobserved_share**2 / math.sqrt(pool.slots) >= SPILL_RANK:
         return True
     own_jobs_wait = (worker.in_flight + 1 - pool.slots) * pool.mean_service_time_ms / pool.slots
-    wait = max(own_jobs_wait, expected_queue_wait(state, worker, now))
-    return wait + extra_wait_ms > max_queue_wait_ms(state, job.job_class)
+    wait = max(own_jobs_wait, estimate_queue_wait_ms(state, worker, now))
+    return wait + extra_wait_ms > max_queue_wait_ms(state, request.job_class)
 
 
 def max_queue_wait_ms(state: DispatcherState, job_class: JobClass) -> float:
--- a/oxbowyard/decision/affinity.py
+++ b/oxbowyard/decision/affinity.py
@@ -25,10 +25,10 @@
 ZONE_LOCAL_MIN_REQUESTS = 3.0
 
 
-def key_of(state: DispatcherState, event: RequestReceived, job_class: JobClass) -> AffinityKey:
+def touch_key(state: DispatcherState, event: RequestReceived, job_class: JobClass) -> AffinityKey:
     """The record of a request's key, made the most recent one."""
     key_id = (event.key or "", job_class.kind)
-    key = state.keys.pop(key_id, None) or AffinityKey(state.key_hash(event.key))
+    key = state.keys.pop(key_id, None) or AffinityKey(state.hash_key(event.key))
     if len(state.keys) >= MAX_KEYS:
         state.keys.pop(next(iter(state.keys)))
     state.keys[key_id] = key
@@ -42,7 +42,7 @@
     key.last_request_at_ms = now
 
 
-def worker_order(state: DispatcherState, key: AffinityKey, kind: str | None) -> Iterable[Worker]:
+def order_workers(state: DispatcherState, key: AffinityKey, kind: str | None) -> Iterable[Worker]:
     """The key's workers in rendezvous order, gone ones included: a list change costs what it changes.
 
     A key that needs a worker in each zone anyhow has the workers of this zone first: fewer requests cross.
--- a/oxbowyard/decision/completion.py
+++ b/oxbowyard/decision/completion.py
@@ -4,43 +4,45 @@
 
 from .actions import CancelAttempt, FailRequest, RejectRequest
 from .admission import max_queue_wait_ms
-from .retry import is_harmless_anywhere
-from .state import DispatcherState, Job
+from .retry import is_safe_to_retry_anywhere
+from .state import DispatcherState, RequestState
 
 
-def give_up(state: DispatcherState, job: Job, retry_after_ms: float | None = None) -> None:
+def reject_or_fail(
+    state: DispatcherState, request: RequestState, retry_after_ms: float | None = None
+) -> None:
     """Answer a job that no worker served.
 
     It is rejected where it surely never ran or may safely run again, with a Retry-After of `retry_after_ms`
     (by default as long as its class accepts to wait), and failed otherwise.
     """
-    if job.first_run_worker is None or is_harmless_anywhere(job.job_class):
+    if request.first_run_worker is None or is_safe_to_retry_anywhere(request.job_class):
         if retry_after_ms is None:
-            retry_after_ms = max_queue_wait_ms(state, job.job_class)
+            retry_after_ms = max_queue_wait_ms(state, request.job_class)
         retry_after_ms = min(retry_after_ms, state.settings.max_retry_after_ms)
-        state.actions.append(RejectRequest(job.id, retry_after_ms))
+        state.actions.append(RejectRequest(request.id, retry_after_ms))
     else:
-        state.actions.append(FailRequest(job.id))
-    finish(state, job)
+        state.actions.append(FailRequest(request.id))
+    finish(state, request)
 
 
-def finish(state: DispatcherState, job: Job) -> None:
+def finish(state: DispatcherState, request: RequestState) -> None:
     """The job has its answer: cancel its attempts in flight, unless one streams it."""
-    state.queued_jobs.pop(job.id, None)
-    if not job.answered and state.settings.may_cancel and not job.streaming:
-        for number, attempt in enumerate(job.attempts):
-            if not attempt.ended and not attempt.cancelled:
-                attempt.cancelled = True
-                state.actions.append(CancelAttempt(job.id, number))
-    job.answered = True
-    forget_if_over(state, job)
+    state.queued_requests.pop(request.id, None)
+    if not request.is_answered and state.settings.may_cancel and not request.is_streaming:
+        for number, attempt in enumerate(request.attempts):
+            if not attempt.has_ended and not attempt.is_cancelled:
+                attempt.is_cancelled = True
+                state.actions.append(CancelAttempt(request.id, number))
+    request.is_answered = True
+    remove_if_done(state, request)
 
 
-def forget_if_over(state: DispatcherState, job: Job) -> None:
+def remove_if_done(state: DispatcherState, request: RequestState) -> None:
     """Drop a job that has its answer and no attempt in flight; its key's queue moves on."""
-    if not job.answered or job.in_flight:
+    if not request.is_answered or request.in_flight:
         return
-    state.jobs.pop(job.id, None)
-    job.attempts.clear()  # each names its job: a reference cycle that only a full collection would end
-    if job.queue is not None and job.queue.jobs.pop(job, 0) is None:
-        state.unblocked_queues.append(job.queue)
+    state.requests.pop(request.id, None)
+    request.attempts.clear()  # each names its job: a reference cycle that only a full collection would end
+    if request.queue is not None and request.queue.requests.pop(request, 0) is None:
+        state.unblocked_queues.append(request.queue)
--- a/oxbowyard/decision/dispatcher.py
+++ b/oxbowyard/decision/dispatcher.py
@@ -11,9 +11,9 @@
 
 from . import affinity, endpoints, ordering, relocation
 from .actions import Action, RejectRequest, SetTimer, SubscribeEndpoints
-from .completion import finish, forget_if_over, give_up
+from .completion import finish, reject_or_fail, remove_if_done
 from .events import (
-    MAY_RUN_ON,
+    MAY_STILL_RUN,
     NEVER_RAN,
     AttemptEnded,
     AttemptProgressed,
@@ -34,10 +34,13 @@
 from .placement import place, place_next_in_queue
 from .retry import may_attempt
 from .settings import Settings
-from .state import Attempt, DispatcherState, Job
+from .state import Attempt, DispatcherState, RequestState
 
 TICK_TIMER = 0
-FINAL_RESULTS = (Result.TIMEOUT, Result.REJECTED)  # a further attempt would be too late, or rejected too
+NO_RETRY_RESULTS = (
+    Result.TIMEOUT,
+    Result.INVALID_REQUEST,
+)  # a further attempt would be too late, or rejected too
 
 
 class Dispatcher:
@@ -69,7 +72,7 @@
         self._handlers[type(event)](now, event)
         while state.unblocked_queues:
             place_next_in_queue(state, state.unblocked_queues.pop(), now)
-        if not state.tick_timer_set and (state.queued_jobs or state.unstarted_attempts):
+        if not state.tick_timer_set and (state.queued_requests or state.unstarted_attempts):
             state.tick_timer_set = True
             state.actions.append(SetTimer(TICK_TIMER, state.tick_interval_ms))
         if not self._has_handled and state.settings.must_subscribe:
@@ -79,26 +82,26 @@
 
     def _on_request_received(self, now: float, event: RequestReceived) -> None:
         state = self.state
-        job_class = state.class_named(event.job_class)
-        key = affinity.key_of(state, event, job_class)
+        job_class = state.get_class(event.job_class)
+        key = affinity.touch_key(state, event, job_class)
         refresh_fleet_estimates(state, now)
         affinity.record_request(key, now)
         quota = state.quotas.get(event.tenant or "")
-        over_quota = quota is not None and not quota.try_acquire(now, state.traffic_ratio)
+        is_over_quota = quota is not None and not quota.try_acquire(now, state.traffic_ratio)
         if event.time_left_ms <= 0:
             state.actions.append(RejectRequest(event.request_id))
             return
         deadline = now + event.time_left_ms
-        job = Job(event.request_id, job_class, key, now, deadline, over_quota)
-        state.jobs[job.id] = job
+        request = RequestState(event.request_id, job_class, key, now, deadline, is_over_quota)
+        state.requests[request.id] = request
         relocation.earn_budget(state)
         if job_class.is_ordered and event.key:
-            ordering.enqueue(state, job, event.key)
-        place(state, job, now)
+            ordering.enqueue(state, request, event.key)
+        place(state, request, now)
 
     def _on_attempt_started(self, now: float, event: AttemptStarted) -> None:
         attempt = self._attempt(event.request_id, event.attempt)
-        if attempt is None or attempt.ended or attempt.started_at_ms >= 0:
+        if attempt is None or attempt.has_ended or attempt.started_at_ms >= 0:
             return
         attempt.started_at_ms = now
         attempt.worker.unstarted.pop(attempt, None)
@@ -107,52 +110,52 @@
         observe_start(self.state, attempt, now)
 
     def _on_stream_started(self, now: float, event: StreamStarted) -> None:
-        if job := self.state.jobs.get(event.request_id):
-            job.streaming = True
+        if request := self.state.requests.get(event.request_id):
+            request.is_streaming = True
 
     def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         state = self.state
         attempt = self._attempt(event.request_id, event.attempt)
-        if attempt is None or attempt.ended:
+        if attempt is None or attempt.has_ended:
             return
-        job = attempt.job
+        request = attempt.request
         self._release(attempt, now)
         observe_end(state, attempt, event, now)
-        if event.result in MAY_RUN_ON:
-            ordering.block_after(state, job, now)
-        if event.final:
-            finish(state, job)
+        if event.result in MAY_STILL_RUN:
+            ordering.block_after(state, request, now)
+        if event.is_final:
+            finish(state, request)
             return
-        if job.answered:
-            forget_if_over(state, job)
+        if request.is_answered:
+            remove_if_done(state, request)
             return
-        if event.result not in NEVER_RAN and job.first_run_worker is None:
-            job.first_run_worker = attempt.worker
-            job.first_run_at_ms = attempt.sent_at_ms
-        if job.in_flight:
+        if event.result not in NEVER_RAN and request.first_run_worker is None:
+            request.first_run_worker = attempt.worker
+            request.first_run_at_ms = attempt.sent_at_ms
+        if request.in_flight:
             return
-        job.tried_workers.append(attempt.worker)
-        if event.result in FINAL_RESULTS or not may_attempt(state, job, now):
-            give_up(state, job)
+        request.tried_workers.append(attempt.worker)
+        if event.result in NO_RETRY_RESULTS or not may_attempt(state, request, now):
+            reject_or_fail(state, request)
         else:
-            place(state, job, now)
+            place(state, request, now)
 
     def _release(self, attempt: Attempt, now: float) -> None:
         """The attempt is no longer in flight."""
-        state, worker, job = self.state, attempt.worker, attempt.job
-        attempt.ended = True
+        state, worker, request = self.state, attempt.worker, attempt.request
+        attempt.has_ended = True
         worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
         worker.in_flight -= 1
         state.in_flight -= 1
-        job.key.in_flight -= 1
-        job.in_flight -= 1
+        request.key.in_flight -= 1
+        request.in_flight -= 1
         worker.running.pop(attempt, None)
         worker.unstarted.pop(attempt, None)
         state.unstarted_attempts.pop(attempt, None)
 
     def _on_client_disconnected(self, now: float, event: ClientDisconnected) -> None:
-        if job := self.state.jobs.get(event.request_id):
-            finish(self.state, job)
+        if request := self.state.requests.get(event.request_id):
+            finish(self.state, request)
 
     def _on_endpoints_changed(self, now: float, event: EndpointsChanged) -> None:
         endpoints.apply_endpoints(self.state, now, event)
@@ -171,26 +174,28 @@
         """Housekeeping: queued jobs are tried again or answered, and unstarted ones moved."""
         state = self.state
         state.tick_timer_set = False
-        ordering.forget_empty_queues(state, now)
-        for job in list(state.queued_jobs.values()):
-            if self._may_still_wait(job, now):
-                place(state, job, now)
+        ordering.remove_empty_queues(state, now)
+        for request in list(state.queued_requests.values()):
+            if self._may_still_wait(request, now):
+                place(state, request, now)
             else:
-                give_up(state, job)
+                reject_or_fail(state, request)
         if state.settings.may_cancel:
-            relocation.move_unstarted_jobs(state, now)
+            relocation.move_unstarted_requests(state, now)
 
-    def _may_still_wait(self, job: Job, now: float) -> bool:
-        if not may_attempt(self.state, job, now):
+    def _may_still_wait(self, request: RequestState, now: float) -> bool:
+        if not may_attempt(self.state, request, now):
             return False
-        return job.queue is not None or now - job.received_at_ms < job.job_class.latency_objective_ms
+        return (
+            request.queue is not None or now - request.received_at_ms < request.job_class.latency_objective_ms
+        )
 
     def _attempt(self, request_id: str, number: int) -> Attempt | None:
         """The attempt, or None if the request or the attempt is not known."""
-        job = self.state.jobs.get(request_id)
-        if job is None or number >= len(job.attempts):
+        request = self.state.requests.get(request_id)
+        if request is None or number >= len(request.attempts):
             return None
-        return job.attempts[number]
+        return request.attempts[number]
 
     def _ignore(self, now: float, event: Event) -> None:
         """Nothing is decided by this event."""
--- a/oxbowyard/decision/eligibility.py
+++ b/oxbowyard/decision/eligibility.py
@@ -4,33 +4,33 @@
 
 from . import outlier_detection, retry, slow_start
 from .settings import RetrySafety
-from .state import DispatcherState, Job, Worker
+from .state import DispatcherState, RequestState, Worker
 
 
-def is_eligible(state: DispatcherState, worker: Worker, job: Job, now: float) -> bool:
+def is_eligible(state: DispatcherState, worker: Worker, request: RequestState, now: float) -> bool:
     """Whether the worker may get this job now. It may draw the worker's slow start budget."""
-    if not worker.ready or worker in job.tried_workers:
+    if not worker.is_ready or worker in request.tried_workers:
         return False
-    if outlier_detection.is_ejected(state, worker, job, now):
+    if outlier_detection.is_ejected(state, worker, request, now):
         return False
-    job_class = job.job_class
+    job_class = request.job_class
     if worker.classes is not None and job_class.name not in worker.classes:
         return False
     if outlier_detection.is_ejected_for_class(state, worker, job_class, now):
         return False
     if slow_start.is_warming_up(state, worker, now) and not slow_start.budget_allows_send(state, worker, now):
         return False
-    if outlier_detection.is_stalled(worker, now) and not _may_probe_stalled(state, worker, job, now):
+    if outlier_detection.is_stalled(worker, now) and not _may_probe_stalled(state, worker, request, now):
         return False
-    return retry.may_attempt_at(job, worker, now)
+    return retry.may_attempt_at(request, worker, now)
 
 
-def _may_probe_stalled(state: DispatcherState, worker: Worker, job: Job, now: float) -> bool:
+def _may_probe_stalled(state: DispatcherState, worker: Worker, request: RequestState, now: float) -> bool:
     """Whether this job may show whether a stalled worker is back: one that can still be moved."""
     if now < worker.next_probation_at_ms:
         return False
     return (
-        job.job_class.retry_safety is RetrySafety.IDEMPOTENT
+        request.job_class.retry_safety is RetrySafety.IDEMPOTENT
         and state.settings.may_cancel
-        and not job.attempts
+        and not request.attempts
     )
--- a/oxbowyard/decision/endpoints.py
+++ b/oxbowyard/decision/endpoints.py
@@ -9,7 +9,7 @@
 from .affinity import reset_orders
 from .estimators import RecentItems
 from .events import EndpointsChanged, Readiness, Scope, WorkerInfo
-from .hashing import name_hash
+from .hashing import hash_name
 from .load_estimate import record_reported_jobs
 from .state import DispatcherState, Worker, WorkerPool
 
@@ -32,12 +32,12 @@
         listed = {info.name for info in event.workers}
         for worker in state.workers.values():
             if worker.name not in listed:
-                worker.ready = False
+                worker.is_ready = False
     for info in event.workers:
         _apply_entry(state, info, event.scope, now)
     _remove_gone_workers(state)
     state.subscribe_backoff_ms = 0.0
-    state.ready_workers = [worker for worker in state.workers.values() if worker.ready]
+    state.ready_workers = [worker for worker in state.workers.values() if worker.is_ready]
     state.zone_count = len({worker.zone for worker in state.ready_workers})
     for pool in state.pools.values():
         pool.ready_count = sum(worker.pool is pool for worker in state.ready_workers)
@@ -54,7 +54,7 @@
 
 def _apply_entry(state: DispatcherState, info: WorkerInfo, scope: Scope, now: float) -> None:
     worker = state.workers.get(info.name) or _add_worker(state, info)
-    worker.ready = info.readiness is Readiness.READY
+    worker.is_ready = info.readiness is Readiness.READY
     worker.classes = info.classes
     if state.settings.live_weights:
         _apply_live_weight(state, worker, info.weight, scope, now)
@@ -86,8 +86,8 @@
     slots = info.slots or DEFAULT_SLOTS
     pool = state.pools.get(info.kind)
     if pool is None:
-        pool = state.pools[info.kind] = WorkerPool(slots, slots, slots, info.private)
-    worker = Worker(info.name, info.zone, info.kind, info.cell, name_hash(info.name), info.weight, pool)
+        pool = state.pools[info.kind] = WorkerPool(slots, slots, slots, info.is_exclusive)
+    worker = Worker(info.name, info.zone, info.kind, info.cell, hash_name(info.name), info.weight, pool)
     state.workers[worker.name] = worker
     state.known_workers.append(worker)
     return worker
@@ -95,7 +95,7 @@
 
 def _remove_gone_workers(state: DispatcherState) -> None:
     """Forget workers that are not ready and run nothing of ours."""
-    gone = [worker for worker in state.workers.values() if not worker.ready and not worker.in_flight]
+    gone = [worker for worker in state.workers.values() if not worker.is_ready and not worker.in_flight]
     for worker in gone:
         del state.workers[worker.name]
         worker.pool.ejected_count -= worker.failure_count >= 1
--- a/oxbowyard/decision/events.py
+++ b/oxbowyard/decision/events.py
@@ -34,7 +34,9 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "rejected"  # a malformed request: no other worker would take it, and this one is not at fault
+    INVALID_REQUEST = (
+        "rejected"  # a malformed request: no other worker would take it, and this one is not at fault
+    )
     TIMEOUT = "timeout"
     RESET = "reset"
     CANCELLED = "cancelled"
@@ -44,7 +46,7 @@
 
 
 NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)  # results that prove that no run began
-MAY_RUN_ON = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the work may continue after the result
+MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the work may continue after the result
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +62,7 @@
     started_at_ms: float = 0.0  # clock time of its last start; 0: long ago
     classes: frozenset[str] | None = None  # the only classes it runs; None: any
     slots: int = 0  # jobs that it runs at once, the same for its kind; 0: unknown
-    private: bool = False  # it takes jobs from this dispatcher alone; the same for its kind
+    is_exclusive: bool = False  # it takes jobs from this dispatcher alone; the same for its kind
 
     def __post_init__(self) -> None:
         """Reject a weight that would give it no share of the keys."""
@@ -142,7 +144,7 @@
     worker: str
     result: Result
     duration_ms: float = 0.0
-    final: bool = False  # the request has its answer, by this result or an earlier one
+    is_final: bool = False  # the request has its answer, by this result or an earlier one
     load: Mapping[str, float] = field(default_factory=dict)  # "waiting" jobs, "free_slots", "errors" a second
 
 
--- a/oxbowyard/decision/facade.py
+++ b/oxbowyard/decision/facade.py
@@ -81,7 +81,7 @@
 
     actions: tuple[RequestAction, ...]
     next_tick_ms: float | None
-    fault: Exception | None = None  # raised by the dispatcher; `actions` holds what it had decided before
+    error: Exception | None = None  # raised by the dispatcher; `actions` holds what it had decided before
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,7 +90,7 @@
 
     workers: int  # ready ones
     slots: float  # jobs at once before others wait; a cold worker counts by its warmth
-    private: bool  # they take jobs from this dispatcher alone
+    is_exclusive: bool  # they take jobs from this dispatcher alone
 
 
 class Facade:
@@ -128,7 +128,7 @@
     def decide(self, request: RequestReceived) -> Decisions:
         """Decide about a new request; without a decision its action is QueueRequest."""
         decisions = self._handle(request)
-        if decisions.fault or any(a.request_id == request.request_id for a in decisions.actions):
+        if decisions.error or any(a.request_id == request.request_id for a in decisions.actions):
             return decisions
         actions = (*decisions.actions, QueueRequest(request.request_id))
         return Decisions(actions, decisions.next_tick_ms)
@@ -140,21 +140,21 @@
     def tick(self, now: float) -> Decisions:
         """Fire the timers that are due; call it at `Decisions.next_tick_ms`, or later."""
         actions: list[RequestAction] = []
-        fault: Exception | None = None
+        error: Exception | None = None
         while self._timers and self._timers[0][0] <= now:
             _, _, tag = heapq.heappop(self._timers)
             decisions = self._handle(TimerFired(tag), now)
             actions += decisions.actions
-            fault = fault or decisions.fault
-        return Decisions(tuple(actions), self._next_tick_ms(), fault)
+            error = error or decisions.error
+        return Decisions(tuple(actions), self._next_tick_ms(), error)
 
     def snapshot(self) -> Snapshot:
         """The estimates, for a process that replaces this one."""
         return snapshot.take(self._state, self._current_ms())
 
-    def adopt(self, estimates: Snapshot) -> None:
+    def restore_snapshot(self, estimates: Snapshot) -> None:
         """Continue with the estimates of the process that this one replaces."""
-        snapshot.adopt(self._state, estimates, self._current_ms())
+        snapshot.restore(self._state, estimates, self._current_ms())
 
     def worker_faults(self) -> list[WorkerFault]:
         """Faults of workers that own traffic shows. It walks all ready workers."""
@@ -173,15 +173,15 @@
     def capacity(self, job_class: str) -> Capacity:
         """What the ready workers for a class can do at once. It walks them: not for each request."""
         state, now = self._state, self._current_ms()
-        kind = state.class_named(job_class).kind
+        kind = state.get_class(job_class).kind
         workers = [
             worker
             for worker in state.ready_workers
             if kind in (None, worker.kind) and (worker.classes is None or job_class in worker.classes)
         ]
         slots = sum(worker.pool.slots * warmth(state, worker, now) for worker in workers)
-        private = all(worker.pool.private for worker in workers)
-        return Capacity(len(workers), slots if private else slots / self._schedulers, private)
+        is_exclusive = all(worker.pool.is_exclusive for worker in workers)
+        return Capacity(len(workers), slots if is_exclusive else slots / self._schedulers, is_exclusive)
 
     def _current_ms(self) -> float:
         return max(self._now_ms, self._clock())
@@ -192,14 +192,14 @@
     def _handle(self, event: Event, now: float | None = None) -> Decisions:
         # The dispatcher's time must never go back, whatever the system's clock does.
         self._now_ms = max(self._now_ms, self._clock() if now is None else now)
-        fault: Exception | None = None
+        error: Exception | None = None
         try:
             actions = self._dispatcher.handle(self._now_ms, event)
         except Exception as failure:  # what it had decided by then stands, and must reach its requests
             actions = self._state.actions
-            fault = failure
+            error = failure
         request_actions = tuple(a for action in actions if (a := self._carry_out(action)) is not None)
-        return Decisions(request_actions, self._next_tick_ms(), fault)
+        return Decisions(request_actions, self._next_tick_ms(), error)
 
     def _carry_out(self, action: Action) -> RequestAction | None:
         """Carry out an action that concerns no request; return one that does."""
--- a/oxbowyard/decision/hashing.py
+++ b/oxbowyard/decision/hashing.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 
-def name_hash(name: str) -> int:
+def hash_name(name: str) -> int:
     """64 bits of a name, the same in every process, unlike hash()."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
--- a/oxbowyard/decision/load_estimate.py
+++ b/oxbowyard/decision/load_estimate.py
@@ -23,10 +23,10 @@
 REPORTED_JOBS_SAMPLES = 18
 
 
-def estimated_load(state: DispatcherState, worker: Worker, now: float) -> float:
+def estimate_load(state: DispatcherState, worker: Worker, now: float) -> float:
     """The jobs at a worker: own attempts, and an estimate of the other dispatchers' jobs."""
     pool = worker.pool
-    if pool.private:
+    if pool.is_exclusive:
         return worker.in_flight
     own_mean = worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
     peers = state.settings.scheduler_count - 1
@@ -44,7 +44,7 @@
     return worker.in_flight + peers * own_mean * (1 - prior) + usual * prior
 
 
-def expected_queue_wait(state: DispatcherState, worker: Worker, now: float) -> float:
+def estimate_queue_wait_ms(state: DispatcherState, worker: Worker, now: float) -> float:
     """The wait in milliseconds that a new job would have at a worker.
 
     It follows the wait of the own job that started there last, which fades, and is no shorter than the wait
@@ -53,7 +53,7 @@
     pool = worker.pool
     usual = pool.mean_queue_wait_ms * state.unobserved_share
     if pool.mean_service_time_ms and _load_tells_queue(state, worker, now):
-        excess = max(estimated_load(state, worker, now) - pool.slots, 0.0)
+        excess = max(estimate_load(state, worker, now) - pool.slots, 0.0)
         usual = excess * pool.mean_service_time_ms / (pool.slots * warmth(state, worker, now))
     fading = math.exp((worker.queue_wait_at_ms - now) / QUEUE_WAIT_TIME_CONSTANT_MS)
     wait = usual + (worker.queue_wait_ms - usual) * fading
@@ -95,4 +95,6 @@
     hidden_share = WEIGHT_REPORT_HIDDEN_SHARE if state.weights_reported else 1.0
     state.unobserved_share = state.fleet_mean_weight * (1 - 1 / state.settings.scheduler_count) * hidden_share
     if len(state.quotas) >= quotas.MIN_TENANTS and state.settings.scheduler_count > 1:
-        state.traffic_ratio = min(quotas.traffic_ratio(state.quotas.values()), quotas.MAX_TRAFFIC_RATIO)
+        state.traffic_ratio = min(
+            quotas.estimate_traffic_ratio(state.quotas.values()), quotas.MAX_TRAFFIC_RATIO
+        )
--- a/oxbowyard/decision/observation.py
+++ b/oxbowyard/decision/observation.py
@@ -8,7 +8,7 @@
 from .affinity import reset_orders
 from .events import AttemptEnded, Result
 from .load_estimate import record_reported_jobs
-from .ranking import FAILURE_TIME_CONSTANT_MS, QUEUED_SHARE, record_speed
+from .ranking import FAILURE_TIME_CONSTANT_MS, QUEUED_WAIT_SHARE, record_speed
 from .state import MAX_SERVICE_TIME_RATIO, SERVICE_TIME_SAMPLES, Attempt, DispatcherState, Worker
 
 SLOTS_STEP = 0.1  # how far one start moves the estimated slots
@@ -20,7 +20,7 @@
 UNSTARTED_FAILURE_SCORE = 0.25  # a job that never started tells less than one that failed
 MAX_UNSTARTED_FAILURES = 0.5  # it may have waited in a queue that own traffic does not show
 SUCCESS_FAILURE_FACTOR = 0.7  # of the failure score, what a success leaves
-ANSWERS = (Result.OK, Result.ERROR, Result.FULL)
+RESPONSE_RESULTS = (Result.OK, Result.ERROR, Result.FULL)
 
 
 def observe_start(state: DispatcherState, attempt: Attempt, now: float) -> None:
@@ -28,9 +28,9 @@
     worker, pool = attempt.worker, attempt.worker.pool
     worker.last_progress_at_ms = now
     if state.settings.fifo_workers:
-        outlier_detection.record_lost_jobs(state, attempt, now)
+        outlier_detection.record_lost_attempts(state, attempt, now)
     # A worker is taken to cache the data of as many keys as it runs jobs.
-    attempt.key_was_cached = worker.cached_keys.touch(attempt.job.key.key_hash, pool.max_concurrency)
+    attempt.key_was_cached = worker.cached_keys.touch(attempt.request.key.key_hash, pool.max_concurrency)
     pool.max_concurrency = max(pool.max_concurrency, len(worker.running))
     pool.first_start_at_ms = min(pool.first_start_at_ms, now)
     start_delay_ms = now - attempt.sent_at_ms
@@ -42,7 +42,7 @@
         price_ms = max(worker.queue_wait_ms - pool.mean_queue_wait_ms, 0.0)
         _record_connection_cost(state, price_ms)
     pool.mean_queue_wait_ms += (worker.queue_wait_ms - pool.mean_queue_wait_ms) / QUEUE_WAIT_SAMPLES
-    was_queued = worker.queue_wait_ms > QUEUED_SHARE * pool.mean_service_time_ms
+    was_queued = worker.queue_wait_ms > QUEUED_WAIT_SHARE * pool.mean_service_time_ms
     if not was_queued and worker not in state.recent_idle_workers:
         state.recent_idle_workers.append(worker)
     _adjust_slots(state, attempt, was_queued)
@@ -63,9 +63,9 @@
     has_started = attempt.started_at_ms >= 0
     if not has_started and result in (Result.TIMEOUT, Result.CANCELLED):
         failures = min(2 * state.unobserved_share**2, MAX_UNSTARTED_FAILURES)
-        outlier_detection.record_class_failure(state, worker, attempt.job.job_class, failures, now)
+        outlier_detection.record_class_failure(state, worker, attempt.request.job_class, failures, now)
         worker.failure_score.add(UNSTARTED_FAILURE_SCORE, now, FAILURE_TIME_CONSTANT_MS)
-    if result in ANSWERS:
+    if result in RESPONSE_RESULTS:
         worker.last_progress_at_ms = now
     if has_started:
         record_speed(state, attempt, result is Result.OK, now)
@@ -75,18 +75,22 @@
 
 
 def _observe_result(state: DispatcherState, attempt: Attempt, event: AttemptEnded, now: float) -> None:
-    worker, job_class = attempt.worker, attempt.job.job_class
+    worker, job_class = attempt.worker, attempt.request.job_class
     match event.result:
         case Result.OK:
             _observe_success(state, attempt, now)
         case Result.UNREACHABLE | Result.RESET:
             _observe_connection_failure(state, worker, event, now)
         case Result.ERROR:
-            outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
+            outlier_detection.record_class_failure(
+                state, worker, job_class, outlier_detection.FAILURE_WEIGHT, now
+            )
             worker.failure_score.add(1.0, now, FAILURE_TIME_CONSTANT_MS)
-        case Result.FULL if attempt.load_before < worker.pool.slots and not worker.pool.private:
+        case Result.FULL if attempt.load_before < worker.pool.slots and not worker.pool.is_exclusive:
             # It has free slots: it rejects the class.
-            outlier_detection.record_class_failure(state, worker, job_class, outlier_detection.FAILURE, now)
+            outlier_detection.record_class_failure(
+                state, worker, job_class, outlier_detection.FAILURE_WEIGHT, now
+            )
         case Result.FULL:
             worker.queue_wait_ms = worker.pool.mean_service_time_ms
             worker.queue_wait_at_ms = now
@@ -94,7 +98,7 @@
 
 def _observe_success(state: DispatcherState, attempt: Attempt, now: float) -> None:
     worker, pool = attempt.worker, attempt.worker.pool
-    worker.class_ejections.pop(attempt.job.job_class.name, None)
+    worker.class_ejections.pop(attempt.request.job_class.name, None)
     worker.failure_score.value *= SUCCESS_FAILURE_FACTOR
     outlier_detection.record_success(worker, now)
     if attempt.started_at_ms < 0:
@@ -108,7 +112,7 @@
 
 def _record_service_time(state: DispatcherState, attempt: Attempt, service_time: float) -> None:
     """The class's mean, what a fetch of a key's data adds to it, and the pool's ratio to it."""
-    name, worker, pool = attempt.job.job_class.name, attempt.worker, attempt.worker.pool
+    name, worker, pool = attempt.request.job_class.name, attempt.worker, attempt.worker.pool
     state.key_fetch_cost_ms.add(name, not attempt.key_was_cached, service_time)
     class_mean = state.service_times_ms.add(name, service_time)
     ratio = min(service_time / max(class_mean, 1.0), MAX_SERVICE_TIME_RATIO)
@@ -126,13 +130,13 @@
     if event.result is Result.UNREACHABLE:
         # The process of a dead worker refuses connections at once; a slow one lets them time out.
         refused = event.duration_ms < state.settings.connect_timeout_ms / 2
-        if refused and not worker.unreachable:
-            worker.unreachable = True
+        if refused and not worker.is_unreachable:
+            worker.is_unreachable = True
             worker.unreachable_since_ms = now
         _record_connection_cost(state, 2 * event.duration_ms)  # it takes another attempt
     # A dead worker resets all its connections: if others hold, the fault may be the connection's.
     is_lone_reset = event.result is Result.RESET and worker.in_flight
-    failures = outlier_detection.LONE_RESET_FAILURE if is_lone_reset else outlier_detection.FAILURE
+    failures = outlier_detection.LONE_RESET_WEIGHT if is_lone_reset else outlier_detection.FAILURE_WEIGHT
     outlier_detection.record_connection_failure(state, worker, failures, now)
 
 
--- a/oxbowyard/decision/outlier_detection.py
+++ b/oxbowyard/decision/outlier_detection.py
@@ -12,7 +12,7 @@
 from .load_estimate import REQUEST_TIME_CONSTANT_MS
 from .ranking import FAILURE_TIME_CONSTANT_MS
 from .settings import JobClass, RetrySafety
-from .state import Attempt, ClassEjection, DispatcherState, Job, Worker
+from .state import Attempt, ClassEjection, DispatcherState, RequestState, Worker
 
 MIN_EJECTION_MS = 250.0  # after a failed connect or a reset; doubles with each failure
 MAX_EJECTION_MS = 4000.0
@@ -22,8 +22,8 @@
 MAX_FAILING_SHARE = 0.75  # with more of the workers ejected for a class, the jobs are at fault
 MAX_AVOIDED_SHARE = 0.25  # peers may keep jobs away from this share of the workers
 
-FAILURE = 1.0
-LONE_RESET_FAILURE = 0.5  # other connections to the worker held
+FAILURE_WEIGHT = 1.0
+LONE_RESET_WEIGHT = 0.5  # other connections to the worker held
 SUCCESS_CREDIT = 0.5
 RESTART_MIN_MS = 1000.0  # a worker that is back after a longer silence has restarted
 
@@ -35,17 +35,17 @@
 LOST_NOT_IDEMPOTENT_FAILURES = 4.0
 
 
-def is_ejected(state: DispatcherState, worker: Worker, job: Job, now: float) -> bool:
+def is_ejected(state: DispatcherState, worker: Worker, request: RequestState, now: float) -> bool:
     """Whether failed connections, or peers, keep this job from the worker.
 
     When the ejection has run out, one job at a time shows whether the worker is back, but none that must not
     run twice. An ejection is ignored while half of the pool is ejected.
     """
-    no_probe = job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT and not worker.unreachable
+    no_probe = request.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT and not worker.is_unreachable
     ejected = worker.failure_count >= 1 and (
         now < worker.ejected_until_ms or bool(worker.in_flight) or no_probe
     )
-    if state.sparse_traffic and worker.unreachable and now < worker.ejected_until_ms:
+    if state.sparse_traffic and worker.is_unreachable and now < worker.ejected_until_ms:
         return True  # a refused connection is no guess
     if now < worker.avoided_until_ms:
         return True
@@ -70,17 +70,17 @@
     return now - since > STALL_SERVICE_TIMES * max(worker.pool.mean_service_time_ms, STALL_MIN_MS)
 
 
-def record_lost_jobs(state: DispatcherState, started: Attempt, now: float) -> None:
+def record_lost_attempts(state: DispatcherState, started: Attempt, now: float) -> None:
     """Count as lost the jobs that were sent before one that started now, at a worker that starts in order."""
     for attempt in list(started.worker.unstarted):
         if attempt.sent_at_ms >= started.sent_at_ms - REORDER_TOLERANCE_MS:
             break
         del attempt.worker.unstarted[attempt]
-        if attempt.cancelled:
+        if attempt.is_cancelled:
             continue
-        not_idempotent = attempt.job.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
-        failures = LOST_NOT_IDEMPOTENT_FAILURES if not_idempotent else FAILURE
-        record_class_failure(state, attempt.worker, attempt.job.job_class, failures, now)
+        not_idempotent = attempt.request.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+        failures = LOST_NOT_IDEMPOTENT_FAILURES if not_idempotent else FAILURE_WEIGHT
+        record_class_failure(state, attempt.worker, attempt.request.job_class, failures, now)
         attempt.worker.failure_score.add(LOST_JOB_FAILURE_SCORE, now, FAILURE_TIME_CONSTANT_MS)
 
 
@@ -126,11 +126,11 @@
     """A job succeeded at a worker; one that was unreachable for long has restarted, and is cold."""
     if not worker.failure_count:
         return
-    recovered = 0.0 if worker.unreachable else max(worker.failure_count - SUCCESS_CREDIT, 0.0)
+    recovered = 0.0 if worker.is_unreachable else max(worker.failure_count - SUCCESS_CREDIT, 0.0)
     set_failure_count(worker, recovered)
-    if worker.unreachable and now - worker.unreachable_since_ms > RESTART_MIN_MS:
+    if worker.is_unreachable and now - worker.unreachable_since_ms > RESTART_MIN_MS:
         worker.started_at_ms = max(worker.started_at_ms, now)
-    worker.unreachable = False
+    worker.is_unreachable = False
 
 
 def set_failure_count(worker: Worker, failure_count: float) -> None:
--- a/oxbowyard/decision/platform_settings.py
+++ b/oxbowyard/decision/platform_settings.py
@@ -46,7 +46,7 @@
     return {name: value for name, value in table.items() if value is not None}
 
 
-def settings_of(facts: dict[str, Any]) -> Settings:
+def parse_settings(facts: dict[str, Any]) -> Settings:
     """Translate the platform's settings object; raises ValueError that names the key at fault."""
     limits = _required(facts, "policyLimits")
     rules = _required(facts, "rules")
@@ -126,7 +126,7 @@
     return stretch
 
 
-def load_names(facts: dict[str, Any]) -> dict[str, str]:
+def get_load_report_names(facts: dict[str, Any]) -> dict[str, str]:
     """The load report values of this deployment: their names on the wire, and in `AttemptEnded.load`."""
     x0_meaning = (facts.get("familyInfo") or {}).get("reportX0")
     return LOAD_REPORT_NAMES | ({"x0": "free_slots"} if x0_meaning == "free slots" else {})
--- a/oxbowyard/decision/quotas.py
+++ b/oxbowyard/decision/quotas.py
@@ -8,9 +8,11 @@
 
 from .settings import Settings
 
-SPARE_S = 20.0  # a quota grows by the root of the requests of this time: rare requests exceed it by chance
+QUOTA_MARGIN_WINDOW_S = (
+    20.0  # a quota grows by the root of the requests of this time: rare requests exceed it by chance
+)
 BURST_S = 3.0  # a tenant may save up its quota for this long: arrivals cluster
-BURST_JOBS = 3.0  # and this many jobs besides
+BURST_REQUESTS = 3.0  # and this many jobs besides
 RATE_TIME_CONSTANT_MS = 5000.0  # a tenant's rate is averaged over this time
 MIN_TENANTS = 3  # with fewer tenants their median tells nothing
 MAX_TRAFFIC_RATIO = 4.0  # bound on how uneven the traffic of dispatchers is believed to be
@@ -45,7 +47,7 @@
         return True
 
 
-def token_buckets(settings: Settings) -> dict[str, TokenBucket]:
+def create_token_buckets(settings: Settings) -> dict[str, TokenBucket]:
     """A bucket for each tenant with a quota, by name: the dispatcher's equal part of the quota."""
     quotas = {
         tenant.name: tenant.quota_per_s / settings.scheduler_count
@@ -55,8 +57,8 @@
     return {
         name: TokenBucket(
             quota=quota,
-            refill=quota + math.sqrt(quota / SPARE_S),
-            capacity=BURST_S * quota + BURST_JOBS,
+            refill=quota + math.sqrt(quota / QUOTA_MARGIN_WINDOW_S),
+            capacity=BURST_S * quota + BURST_REQUESTS,
             rate_time_constant_ms=RATE_TIME_CONSTANT_MS,
             tokens=quota,
         )
@@ -64,7 +66,7 @@
     }
 
 
-def traffic_ratio(buckets: Iterable[TokenBucket]) -> float:
+def estimate_traffic_ratio(buckets: Iterable[TokenBucket]) -> float:
     """This dispatcher's traffic over the mean dispatcher's, at least 1.
 
     Dispatchers do not get equal traffic. The median tenant is taken to send what its quota allows, at this
--- a/oxbowyard/decision/ranking.py
+++ b/oxbowyard/decision/ranking.py
@@ -8,13 +8,13 @@
 
 import math
 
-from .load_estimate import MEAN_TIME_CONSTANT_MS, estimated_load, expected_queue_wait
+from .load_estimate import MEAN_TIME_CONSTANT_MS, estimate_load, estimate_queue_wait_ms
 from .settings import JobClass, RetrySafety
 from .slow_start import warmth
 from .state import MAX_SERVICE_TIME_RATIO, Attempt, DispatcherState, Worker
 
 SPILL_RANK = 1.1  # a job leaves its affinity set where it would start nearly at once: estimates are rough
-QUEUED_SHARE = 0.1  # a job that waited for more than this share of a service time was queued
+QUEUED_WAIT_SHARE = 0.1  # a job that waited for more than this share of a service time was queued
 SPEED_TIME_CONSTANT_MS = 5000.0  # a worker's speed is judged by the jobs of this time
 SPEED_PRIOR_JOBS = 2.0
 SPEED_TOLERANCE = 1.5  # a worker this much slower than usual may be so by chance
@@ -31,11 +31,11 @@
     """
     pool, slots = worker.pool, worker.pool.slots
     service_time = pool.mean_service_time_ms
-    load = estimated_load(state, worker, now)
-    wait = expected_queue_wait(state, worker, now)
-    if wait > QUEUED_SHARE * service_time * state.unobserved_share and service_time:
+    load = estimate_load(state, worker, now)
+    wait = estimate_queue_wait_ms(state, worker, now)
+    if wait > QUEUED_WAIT_SHARE * service_time * state.unobserved_share and service_time:
         load = max(load, slots + len(worker.unstarted) + wait * slots / service_time)
-    if state.connection_cost_ms > QUEUED_SHARE * service_time > 0 and not has_idle_connection(
+    if state.connection_cost_ms > QUEUED_WAIT_SHARE * service_time > 0 and not has_idle_connection(
         state, worker, now
     ):
         load = max(load, slots) + state.connection_cost_ms * slots / service_time
@@ -53,7 +53,7 @@
     """Whether a job would find an open connection; a private worker connected to us."""
     if now - worker.last_sent_at_ms >= state.settings.connection_idle_timeout_ms:
         worker.open_connections = worker.in_flight
-    return worker.pool.private or worker.in_flight < worker.open_connections
+    return worker.pool.is_exclusive or worker.in_flight < worker.open_connections
 
 
 def cost(state: DispatcherState, worker: Worker, key_hash: int, worker_rank: float) -> float:
@@ -88,7 +88,7 @@
 def _expected_completions(state: DispatcherState, attempt: Attempt, now: float) -> float:
     """How many jobs of its class would have ended in the time that an attempt has run."""
     worker = attempt.worker
-    class_mean = state.service_times_ms.mean(attempt.job.job_class.name, math.inf)
+    class_mean = state.service_times_ms.mean(attempt.request.job_class.name, math.inf)
     mean = class_mean * worker.pool.service_time_ratio
     elapsed = (now - attempt.started_at_ms) * warmth(state, worker, now)
     return min(elapsed / max(mean, 1.0), MAX_SERVICE_TIME_RATIO)
--- a/oxbowyard/decision/relocation.py
+++ b/oxbowyard/decision/relocation.py
@@ -7,13 +7,13 @@
 from __future__ import annotations
 
 from .actions import CancelAttempt
-from .load_estimate import expected_queue_wait
+from .load_estimate import estimate_queue_wait_ms
 from .ranking import SPILL_RANK
 from .routing import choose_worker
 from .settings import RetrySafety
 from .state import Attempt, DispatcherState
 
-UNSTARTED_SHARE = 0.25  # of its latency objective: how long a job waits before it may move
+MIN_WAIT_BEFORE_MOVE_SHARE = 0.25  # of its latency objective: how long a job waits before it may move
 MOVES_PER_REQUEST = 0.2
 MAX_MOVE_BUDGET = 10.0
 
@@ -23,13 +23,13 @@
     state.move_budget = min(state.move_budget + MOVES_PER_REQUEST, MAX_MOVE_BUDGET)
 
 
-def move_unstarted_jobs(state: DispatcherState, now: float) -> None:
+def move_unstarted_requests(state: DispatcherState, now: float) -> None:
     """Cancel attempts that wait too long where another worker would start the job soon.
 
     The end of the cancelled attempt places the job anew.
     """
     for attempt in list(state.unstarted_attempts):
-        shortest_wait = state.unknown_class.latency_objective_ms * UNSTARTED_SHARE
+        shortest_wait = state.unknown_class.latency_objective_ms * MIN_WAIT_BEFORE_MOVE_SHARE
         if state.move_budget < 1 or now - attempt.sent_at_ms < shortest_wait:
             break
         if _may_move(attempt, now):
@@ -37,34 +37,34 @@
 
 
 def _may_move(attempt: Attempt, now: float) -> bool:
-    job = attempt.job
-    if job.job_class.retry_safety is not RetrySafety.IDEMPOTENT or attempt.cancelled:
+    request = attempt.request
+    if request.job_class.retry_safety is not RetrySafety.IDEMPOTENT or attempt.is_cancelled:
         return False
-    if _is_load_reported(attempt) and len(job.attempts) > 1:  # the ranks are believed: one move is enough
+    if _is_load_reported(attempt) and len(request.attempts) > 1:  # the ranks are believed: one move is enough
         return False
-    waits_until = attempt.sent_at_ms + job.job_class.latency_objective_ms * UNSTARTED_SHARE
+    waits_until = attempt.sent_at_ms + request.job_class.latency_objective_ms * MIN_WAIT_BEFORE_MOVE_SHARE
     return now >= max(attempt.reconsider_at_ms, waits_until)
 
 
 def _move_if_better(state: DispatcherState, attempt: Attempt, now: float) -> None:
-    job = attempt.job
+    request = attempt.request
     waited_ms = now - attempt.sent_at_ms
     attempt.reconsider_at_ms = 2 * now - attempt.sent_at_ms  # the longer it waits, the rarer: it costs CPU
-    job.tried_workers.append(attempt.worker)
-    choice = choose_worker(state, job, now)
+    request.tried_workers.append(attempt.worker)
+    choice = choose_worker(state, request, now)
     if choice.worker is None:
         is_better = False
     elif choice.rank < SPILL_RANK:
         is_better = True
     else:
-        other_wait_ms = expected_queue_wait(state, choice.worker, now)
+        other_wait_ms = estimate_queue_wait_ms(state, choice.worker, now)
         is_better = not _is_load_reported(attempt) and 2 * other_wait_ms < waited_ms
     if not is_better:
-        job.tried_workers.pop()
+        request.tried_workers.pop()
         return
-    attempt.cancelled = True
+    attempt.is_cancelled = True
     state.move_budget -= 1
-    state.actions.append(CancelAttempt(job.id, len(job.attempts) - 1))
+    state.actions.append(CancelAttempt(request.id, len(request.attempts) - 1))
 
 
 def _is_load_reported(attempt: Attempt) -> bool:
--- a/oxbowyard/decision/retry.py
+++ b/oxbowyard/decision/retry.py
@@ -3,34 +3,35 @@
 from __future__ import annotations
 
 from .settings import JobClass, RetrySafety
-from .state import DispatcherState, Job, Worker
+from .state import DispatcherState, RequestState, Worker
 
 
-def may_attempt(state: DispatcherState, job: Job, now: float) -> bool:
+def may_attempt(state: DispatcherState, request: RequestState, now: float) -> bool:
     """Whether the job may have an attempt, or one more, at some worker."""
-    if len(job.attempts) >= state.settings.max_attempts:
+    if len(request.attempts) >= state.settings.max_attempts:
         return False
-    if job.deadline_ms - now <= state.tick_interval_ms:
+    if request.deadline_ms - now <= state.tick_interval_ms:
         return False
-    retry_safety = job.job_class.retry_safety
-    if job.first_run_worker is None or retry_safety is RetrySafety.IDEMPOTENT:
+    retry_safety = request.job_class.retry_safety
+    if request.first_run_worker is None or retry_safety is RetrySafety.IDEMPOTENT:
         return True
     return (
-        retry_safety is RetrySafety.DEDUPLICATED and now - job.first_run_at_ms < job.job_class.dedup_window_ms
+        retry_safety is RetrySafety.DEDUPLICATED
+        and now - request.first_run_at_ms < request.job_class.dedup_window_ms
     )
 
 
-def may_attempt_at(job: Job, worker: Worker, now: float) -> bool:
+def may_attempt_at(request: RequestState, worker: Worker, now: float) -> bool:
     """Whether this worker may run the job, given where an attempt may have run.
 
     A deduplicated job is repeated only at workers that remember its first run, and while they do.
     """
-    first_worker, job_class = job.first_run_worker, job.job_class
+    first_worker, job_class = request.first_run_worker, request.job_class
     if first_worker is None or job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return True
     if (
         job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
-        or now - job.first_run_at_ms >= job_class.dedup_window_ms
+        or now - request.first_run_at_ms >= job_class.dedup_window_ms
     ):
         return False
     if job_class.dedup_scope == "all":
@@ -40,7 +41,7 @@
     return worker.cell == first_worker.cell
 
 
-def is_harmless_anywhere(job_class: JobClass) -> bool:
+def is_safe_to_retry_anywhere(job_class: JobClass) -> bool:
     """Whether a client's retry of a job that may have run does no harm, whichever worker gets it."""
     if job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return True
--- a/oxbowyard/decision/snapshot.py
+++ b/oxbowyard/decision/snapshot.py
@@ -52,7 +52,7 @@
     failure_score_at_ms: float
     failure_count: float
     ejected_until_ms: float
-    unreachable: bool
+    is_unreachable: bool
     unreachable_since_ms: float
     class_ejections: dict[str, tuple[float, float]] = field(default_factory=dict)  # failures, until when
     cold_sends_at_ms: list[float] = field(default_factory=list)
@@ -117,7 +117,7 @@
         "failure_score_at_ms": "doubt_at",
         "failure_count": "strikes",
         "ejected_until_ms": "barred_until",
-        "unreachable": "unreachable",
+        "is_unreachable": "unreachable",
         "unreachable_since_ms": "down_at",
         "class_ejections": "faults",
         "cold_sends_at_ms": "sends",
@@ -148,7 +148,7 @@
     },
 }
 
-SAME_IN_WORKER = (
+COPIED_WORKER_FIELDS = (
     "started_at_ms",
     "reported_jobs",
     "queue_wait_ms",
@@ -158,7 +158,7 @@
     "completions",
     "completions_at_ms",
     "ejected_until_ms",
-    "unreachable",
+    "is_unreachable",
     "unreachable_since_ms",
 )
 
@@ -184,7 +184,7 @@
     )
 
 
-def adopt(state: DispatcherState, snapshot: Snapshot, now: float) -> None:
+def restore(state: DispatcherState, snapshot: Snapshot, now: float) -> None:
     """Continue with the estimates of a snapshot.
 
     Of a worker that has restarted since, only what its kind has shown is used; workers that are not listed
@@ -227,7 +227,7 @@
 def _worker_estimates(worker: Worker) -> WorkerEstimates:
     ejections = worker.class_ejections.items()
     return WorkerEstimates(
-        **{name: getattr(worker, name) for name in SAME_IN_WORKER},
+        **{name: getattr(worker, name) for name in COPIED_WORKER_FIELDS},
         reported_at_ms=max(worker.reported_at_ms, 0.0),  # 0: long ago
         failure_score=worker.failure_score.value,
         failure_score_at_ms=worker.failure_score.updated_at_ms,
@@ -239,7 +239,7 @@
 
 
 def _apply_worker(state: DispatcherState, worker: Worker, known: WorkerEstimates) -> None:
-    for name in SAME_IN_WORKER:
+    for name in COPIED_WORKER_FIELDS:
         setattr(worker, name, getattr(known, name))
     worker.reported_at_ms = known.reported_at_ms
     worker.own_jobs_at_report = 0  # the jobs of the replaced process are another's now
@@ -263,7 +263,7 @@
 
 
 def _apply_key(state: DispatcherState, known: KeyEstimates) -> None:
-    key = state.keys.setdefault((known.name, known.kind), AffinityKey(state.key_hash(known.name)))
+    key = state.keys.setdefault((known.name, known.kind), AffinityKey(state.hash_key(known.name)))
     key.set_size = max(key.set_size, known.set_size)
     if known.last_request_at_ms > key.last_request_at_ms:
         key.recent_requests = known.recent_requests
--- a/oxbowyard/decision/state.py
+++ b/oxbowyard/decision/state.py
@@ -13,8 +13,8 @@
 
 from .actions import Action
 from .estimators import DecayingScore, MeanDifference, RecentItems, RunningMeans, TimeWeightedMean
-from .hashing import RendezvousOrder, name_hash
-from .quotas import TokenBucket, token_buckets
+from .hashing import RendezvousOrder, hash_name
+from .quotas import TokenBucket, create_token_buckets
 from .settings import JobClass, Settings
 
 SPARSE_TRAFFIC_SCHEDULERS = 10  # with more of them own traffic shows under a tenth of a worker's jobs
@@ -31,7 +31,7 @@
     max_concurrency: int  # the most jobs seen running on one worker at once
     slots: float  # the estimated load at which jobs begin to wait
     min_slots: float
-    private: bool = False  # no other dispatcher sends here: own traffic is all traffic
+    is_exclusive: bool = False  # no other dispatcher sends here: own traffic is all traffic
     service_time_ratio: float = 1.0  # a job's service time here over the mean of its class
     hashed_service_time_ratio: float = 1.0  # the ratio by which the keys' orders were made
     mean_service_time_ms: float = 0.0
@@ -63,7 +63,7 @@
     name_hash: int
     weight: float
     pool: WorkerPool
-    ready: bool = False
+    is_ready: bool = False
     classes: frozenset[str] | None = None
     started_at_ms: float = 0.0  # its last start; 0: long ago
 
@@ -88,7 +88,7 @@
     failure_count: float = 0.0  # of connections
     ejected_until_ms: float = 0.0
     avoided_until_ms: float = 0.0  # because of what peers report
-    unreachable: bool = False
+    is_unreachable: bool = False
     unreachable_since_ms: float = 0.0
     last_progress_at_ms: float = 0.0  # a job began or ended there
     next_probation_at_ms: float = 0.0  # while it is stalled: when a job may be tried there
@@ -123,7 +123,7 @@
     """The requests of one key whose class is in order, oldest first: only the first may be sent."""
 
     key: str
-    jobs: dict[Job, None] = field(default_factory=dict)
+    requests: dict[RequestState, None] = field(default_factory=dict)
     blocked_until_ms: float = 0.0  # an attempt of an earlier request may still run until then
 
 
@@ -132,19 +132,19 @@
     """One attempt of a job at a worker."""
 
     worker: Worker
-    job: Job
+    request: RequestState
     sent_at_ms: float
     load_before: float  # the worker's estimated load without it
     opens_connection: bool
     reconsider_at_ms: float = 0.0  # when to look for another worker
     started_at_ms: float = -1.0  # below 0: not started
     key_was_cached: bool = False
-    ended: bool = False
-    cancelled: bool = False
+    has_ended: bool = False
+    is_cancelled: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class RequestState:
     """A request until its final answer, and until its last attempt has ended."""
 
     id: str
@@ -152,14 +152,14 @@
     key: AffinityKey
     received_at_ms: float
     deadline_ms: float
-    over_quota: bool
+    is_over_quota: bool
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
-    answered: bool = False
+    is_answered: bool = False
     first_run_at_ms: float = -1.0  # when the first attempt that may have run was sent
     first_run_worker: Worker | None = None
     tried_workers: list[Worker] = field(default_factory=list)
-    streaming: bool = False
+    is_streaming: bool = False
     queue: KeyQueue | None = None
 
 
@@ -174,7 +174,6 @@
         "fleet_mean_weight",
         "hash_salt",
         "in_flight",
-        "jobs",
         "key_fetch_cost_ms",
         "key_queues",
         "keys",
@@ -183,12 +182,13 @@
         "mean_worker_in_flight",
         "move_budget",
         "pools",
-        "queued_jobs",
+        "queued_requests",
         "quotas",
         "random",
         "ready_workers",
         "recent_idle_workers",
         "recent_requests",
+        "requests",
         "service_times_ms",
         "settings",
         "sparse_traffic",
@@ -225,15 +225,17 @@
         self.classes_failing_everywhere: set[str] = set()  # names of classes
 
         # Requests
-        self.jobs: dict[str, Job] = {}
-        self.queued_jobs: dict[str, Job] = {}  # without an attempt in flight, to be decided later
+        self.requests: dict[str, RequestState] = {}
+        self.queued_requests: dict[
+            str, RequestState
+        ] = {}  # without an attempt in flight, to be decided later
         self.unstarted_attempts: dict[Attempt, None] = {}  # oldest first
         self.keys: dict[tuple[str, str | None], AffinityKey] = {}  # by key and kind of worker
         self.key_queues: dict[str, KeyQueue] = {}
         self.unblocked_queues: list[KeyQueue] = []
         self.in_flight = 0
         self.move_budget = 0.0  # how many unstarted jobs may be moved to another worker
-        self.quotas: dict[str, TokenBucket] = token_buckets(settings)
+        self.quotas: dict[str, TokenBucket] = create_token_buckets(settings)
 
         # Estimates
         self.hash_salt = self.random.getrandbits(63)  # differs from one dispatcher to the next
@@ -256,13 +258,13 @@
         self.subscribe_timer_set = False
         self.subscribe_backoff_ms = 0.0
 
-    def class_named(self, name: str) -> JobClass:
+    def get_class(self, name: str) -> JobClass:
         """The class of that name; for an unknown name a class with the strictest objective."""
         return self.classes.get(name, self.unknown_class)
 
-    def key_hash(self, key: str | None) -> int:
+    def hash_key(self, key: str | None) -> int:
         """The hash of a request's key; requests without a key share one that differs by dispatcher."""
-        return name_hash(key) if key else self.hash_salt
+        return hash_name(key) if key else self.hash_salt
 
     def replace_classes(self, classes: tuple[JobClass, ...], max_attempts: int) -> None:
         """Use other classes for requests received from now on."""
--- a/oxbowyard/gearman/workers.py
+++ b/oxbowyard/gearman/workers.py
@@ -73,7 +73,7 @@
             return
         worker.announced = bool(classes)
         readiness = _readiness(worker, bool(classes))
-        info = WorkerInfo(worker.name, readiness, kind=KIND, classes=classes, slots=1, private=True)
+        info = WorkerInfo(worker.name, readiness, kind=KIND, classes=classes, slots=1, is_exclusive=True)
         self.on_change(Scope.CHANGES, (info,), KIND)
 
     def number_able(self, function: str) -> int:
--- a/oxbowyard/simhost.py
+++ b/oxbowyard/simhost.py
@@ -13,7 +13,7 @@
 
 from .decision import actions, events
 from .decision.dispatcher import Dispatcher
-from .decision.platform_settings import load_names, settings_of
+from .decision.platform_settings import get_load_report_names, parse_settings
 
 RESULTS = {
     "GOOD": events.Result.OK,
@@ -76,7 +76,7 @@
     return orjson.dumps(line)
 
 
-class Link:
+class SimulatorSession:
     """The instances of one process and the lists that the wire numbers for all of them."""
 
     def __init__(self) -> None:
@@ -116,10 +116,10 @@
 
     def born(self, who: int, seed: int, facts: dict[str, Any]) -> None:
         """Start an instance that knows nothing but its settings."""
-        self.instances[who] = Dispatcher(settings_of(facts), seed)
-        self.loads[who] = load_names(facts)
+        self.instances[who] = Dispatcher(parse_settings(facts), seed)
+        self.loads[who] = get_load_report_names(facts)
 
-    def message(self, now: float, m: list[Any]) -> list[bytes]:
+    def handle_line(self, now: float, m: list[Any]) -> list[bytes]:
         """Handle one event line and return the lines of its actions."""
         name = m[0]
         if name == "inventory":
@@ -147,7 +147,7 @@
 
 def serve(lines: Iterable[bytes], out: BinaryIO) -> None:
     """Answer batch after batch until the input ends."""
-    link = Link()
+    link = SimulatorSession()
     now: float | None = None
     reply: list[bytes] = []
     for number, line in enumerate(lines, 1):
@@ -166,7 +166,7 @@
                 out.flush()
                 now = None
             else:
-                reply.extend(link.message(now, message))
+                reply.extend(link.handle_line(now, message))
         except WireError as fault:
             raise WireError(f"line {number}: {fault}") from None
         except (ValueError, TypeError, LookupError, AttributeError) as fault:
--- a/oxbowyard/waiting/fleet_view.py
+++ b/oxbowyard/waiting/fleet_view.py
@@ -46,7 +46,7 @@
 
     def _count(self, job_class: str, now: float) -> _CachedCapacity:
         capacity = self._scheduler.capacity(job_class)
-        if capacity.private:  # the list says for each class which of them run it
+        if capacity.is_exclusive:  # the list says for each class which of them run it
             names = [job_class]
         else:
             kind = self._classes[job_class].kind
--- a/tests/test_bad_numbers.py
+++ b/tests/test_bad_numbers.py
@@ -20,7 +20,7 @@
 
 from oxbowyard.cli.app import app
 from oxbowyard.daemon.config import ConfigurationError, load
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 from oxbowyard.gearman.config import GearmanConfig
 from oxbowyard.gearman.config import parse as parse_gearman
 from oxbowyard.gearman.jobs import Jobs
@@ -29,7 +29,7 @@
 from oxbowyard.operator.file import load as load_operator
 from oxbowyard.peers.facts import shown_facts
 
-CLASSES = settings_of(SETTINGS).classes
+CLASSES = parse_settings(SETTINGS).classes
 BAD_VALUES: tuple[Any, ...] = (
     math.nan,
     math.inf,
--- a/tests/test_class_ejections.py
+++ b/tests/test_class_ejections.py
@@ -48,7 +48,7 @@
         fail_at(old, now, name, ONCE)
     assert old.state.classes_failing_everywhere == {"once"}
     new = dispatcher(2, now)
-    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    snapshot.restore(new.state, handed(old, now), now + 200.0)
     assert new.state.classes_failing_everywhere == {"once"}
     assert ask(new, now + 201.0, "n", "once")
 
@@ -60,7 +60,7 @@
         fail_at(old, now, name, ONCE)
     later = now + outlier_detection.MAX_CLASS_EJECTION_MS + 1.0
     new = dispatcher(2, later)
-    snapshot.adopt(new.state, handed(old, now), later)
+    snapshot.restore(new.state, handed(old, now), later)
     assert not new.state.classes_failing_everywhere
 
 
@@ -104,7 +104,7 @@
         self.open.clear()
         new = dispatcher(self.random.getrandbits(32), self.now)
         new.state.replace_classes(self.made.state.settings.classes, 3)
-        snapshot.adopt(new.state, handed(self.made, self.now), self.now + 200.0)
+        snapshot.restore(new.state, handed(self.made, self.now), self.now + 200.0)
         self.made, self.now = new, self.now + 200.0
 
     def run(self, steps: int) -> None:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -161,7 +161,7 @@
     assert d.handle(11, AttemptStarted("r", 0, home)) == [] and d.handle(11, ClientDisconnected("r")) == []
     assert d.handle(11, TimerFired(99)) == []
     assert (
-        not d.state.jobs
+        not d.state.requests
         and d.state.in_flight == 0
         and all(w.in_flight == 0 and not w.unstarted for w in d.state.workers.values())
     )
@@ -260,9 +260,9 @@
     w = d.state.workers["w0"]
     ask(d, 1, "r")
     d.handle(5, AttemptEnded("r", 0, "w0", Result.UNREACHABLE, 4))
-    assert w.unreachable and slow_start.warmth(d.state, w, 6) == 1
+    assert w.is_unreachable and slow_start.warmth(d.state, w, 6) == 1
     outlier_detection.record_success(w, 5000)
-    assert slow_start.warmth(d.state, w, 5001) < 0.2 and not w.unreachable
+    assert slow_start.warmth(d.state, w, 5001) < 0.2 and not w.is_unreachable
 
 
 def test_restarts_and_removals_keep_the_counts_right() -> None:
@@ -361,7 +361,7 @@
         for i in range(20):
             ask(d, 2, f"r{i}", key=f"k{i}")
     orders = [
-        [[w.name for w in affinity.worker_order(d.state, k, None)] for k in d.state.keys.values()]
+        [[w.name for w in affinity.order_workers(d.state, k, None)] for k in d.state.keys.values()]
         for d in (idle, busy)
     ]
     assert orders[0] == orders[1]
@@ -381,9 +381,9 @@
     for name, took, dead in (("r1", 250.0, False), ("r2", 3.0, True)):
         (w,) = sends(ask(d, 1, name, key=name))
         d.handle(260, AttemptEnded(name, 0, w, Result.UNREACHABLE, took))
-        assert d.state.workers[w].unreachable is dead
+        assert d.state.workers[w].is_unreachable is dead
         (
-            d.state.workers[w].unreachable,
+            d.state.workers[w].is_unreachable,
             d.state.workers[w].failure_count,
             d.state.workers[w].ejected_until_ms,
         ) = False, 0.0, 0.0
@@ -417,7 +417,7 @@
     d.state.mean_worker_in_flight, d.state.fleet_mean_weight = 0.03, 0.95
     w = d.state.workers["w0"]
     w.in_flight, w.mean_in_flight.mean, w.mean_in_flight.updated_at_ms = 1, 0.3, 10.0
-    assert load_estimate.estimated_load(d.state, w, 10) < 8  # not 1 + 99 * 0.3
+    assert load_estimate.estimate_load(d.state, w, 10) < 8  # not 1 + 99 * 0.3
 
 
 def test_reports_stand_for_the_peers_part_and_fade() -> None:
@@ -425,10 +425,8 @@
     a, b = d.state.workers["w0"], d.state.workers["w1"]
     a.pool.max_concurrency, a.pool.mean_reported_jobs, a.pool.mean_service_time_ms = 6, 4.0, 500.0
     a.reported_jobs, a.reported_at_ms, b.reported_jobs, b.reported_at_ms = 9.0, 100.0, 1.0, 100.0
-    assert load_estimate.estimated_load(d.state, a, 100) > load_estimate.estimated_load(d.state, b, 100) + 5
-    assert (
-        load_estimate.estimated_load(d.state, a, 5000) - load_estimate.estimated_load(d.state, b, 5000) < 0.1
-    )
+    assert load_estimate.estimate_load(d.state, a, 100) > load_estimate.estimate_load(d.state, b, 100) + 5
+    assert load_estimate.estimate_load(d.state, a, 5000) - load_estimate.estimate_load(d.state, b, 5000) < 0.1
 
 
 def test_a_list_change_patches_the_orders() -> None:
@@ -437,7 +435,7 @@
     key = d.state.keys[("k", None)]
     before = list(key.order.members)
     d.handle(2, EndpointsChanged(Scope.CHANGES, (WorkerInfo("new", kind="std"),)))
-    assert [w for w in affinity.worker_order(d.state, key, None) if w.name != "new"] == before and len(
+    assert [w for w in affinity.order_workers(d.state, key, None) if w.name != "new"] == before and len(
         key.order.members
     ) == 21
     assert key.order.positions == sorted(key.order.positions)
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -19,7 +19,7 @@
 )
 from oxbowyard.decision.facade import Facade
 from oxbowyard.decision.hashing import RendezvousOrder
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 from oxbowyard.decision.settings import JobClass, RetrySafety
 from oxbowyard.simhost import encode
 
@@ -100,7 +100,7 @@
                 run(d, 300.0 * i, f"r{i}")
             assert d.state.workers[run(d, 9500.0, "last")].zone == zone
             key = d.state.keys["k", None]
-            agreed.add(next(iter(affinity.worker_order(d.state, key, None))).name)
+            agreed.add(next(iter(affinity.order_workers(d.state, key, None))).name)
         assert len(agreed) == 1  # schedulers of a zone agree
 
 
@@ -138,7 +138,7 @@
     for name in ("a", "b"):  # the second finds a connection of the first
         (attempt,) = facade.decide(RequestReceived(name, "once", 9000.0, "k")).actions
         assert isinstance(attempt, StartAttempt)
-        facade.report(AttemptEnded(name, 0, "w1", Result.OK, 5.0, final=True))
+        facade.report(AttemptEnded(name, 0, "w1", Result.OK, 5.0, is_final=True))
 
 
 @pytest.mark.parametrize(("by_work", "longer"), [(True, "long"), (False, "short")])
@@ -162,8 +162,8 @@
         "siblings": 1,
         "lanes": [{"name": "a", "aim": 1.0, "deadline": 2.0}],
     }
-    assert not settings_of(facts).weight_is_per_work
-    assert settings_of(facts | {"worthBy": "work"}).weight_is_per_work
+    assert not parse_settings(facts).weight_is_per_work
+    assert parse_settings(facts | {"worthBy": "work"}).weight_is_per_work
 
 
 def test_running_estimates() -> None:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -58,7 +58,7 @@
     facade.report(AttemptStarted("r", 0, first.worker))
     (second,) = facade.report(AttemptEnded("r", 0, first.worker, Result.RESET)).actions
     assert isinstance(second, StartAttempt) and second.attempt == 1 and second.worker != first.worker
-    assert facade.report(AttemptEnded("r", 1, second.worker, Result.OK, final=True)).actions == ()
+    assert facade.report(AttemptEnded("r", 1, second.worker, Result.OK, is_final=True)).actions == ()
 
 
 def test_what_may_have_run_is_failed_and_what_did_not_is_refused() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -101,7 +101,7 @@
     d.handle(700, EndpointsChanged(Scope.CHANGES, (_info("w0", since=700.0),)))
     d.state.workers["w0"].reported_at_ms, d.state.workers["w0"].in_flight = -float("inf"), 0
     mean = d.state.workers["w0"].pool.mean_reported_jobs
-    assert 0 < load_estimate.estimated_load(d.state, d.state.workers["w0"], 700) < 1.5 * COLD * mean
+    assert 0 < load_estimate.estimate_load(d.state, d.state.workers["w0"], 700) < 1.5 * COLD * mean
 
 
 def test_old_weights_of_a_restored_list_are_not_believed() -> None:
@@ -119,7 +119,7 @@
     d = _dispatcher()
     d.handle(1, RequestReceived("first", "free", 10000, "k"))
     for name in NAMES[:45]:
-        d.state.workers[name].unreachable = True
+        d.state.workers[name].is_unreachable = True
         outlier_detection.record_connection_failure(d.state, d.state.workers[name], 1.0, 100)
     sent = {_ask(d, 200 + i, f"r{i}", f"k{i}") for i in range(40)}
     assert sent <= set(NAMES[45:]), "no guess: they turned a connect down at once"
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -81,7 +81,7 @@
     now = served(old)
     new = dispatcher(2, now)
     assert new.state.pools["std"].mean_service_time_ms == 0.0
-    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    snapshot.restore(new.state, handed(old, now), now + 200.0)
     for name in (
         "max_concurrency",
         "slots",
@@ -122,10 +122,10 @@
     new = dispatcher(2, now)
     restarted = WorkerInfo("w1", kind="std", started_at_ms=now)
     new.handle(now, EndpointsChanged(Scope.CHANGES, (restarted,)))
-    snapshot.adopt(new.state, learned, now + 200.0)
+    snapshot.restore(new.state, learned, now + 200.0)
     assert new.state.workers["w1"].started_at_ms == now and not new.state.workers["w1"].class_ejections
     unknown = Dispatcher(SETTINGS, 3)
-    snapshot.adopt(unknown.state, learned, now)  # its list has not come: nothing to believe it of
+    snapshot.restore(unknown.state, learned, now)  # its list has not come: nothing to believe it of
     assert not unknown.state.workers
 
 
@@ -134,7 +134,7 @@
     now = served(old)
     old.state.workers["w4"].cold_sends_at_ms.append(now - 10.0)
     new = dispatcher(2, now)
-    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    snapshot.restore(new.state, handed(old, now), now + 200.0)
     worker = new.state.workers["w4"]
     slow_start.budget_allows_send(new.state, worker, now + 200.0)
     assert now - 10.0 in worker.cold_sends_at_ms
@@ -234,7 +234,7 @@
     assert all(ejection.until_ms > now + 200.0 for ejection in ejections), "w1 is out for both classes"
     assert len(ejections) == 2
     new = dispatcher(2, now)
-    snapshot.adopt(new.state, handed(old, now), now + 200.0)
+    snapshot.restore(new.state, handed(old, now), now + 200.0)
     for i in range(40):
         actions = new.handle(now + 200.0, RequestReceived(f"n{i}", "once", ONCE.deadline_ms, f"n{i}"))
         assert any(isinstance(action, StartAttempt) for action in actions)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -11,11 +11,11 @@
 from player import ROOT, SETTINGS, Program
 
 from oxbowyard.configuration.files import MAX_FILE_BYTES
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 from oxbowyard.operator.file import OperatorFileError, load
 from oxbowyard.waiting.settings import WaitingSettings
 
-CLASSES = settings_of(SETTINGS).classes
+CLASSES = parse_settings(SETTINGS).classes
 FUNCTION = "[gearman]\nlisten = 'h:1'\n[gearman.functions.f]\nclass = 'preview'\n"
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -62,7 +62,7 @@
     assert end(d, 50, "a", Result.OK, True) == ["b"]
     assert end(d, 90, "b", Result.OK, True) == ["c"]
     end(d, 99, "c", Result.OK, True)
-    assert not d.state.key_queues and not d.state.jobs
+    assert not d.state.key_queues and not d.state.requests
 
 
 def test_other_keys_no_key_and_other_classes_are_free() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -210,9 +210,9 @@
     d = world.d
     assert (
         not d.state.jobs
-        and not d.state.queued_jobs
+        and not d.state.queued_requests
         and not d.state.unstarted_attempts
         and d.state.in_flight == 0
     )
     assert all(w.in_flight == 0 and not w.running and not w.unstarted for w in d.state.workers.values())
-    assert not any(line.jobs for line in d.state.key_queues.values())
+    assert not any(line.requests for line in d.state.key_queues.values())
--- a/tests/test_settings_update.py
+++ b/tests/test_settings_update.py
@@ -9,7 +9,7 @@
 from test_core import SETTINGS
 
 from oxbowyard.core.settings_update import plan_settings_update
-from oxbowyard.decision.retry import is_harmless_anywhere
+from oxbowyard.decision.retry import is_safe_to_retry_anywhere
 from oxbowyard.decision.settings import JobClass, RetrySafety
 
 SCOPES = ("all", "zone", "cell")
@@ -46,6 +46,6 @@
     for scope in SCOPES:
         least = min(allowed_for_ms(before, scope), allowed_for_ms(after, scope))
         assert allowed_for_ms(meanwhile, scope) <= least, scope
-    if is_harmless_anywhere(meanwhile):
-        assert is_harmless_anywhere(before) and is_harmless_anywhere(after)
+    if is_safe_to_retry_anywhere(meanwhile):
+        assert is_safe_to_retry_anywhere(before) and is_safe_to_retry_anywhere(after)
     assert step.final.classes == (after,)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -24,7 +24,7 @@
     StartAttempt,
     SubscribeEndpoints,
 )
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 
 ROOT = Path(__file__).parent.parent
 FACTS: dict[str, Any] = {
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("name", ["siblings", "lanes", "rules", "policyLimits"])
 def test_a_missing_setting_is_named(name: str) -> None:
     with pytest.raises(ValueError, match=name):
-        settings_of({k: v for k, v in FACTS.items() if k != name})
+        parse_settings({k: v for k, v in FACTS.items() if k != name})
 
 
 def call(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -23,7 +23,7 @@
 
 from oxbowyard.control.cordon_file import CordonFile
 from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 from oxbowyard.decision.settings import JobClass, RetrySafety, Settings
 from oxbowyard.discovery.endpoint_list import parse_endpoint_list
 from oxbowyard.discovery.registry import Registry
@@ -45,7 +45,7 @@
 
 def read_operator(path: Path) -> OperatorConfig:
     """The operator's file as the program reads it."""
-    return load(path, settings_of(SETTINGS).classes)
+    return load(path, parse_settings(SETTINGS).classes)
 
 
 def operator_faults(path: Path) -> tuple[str, ...]:
@@ -140,7 +140,7 @@
     infos = [WorkerInfo(f"w{i}", kind="fast" if i % 2 else "slow", weight=1.0 + i) for i in range(4)]
     cold = WorkerInfo("w4", kind="slow", started_at_ms=START_MS - 5000.0)
     facade.update_endpoints(Scope.FULL, (*infos, cold))
-    facade.adopt(decode(text, PID, CLOCK_MS))
+    facade.restore_snapshot(decode(text, PID, CLOCK_MS))
     return encode(facade.snapshot(), PID)
 
 
--- a/tests/test_workers_in_part.py
+++ b/tests/test_workers_in_part.py
@@ -15,7 +15,7 @@
     TimerFired,
     WorkerInfo,
 )
-from oxbowyard.decision.platform_settings import settings_of
+from oxbowyard.decision.platform_settings import parse_settings
 from oxbowyard.decision.settings import JobClass, RetrySafety
 
 FREE = JobClass("free", latency_objective_ms=300, deadline_ms=5000, retry_safety=RetrySafety.IDEMPOTENT)
@@ -89,9 +89,9 @@
         now = 1000.0 if name == "brief" else 9000.0
         assert ask(d, now, name) == "w0"
         d.handle(now + 1, AttemptEnded(name, 0, "w0", Result.UNREACHABLE, 1.0, True))
-        assert d.state.workers["w0"].unreachable
+        assert d.state.workers["w0"].is_unreachable
         assert served(d, now + down, f"{name}-after") == "w0"
-        assert not d.state.workers["w0"].unreachable
+        assert not d.state.workers["w0"].is_unreachable
         assert (slow_start.warmth(d.state, d.state.workers["w0"], now + down + 300) < 1) is cold
 
 
@@ -140,6 +140,6 @@
         "siblings": 1,
         "lanes": [{"name": "a", "aim": 1.0, "deadline": 2.0}],
     }
-    assert settings_of(facts | {"familyInfo": {"queueOrder": "fifo"}}).fifo_workers
+    assert parse_settings(facts | {"familyInfo": {"queueOrder": "fifo"}}).fifo_workers
     for order in ("backfill", "priority", None):
-        assert not settings_of(facts | {"familyInfo": {"queueOrder": order}}).fifo_workers
+        assert not parse_settings(facts | {"familyInfo": {"queueOrder": order}}).fifo_workers
