--- a/oxbowyard/decision/__init__.py
+++ b/oxbowyard/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a scheduler: what goes to which worker, and what is refused."""
+"""The decisions of a scheduler: which worker gets each request, and which requests are rejected."""
--- a/oxbowyard/decision/actions.py
+++ b/oxbowyard/decision/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a dispatcher returns, to be carried out in order. Times are milliseconds."""
+"""The actions that a dispatcher returns. The caller carries them out in order. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send a request to a worker. Its attempts are numbered from 0 in the order in which they start."""
+    """Send a request to a worker. The attempts of a request are numbered from 0 in the order of sending."""
 
     request_id: str
     attempt: int
     worker: str
-    timeout_ms: float = 0.0  # 0: until the client gives up
+    timeout_ms: float = 0.0  # 0: the attempt may take until the deadline of the client
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: the request surely never ran, or may safely run again; a retry does no harm."""
+    """Answer the request finally: a retry is safe, because it never ran or because it may run twice."""
 
     request_id: str
-    retry_after_ms: float = 0.0  # how long the client should wait; 0: no advice
+    retry_after_ms: float = 0.0  # how long the client should wait before a retry; 0: unspecified
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Answer the request finally as failed: whether it had an effect is unknown."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop an attempt; its AttemptEnded still comes."""
+    """Cancel an attempt. An AttemptEnded event for it still follows."""
 
     request_id: str
     attempt: int
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class QueueRequest:
-    """No decision yet: a later call decides about the request."""
+    """Keep the request waiting: a later event decides about it."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeWorker:
-    """Ask a worker for its load."""
+    """Request a load report from a worker."""
 
     worker: str
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired with this tag after this delay."""
+    """Request a TimerFired event with this tag after this delay."""
 
     tag: int
     delay_ms: float
@@ -67,14 +67,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """Write a message to the log."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close own idle connections to a worker, so that the next send shows whether it can be reached."""
+    """Close the idle connections to a worker, so that the next attempt shows whether it is reachable."""
 
     worker: str
 
--- a/oxbowyard/decision/affinity.py
+++ b/oxbowyard/decision/affinity.py
@@ -1,7 +1,7 @@
-"""Affinity sets: which workers serve a key. A set is the head of the key's rendezvous order of workers.
+"""Affinity sets: which workers serve a key. A set is the first workers of the key's rendezvous order.
 
-A set starts with one worker, grows while its key is overloaded and shrinks as loads even out. Writes the
-keys.
+A set starts with one worker, grows while its key is overloaded and shrinks when the load drops. This module
+writes the `AffinityKey` records.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from .settings import JobClass
 from .state import AffinityKey, DispatcherState, Worker
 
-MAX_KEYS = 4096  # keys with a known set and order; the longest unused is forgotten first
-OVERLOAD_FACTOR = 2.0  # a key is overloaded at this multiple of the larger of mean in-flight jobs and two
-MIN_MEAN_IN_FLIGHT = 2.0
-MAX_KEY_LOAD = 0.3  # a key may bring each worker of its set this multiple of the mean load
-SHRINK_AFTER_MS = 3000.0  # a set keeps its size for some jobs' time, so that it does not oscillate
-ZONE_LOCAL_LOAD = 0.6  # mean worker loads that a key must bring, per zone, to have a set in each zone
-ZONE_LOCAL_MIN_REQUESTS = 3.0
+MAX_KEYS = 4096  # keys whose set and order are stored; the least recently used one is evicted
+OVERLOAD_FACTOR = 2.0  # a key is overloaded above this multiple of the mean in flight, per worker of its set
+MIN_MEAN_IN_FLIGHT = 2.0  # lower bound on the mean, so that a few requests are no overload
+MAX_KEY_LOAD = 0.3  # load of one key on each worker of its set, as a multiple of the mean worker load
+SHRINK_AFTER_MS = 3000.0  # a set does not shrink sooner after a change, so that its size does not oscillate
+ZONE_LOCAL_LOAD = 0.6  # load per zone, in mean worker loads, from which a key has a set in each zone
+ZONE_LOCAL_MIN_REQUESTS = 3.0  # recent requests of the key: fewer prove no such load
 
 
 def touch_key(state: DispatcherState, event: RequestReceived, job_class: JobClass) -> AffinityKey:
-    """The record of a request's key, made the most recent one."""
+    """Return the record of the request's key and mark it as the most recently used one."""
     key_id = (event.key or "", job_class.kind)
     key = state.keys.pop(key_id, None) or AffinityKey(state.hash_key(event.key))
     if len(state.keys) >= MAX_KEYS:
@@ -37,19 +37,21 @@
 
 def record_request(key: AffinityKey, now: float) -> None:
     """Count a request of the key."""
-    fading = math.exp((key.last_request_at_ms - now) / REQUEST_TIME_CONSTANT_MS)
-    key.recent_requests = key.recent_requests * fading + 1
+    decay = math.exp((key.last_request_at_ms - now) / REQUEST_TIME_CONSTANT_MS)
+    key.recent_requests = key.recent_requests * decay + 1
     key.last_request_at_ms = now
 
 
 def order_workers(state: DispatcherState, key: AffinityKey, kind: str | None) -> Iterable[Worker]:
-    """The key's workers in rendezvous order, gone ones included: a list change costs what it changes.
+    """Return the workers of a kind (None: of all kinds) in the rendezvous order of the key.
 
-    A key that needs a worker in each zone anyhow has the workers of this zone first: fewer requests cross.
+    Removed workers stay in the order, so that a change of the endpoint list costs only as much as it changes.
+    A key busy enough for a worker in each zone gets the workers of this zone first, so that fewer of its
+    requests cross zones.
     """
 
     def position(worker: Worker) -> float | None:
-        return _position(key.key_hash, worker) if kind in (None, worker.kind) else None
+        return _compute_position(key.key_hash, worker) if kind in (None, worker.kind) else None
 
     order = key.order.extend(state.known_workers, position)
     own_zone = state.settings.zone
@@ -63,35 +65,35 @@
     )
 
 
-def _position(key_hash: int, worker: Worker) -> float:
-    """A worker's share of the keys is its weight over the service time ratio of its kind."""
+def _compute_position(key_hash: int, worker: Worker) -> float:
+    """Return a worker's position. Its share is its weight over the service time ratio of its kind."""
     pool = worker.pool
     share = (pool.largest_weight or worker.weight) / pool.hashed_service_time_ratio
     return rendezvous_position(key_hash, worker.name_hash, share)
 
 
 def reset_orders(state: DispatcherState) -> None:
-    """Make all keys' orders anew: weights have changed, or many workers are gone."""
+    """Rebuild the orders of all keys, because weights have changed or many workers have been removed."""
     state.known_workers = list(state.workers.values())
     for key in state.keys.values():
         key.order.clear()
 
 
 def resize_set(state: DispatcherState, key: AffinityKey, now: float) -> None:
-    """Grow the set of an overloaded key, and shrink it as loads even out.
+    """Grow the set of an overloaded key, and shrink it when the load drops.
 
-    Where own traffic shows little, the key's share of own requests, less one that may be chance, stands for
-    its jobs at all dispatchers.
+    Where this dispatcher sees only a small part of the traffic, the share of the key in its own requests is
+    taken as the share at all dispatchers. One request is subtracted, because it may be due to chance.
     """
     ready_count = len(state.ready_workers)
     mean_in_flight = state.in_flight / max(ready_count, 1)
     overload = OVERLOAD_FACTOR * max(mean_in_flight, MIN_MEAN_IN_FLIGHT)
     request_share = (key.recent_requests - 1) / state.recent_requests
-    wanted = request_share * ready_count / MAX_KEY_LOAD * state.unobserved_share
-    needed = key.in_flight * OVERLOAD_FACTOR / overload
-    if key.in_flight > overload * key.set_size or wanted > key.set_size:
-        key.set_size = min(max(key.set_size + 1, int(wanted)), max(ready_count, 1))
+    wanted_size = request_share * ready_count / MAX_KEY_LOAD * state.unobserved_share
+    needed_size = key.in_flight * OVERLOAD_FACTOR / overload
+    if key.in_flight > overload * key.set_size or wanted_size > key.set_size:
+        key.set_size = min(max(key.set_size + 1, int(wanted_size)), max(ready_count, 1))
         key.resized_at_ms = now
-    elif now - key.resized_at_ms > SHRINK_AFTER_MS and max(wanted, needed) < key.set_size - 1:
+    elif now - key.resized_at_ms > SHRINK_AFTER_MS and max(wanted_size, needed_size) < key.set_size - 1:
         key.set_size -= 1
         key.resized_at_ms = now
--- a/oxbowyard/decision/completion.py
+++ b/oxbowyard/decision/completion.py
@@ -1,4 +1,4 @@
-"""The end of a job: its one final answer, the cancelling of what is in flight, and when it is forgotten."""
+"""The end of a request: its final answer, the cancellation of its attempts and its removal."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 def reject_or_fail(
     state: DispatcherState, request: RequestState, retry_after_ms: float | None = None
 ) -> None:
-    """Answer a job that no worker served.
+    """Answer a request that no worker served.
 
-    It is rejected where it surely never ran or may safely run again, with a Retry-After of `retry_after_ms`
-    (by default as long as its class accepts to wait), and failed otherwise.
+    It is rejected if it never ran or may safely run again, with a Retry-After of `retry_after_ms` (by
+    default the longest wait that its class accepts). Otherwise it fails.
     """
     if request.first_run_worker is None or is_safe_to_retry_anywhere(request.job_class):
         if retry_after_ms is None:
@@ -27,7 +27,7 @@
 
 
 def finish(state: DispatcherState, request: RequestState) -> None:
-    """The job has its answer: cancel its attempts in flight, unless one streams it."""
+    """Mark the request as answered and cancel its attempts in flight, unless one streams the answer."""
     state.queued_requests.pop(request.id, None)
     if not request.is_answered and state.settings.may_cancel and not request.is_streaming:
         for number, attempt in enumerate(request.attempts):
@@ -39,10 +39,10 @@
 
 
 def remove_if_done(state: DispatcherState, request: RequestState) -> None:
-    """Drop a job that has its answer and no attempt in flight; its key's queue moves on."""
+    """Remove a request that is answered and has no attempt in flight, and unblock the queue of its key."""
     if not request.is_answered or request.in_flight:
         return
     state.requests.pop(request.id, None)
-    request.attempts.clear()  # each names its job: a reference cycle that only a full collection would end
+    request.attempts.clear()  # else a reference cycle stays until a full garbage collection
     if request.queue is not None and request.queue.requests.pop(request, 0) is None:
         state.unblocked_queues.append(request.queue)
--- a/oxbowyard/decision/dispatcher.py
+++ b/oxbowyard/decision/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: takes events, returns actions. It has no I/O, no clock and no threads.
+"""The dispatcher: a state machine that takes events and returns actions, without I/O, clock or threads.
 
-Feed it events with `Dispatcher.handle(now, event)` and carry out the actions it returns, in order. The rules
-are in the modules beside it; the mechanism is P-DACA (`routing`, docs/design.md).
+Pass each event to `Dispatcher.handle(now, event)` and carry out the returned actions in order. The rules are
+in the other modules of this package. Routing uses P-DACA (see `routing` and docs/design.md).
 """
 
 from __future__ import annotations
@@ -37,18 +37,15 @@
 from .state import Attempt, DispatcherState, RequestState
 
 TICK_TIMER = 0
-NO_RETRY_RESULTS = (
-    Result.TIMEOUT,
-    Result.INVALID_REQUEST,
-)  # a further attempt would be too late, or rejected too
+NO_RETRY_RESULTS = (Result.TIMEOUT, Result.INVALID_REQUEST)  # a retry would be too late, or invalid again
 
 
 class Dispatcher:
-    """One dispatcher's decisions. The same settings, seed and events lead to the same actions."""
+    """One dispatcher. It is deterministic: the same settings, seed and events lead to the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.state = DispatcherState(settings, seed)
-        self._has_handled = False
+        self._has_handled_event = False
         self._handlers: dict[type[Any], Callable[[float, Any], None]] = {
             RequestReceived: self._on_request_received,
             AttemptStarted: self._on_attempt_started,
@@ -63,9 +60,9 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and return the actions to carry out, in order.
+        """Handle one event and return the actions to carry out, in order.
 
-        `now` is in milliseconds and never goes back.
+        `now` is in milliseconds and must never decrease.
         """
         state = self.state
         state.actions = []
@@ -75,9 +72,9 @@
         if not state.tick_timer_set and (state.queued_requests or state.unstarted_attempts):
             state.tick_timer_set = True
             state.actions.append(SetTimer(TICK_TIMER, state.tick_interval_ms))
-        if not self._has_handled and state.settings.must_subscribe:
+        if not self._has_handled_event and state.settings.must_subscribe:
             endpoints.schedule_subscription(state)
-        self._has_handled = True
+        self._has_handled_event = True
         return state.actions
 
     def _on_request_received(self, now: float, event: RequestReceived) -> None:
@@ -94,13 +91,13 @@
         deadline = now + event.time_left_ms
         request = RequestState(event.request_id, job_class, key, now, deadline, is_over_quota)
         state.requests[request.id] = request
-        relocation.earn_budget(state)
+        relocation.add_move_budget(state)
         if job_class.is_ordered and event.key:
             ordering.enqueue(state, request, event.key)
         place(state, request, now)
 
     def _on_attempt_started(self, now: float, event: AttemptStarted) -> None:
-        attempt = self._attempt(event.request_id, event.attempt)
+        attempt = self._find_attempt(event.request_id, event.attempt)
         if attempt is None or attempt.has_ended or attempt.started_at_ms >= 0:
             return
         attempt.started_at_ms = now
@@ -115,7 +112,7 @@
 
     def _on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         state = self.state
-        attempt = self._attempt(event.request_id, event.attempt)
+        attempt = self._find_attempt(event.request_id, event.attempt)
         if attempt is None or attempt.has_ended:
             return
         request = attempt.request
@@ -141,7 +138,7 @@
             place(state, request, now)
 
     def _release(self, attempt: Attempt, now: float) -> None:
-        """The attempt is no longer in flight."""
+        """Remove an attempt that has ended from everything that counts attempts in flight."""
         state, worker, request = self.state, attempt.worker, attempt.request
         attempt.has_ended = True
         worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
@@ -171,7 +168,7 @@
             self._tick(now)
 
     def _tick(self, now: float) -> None:
-        """Housekeeping: queued jobs are tried again or answered, and unstarted ones moved."""
+        """Place or answer the queued requests, and move the ones that wait unstarted at a worker."""
         state = self.state
         state.tick_timer_set = False
         ordering.remove_empty_queues(state, now)
@@ -190,12 +187,12 @@
             request.queue is not None or now - request.received_at_ms < request.job_class.latency_objective_ms
         )
 
-    def _attempt(self, request_id: str, number: int) -> Attempt | None:
-        """The attempt, or None if the request or the attempt is not known."""
+    def _find_attempt(self, request_id: str, number: int) -> Attempt | None:
+        """Return the attempt, or None if the request or the attempt is unknown."""
         request = self.state.requests.get(request_id)
         if request is None or number >= len(request.attempts):
             return None
         return request.attempts[number]
 
     def _ignore(self, now: float, event: Event) -> None:
-        """Nothing is decided by this event."""
+        """Ignore an event that no decision depends on."""
--- a/oxbowyard/decision/eligibility.py
+++ b/oxbowyard/decision/eligibility.py
@@ -1,4 +1,4 @@
-"""Which workers may get a job at all. Reads the verdicts of the other modules and decides no order."""
+"""Eligibility: which workers may get a request at all. The order among them is decided in `routing`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def is_eligible(state: DispatcherState, worker: Worker, request: RequestState, now: float) -> bool:
-    """Whether the worker may get this job now. It may draw the worker's slow start budget."""
+    """Return whether the worker may get this request now. The call may draw its slow start budget."""
     if not worker.is_ready or worker in request.tried_workers:
         return False
     if outlier_detection.is_ejected(state, worker, request, now):
@@ -26,7 +26,7 @@
 
 
 def _may_probe_stalled(state: DispatcherState, worker: Worker, request: RequestState, now: float) -> bool:
-    """Whether this job may show whether a stalled worker is back: one that can still be moved."""
+    """Return whether this request may probe a stalled worker: it must still be movable to another one."""
     if now < worker.next_probation_at_ms:
         return False
     return (
--- a/oxbowyard/decision/endpoints.py
+++ b/oxbowyard/decision/endpoints.py
@@ -1,6 +1,6 @@
-"""The endpoint list: which workers there are, and the subscription by which the list comes.
+"""The endpoint list: which workers exist, and the subscription that delivers the list.
 
-Writes the workers' entries, the pools and the fleet's lists of workers.
+This module writes the workers, the pools and the lists of workers of `DispatcherState`.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from .load_estimate import record_reported_jobs
 from .state import DispatcherState, Worker, WorkerPool
 
-DEFAULT_SLOTS = 4  # until starts or reports show more
-WEIGHT_NOISE = 1.03  # weights that fall with the load come with some noise
-MIN_GONE_WORKERS = 16  # gone workers that the keys' orders hold at least before they are made anew
-MIN_SUBSCRIBE_BACKOFF_MS = 1000.0  # doubles with each failure
+DEFAULT_SLOTS = 4  # assumed until starts or load reports show more
+WEIGHT_NOISE = 1.03  # factor within which weights that depend on the load vary by chance
+MIN_REMOVED_WORKERS = 16  # removed workers in the orders of the keys before the orders may be rebuilt
+MIN_SUBSCRIBE_BACKOFF_MS = 1000.0  # the backoff doubles with each failure
 MAX_SUBSCRIBE_BACKOFF_MS = 8000.0
-SUBSCRIBE_JITTER = (0.1, 1.0)  # shares of the backoff between which a call is drawn
+SUBSCRIBE_JITTER = (0.1, 1.0)  # range of the share of the backoff that the delay is drawn from
 SUBSCRIBE_TIMER = 1
 
 
 def apply_endpoints(state: DispatcherState, now: float, event: EndpointsChanged) -> None:
-    """Take in an endpoint list, or changes of it; after a failed call, subscribe again later."""
+    """Apply an endpoint list or changes of it. After a failed call, schedule a new subscription."""
     if event.scope is Scope.FAILED:
         if state.settings.must_subscribe and not state.subscribe_timer_set:
             schedule_subscription(state)
@@ -35,7 +35,7 @@
                 worker.is_ready = False
     for info in event.workers:
         _apply_entry(state, info, event.scope, now)
-    _remove_gone_workers(state)
+    _remove_unready_workers(state)
     state.subscribe_backoff_ms = 0.0
     state.ready_workers = [worker for worker in state.workers.values() if worker.is_ready]
     state.zone_count = len({worker.zone for worker in state.ready_workers})
@@ -44,7 +44,7 @@
 
 
 def schedule_subscription(state: DispatcherState) -> None:
-    """Set the timer of the next subscription, after a backoff with jitter."""
+    """Set the timer of the next subscription to a backoff with jitter."""
     backoff_ms = min(max(2 * state.subscribe_backoff_ms, MIN_SUBSCRIBE_BACKOFF_MS), MAX_SUBSCRIBE_BACKOFF_MS)
     state.subscribe_backoff_ms = backoff_ms
     state.subscribe_timer_set = True
@@ -68,12 +68,12 @@
 def _apply_live_weight(
     state: DispatcherState, worker: Worker, weight: float, scope: Scope, now: float
 ) -> None:
-    """A weight that falls with the load: the largest one is the worker's size, the rest tells its load."""
+    """Apply a weight that falls with the load: its largest value is the size, the difference is the load."""
     pool = worker.pool
     if weight > pool.largest_weight:
         is_more_than_noise = weight > pool.largest_weight * WEIGHT_NOISE
         pool.largest_weight = weight
-        if is_more_than_noise:  # the keys' orders were made by a weight under load
+        if is_more_than_noise:  # the orders of the keys were made with a weight under load
             reset_orders(state)
     if state.sparse_traffic and scope is not Scope.RESTORED and weight > 0:
         worker.weight_reported_at_ms = now
@@ -93,11 +93,11 @@
     return worker
 
 
-def _remove_gone_workers(state: DispatcherState) -> None:
-    """Forget workers that are not ready and run nothing of ours."""
-    gone = [worker for worker in state.workers.values() if not worker.is_ready and not worker.in_flight]
-    for worker in gone:
+def _remove_unready_workers(state: DispatcherState) -> None:
+    """Remove workers that are not ready and have no own attempts in flight."""
+    removed = [worker for worker in state.workers.values() if not worker.is_ready and not worker.in_flight]
+    for worker in removed:
         del state.workers[worker.name]
         worker.pool.ejected_count -= worker.failure_count >= 1
-    if len(state.known_workers) > 2 * len(state.workers) + MIN_GONE_WORKERS:
+    if len(state.known_workers) > 2 * len(state.workers) + MIN_REMOVED_WORKERS:
         reset_orders(state)
--- a/oxbowyard/decision/events.py
+++ b/oxbowyard/decision/events.py
@@ -1,8 +1,8 @@
-"""The events that a dispatcher takes in.
+"""The events that a dispatcher handles.
 
-Times are milliseconds; `now` is the caller's clock, which never goes back. Identifiers of requests, workers,
-tenants, zones, kinds and keys are opaque strings. Attempts of a request are numbered 0, 1, 2, ... as they are
-started. Events about requests or attempts that the dispatcher does not know are ignored.
+Times are milliseconds of the caller's clock, which never goes back. Identifiers of requests, workers,
+tenants, zones, kinds and keys are opaque strings. The attempts of a request are numbered 0, 1, 2, ... in the
+order of sending. Events about unknown requests or attempts are ignored.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class Scope(Enum):
-    """What an endpoint list carries."""
+    """The scope of an endpoint list."""
 
     CHANGES = "changes"  # only the entries that changed
-    FULL = "full"  # every worker; one that is absent has been removed
+    FULL = "full"  # every worker: one that is absent has been removed
     RESTORED = "restored"  # the full list as it was before a restart, possibly stale
     FAILED = "failed"  # a call failed or the subscription broke; no entries
 
@@ -34,9 +34,7 @@
 
     OK = "ok"
     ERROR = "error"
-    INVALID_REQUEST = (
-        "rejected"  # a malformed request: no other worker would take it, and this one is not at fault
-    )
+    INVALID_REQUEST = "rejected"  # malformed: any other worker would reject it too, and this one is healthy
     TIMEOUT = "timeout"
     RESET = "reset"
     CANCELLED = "cancelled"
@@ -45,29 +43,33 @@
     NOT_SENT = "not_sent"
 
 
-NEVER_RAN = (Result.FULL, Result.UNREACHABLE, Result.NOT_SENT)  # results that prove that no run began
-MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the work may continue after the result
+NEVER_RAN = (
+    Result.FULL,
+    Result.UNREACHABLE,
+    Result.NOT_SENT,
+)  # the worker certainly did not start the attempt
+MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the worker may still run the attempt
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerInfo:
-    """An entry of the endpoint list. Raises ValueError for a weight that is not above 0."""
+    """An entry of the endpoint list. The weight must be above 0, else ValueError is raised."""
 
     name: str
     readiness: Readiness = Readiness.READY
     zone: str = ""
     kind: str = ""
     cell: int = 0
-    weight: float = 1.0  # size relative to other workers; above 0; 1: unknown
-    started_at_ms: float = 0.0  # clock time of its last start; 0: long ago
-    classes: frozenset[str] | None = None  # the only classes it runs; None: any
-    slots: int = 0  # jobs that it runs at once, the same for its kind; 0: unknown
-    is_exclusive: bool = False  # it takes jobs from this dispatcher alone; the same for its kind
+    weight: float = 1.0  # size relative to other workers; must be above 0; 1 if unknown
+    started_at_ms: float = 0.0  # clock time of its last start; 0: long ago or unknown
+    classes: frozenset[str] | None = None  # the only classes that it runs; None: any
+    slots: int = 0  # jobs that it runs concurrently, equal for all workers of a kind; 0: unknown
+    is_exclusive: bool = False  # it serves this dispatcher only; equal for all workers of a kind
 
     def __post_init__(self) -> None:
-        """Reject a weight that would give it no share of the keys."""
+        """Reject a weight that would give the worker no share of the keys."""
         if not self.weight > 0:
-            raise ValueError("weight must be above 0")
+            raise ValueError(f"weight of worker {self.name!r} must be above 0, got {self.weight!r}")
 
 
 @dataclass(slots=True)
@@ -80,28 +82,28 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerFault:
-    """A fault of a worker, as another dispatcher found it."""
+    """A fault of a worker, reported by another dispatcher."""
 
     worker: str
-    avoid_for_ms: float = 0.0  # milliseconds for which the worker should still be avoided
-    cold_since_ms: float = 0.0  # clock time of its cold start, at the latest; 0: unknown
+    avoid_for_ms: float = 0.0  # remaining time for which the worker should be avoided
+    cold_since_ms: float = 0.0  # latest possible clock time of its cold start; 0: unknown
 
 
 @dataclass(slots=True)
 class PeerFaultsChanged:
-    """All faults that peers report now, in place of those reported before."""
+    """The complete set of faults that peers report now. It replaces the earlier set."""
 
     faults: tuple[WorkerFault, ...] = ()
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client sent a request: the dispatcher now owes it one final answer."""
+    """A client sent a request. The dispatcher must answer it finally exactly once."""
 
     request_id: str
     job_class: str
-    time_left_ms: float  # until the client gives up
-    key: str | None = None  # the data that it needs; None: none in particular
+    time_left_ms: float  # until the deadline of the client
+    key: str | None = None  # identifies the data that the request needs; None: no particular data
     tenant: str | None = None
     slots: int = 1
     is_retry: bool = False
@@ -128,7 +130,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer of a streamed request began: its time-out and deadline no longer apply."""
+    """The answer to a streamed request began: its time-out and deadline no longer apply."""
 
     request_id: str
     attempt: int
@@ -137,27 +139,27 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended. The first OK reaches the client by itself and is the final answer."""
+    """An attempt ended. The caller forwards the first OK to the client by itself: it is the final answer."""
 
     request_id: str
     attempt: int
     worker: str
     result: Result
     duration_ms: float = 0.0
-    is_final: bool = False  # the request has its answer, by this result or an earlier one
+    is_final: bool = False  # the request is answered, by this result or an earlier one
     load: Mapping[str, float] = field(default_factory=dict)  # "waiting" jobs, "free_slots", "errors" a second
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left, or the request was answered without the dispatcher: nothing is owed any more."""
+    """The client left, or the request was answered without the dispatcher: no answer is needed any more."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A health check that ProbeWorker asked for ended."""
+    """The probe that a ProbeWorker action requested has ended."""
 
     worker: str
     result: Result
@@ -167,7 +169,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that SetTimer asked for is due."""
+    """A timer that a SetTimer action requested is due."""
 
     tag: int
 
--- a/oxbowyard/decision/facade.py
+++ b/oxbowyard/decision/facade.py
@@ -1,7 +1,7 @@
-"""The decisions with a clock and timers, for callers that block: the daemon's core and embedding programs.
+"""The facade of the decisions, with a clock and timers, for the daemon's core and for embedding programs.
 
-Every call answers at once with `Decisions`: the actions to carry out, in order, and when to call `tick` next.
-A call about one request may decide about others. What the dispatcher raises is returned, not raised.
+Every call returns `Decisions` at once: the actions to carry out in order, and when to call `tick` next. A
+call about one request may return actions for others. An exception in the dispatcher is returned, not raised.
 """
 
 from __future__ import annotations
@@ -72,29 +72,29 @@
 
 log = logging.getLogger("oxbowyard.decision")
 
-STALL_REPORT_MS = 1000.0  # how long peers should avoid a worker that is stalled
+STALL_REPORT_MS = 1000.0  # how long peers should avoid a stalled worker
 
 
 @dataclass(slots=True, frozen=True)
 class Decisions:
-    """What to do now, and the clock time in milliseconds of the next tick (None: none is needed)."""
+    """The actions to carry out now, and the clock time of the next tick (None: no tick is needed)."""
 
     actions: tuple[RequestAction, ...]
     next_tick_ms: float | None
-    error: Exception | None = None  # raised by the dispatcher; `actions` holds what it had decided before
+    error: Exception | None = None  # raised by the dispatcher; `actions` holds what it decided before
 
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """What the listed workers that may run a class can do, as far as this dispatcher may use them."""
+    """The capacity of the workers that may run a class, as far as this dispatcher may use it."""
 
-    workers: int  # ready ones
-    slots: float  # jobs at once before others wait; a cold worker counts by its warmth
-    is_exclusive: bool  # they take jobs from this dispatcher alone
+    workers: int  # number of ready workers
+    slots: float  # jobs that run concurrently before others wait; a cold worker counts in part
+    is_exclusive: bool  # they serve this dispatcher only
 
 
 class Facade:
-    """One dispatcher with its clock and its timers. `clock` returns milliseconds and may step back."""
+    """One dispatcher with a clock and timers. `clock` returns milliseconds and may step back."""
 
     def __init__(self, settings: Settings, seed: int, clock: Callable[[], float]) -> None:
         self._dispatcher = Dispatcher(settings, seed)
@@ -102,31 +102,34 @@
         self._schedulers = settings.scheduler_count
         self._clock = clock
         self._now_ms = clock()
-        self._timers: list[tuple[float, int, int]] = []  # due time, order of setting, tag
+        self._timers: list[tuple[float, int, int]] = []  # heap of (due time, sequence number, tag)
         self._timer_order = itertools.count()
 
     def replace_classes(self, settings: Settings) -> None:
-        """Use the classes and the number of attempts of these settings for requests received from now on."""
+        """Use the classes and the maximum of attempts of these settings for requests received from now on."""
         self._state.replace_classes(settings.classes, settings.max_attempts)
 
     def set_scheduler_count(self, count: int) -> None:
-        """Set how many dispatchers send to the same workers, this one included.
+        """Set the number of dispatchers that send to the same workers, including this one.
 
-        Quotas, and whether own traffic shows enough of a worker, stay as the settings say.
+        Quotas and `sparse_traffic` still follow the number in the settings that the facade was created with.
         """
         self._schedulers = max(count, 1)
         self._state.settings = replace(self._state.settings, scheduler_count=self._schedulers)
 
     def update_endpoints(self, scope: Scope, workers: tuple[WorkerInfo, ...]) -> Decisions:
-        """Take an endpoint list, or changes of it, from service discovery."""
+        """Apply an endpoint list, or changes of it, from service discovery."""
         return self._handle(EndpointsChanged(scope, workers))
 
     def apply_peer_faults(self, faults: tuple[WorkerFault, ...]) -> Decisions:
-        """Take all worker faults that peers report now; they may spare a worker, never expose it."""
+        """Apply all worker faults that peers report now.
+
+        They may only make the dispatcher avoid a worker, never prefer one.
+        """
         return self._handle(PeerFaultsChanged(faults))
 
     def decide(self, request: RequestReceived) -> Decisions:
-        """Decide about a new request; without a decision its action is QueueRequest."""
+        """Decide about a new request. If nothing is decided yet, its action is QueueRequest."""
         decisions = self._handle(request)
         if decisions.error or any(a.request_id == request.request_id for a in decisions.actions):
             return decisions
@@ -134,11 +137,11 @@
         return Decisions(actions, decisions.next_tick_ms)
 
     def report(self, event: AttemptStarted | AttemptEnded | ClientDisconnected) -> Decisions:
-        """Report what became of an attempt or a client."""
+        """Report the start or end of an attempt, or the disconnect of a client."""
         return self._handle(event)
 
     def tick(self, now: float) -> Decisions:
-        """Fire the timers that are due; call it at `Decisions.next_tick_ms`, or later."""
+        """Fire the timers that are due. Call it at `Decisions.next_tick_ms` or later."""
         actions: list[RequestAction] = []
         error: Exception | None = None
         while self._timers and self._timers[0][0] <= now:
@@ -149,15 +152,15 @@
         return Decisions(tuple(actions), self._next_tick_ms(), error)
 
     def snapshot(self) -> Snapshot:
-        """The estimates, for a process that replaces this one."""
+        """Return the estimates, for the process that replaces this one."""
         return snapshot.take(self._state, self._current_ms())
 
     def restore_snapshot(self, estimates: Snapshot) -> None:
-        """Continue with the estimates of the process that this one replaces."""
+        """Restore the estimates of the process that this one replaces."""
         snapshot.restore(self._state, estimates, self._current_ms())
 
     def worker_faults(self) -> list[WorkerFault]:
-        """Faults of workers that own traffic shows. It walks all ready workers."""
+        """Return the worker faults that own traffic shows. Iterates over all ready workers."""
         state, now = self._state, self._current_ms()
         ramp = state.settings.ramp_ms
         faults = []
@@ -171,7 +174,10 @@
         return faults
 
     def capacity(self, job_class: str) -> Capacity:
-        """What the ready workers for a class can do at once. It walks them: not for each request."""
+        """Return the capacity for a class.
+
+        Iterates over all ready workers, which is too slow to do for each request.
+        """
         state, now = self._state, self._current_ms()
         kind = state.get_class(job_class).kind
         workers = [
@@ -190,28 +196,28 @@
         return self._timers[0][0] if self._timers else None
 
     def _handle(self, event: Event, now: float | None = None) -> Decisions:
-        # The dispatcher's time must never go back, whatever the system's clock does.
+        # The dispatcher's time must never decrease, even if the system clock steps back.
         self._now_ms = max(self._now_ms, self._clock() if now is None else now)
         error: Exception | None = None
         try:
             actions = self._dispatcher.handle(self._now_ms, event)
-        except Exception as failure:  # what it had decided by then stands, and must reach its requests
+        except Exception as exception:  # the actions decided before it are valid and must be carried out
             actions = self._state.actions
-            error = failure
+            error = exception
         request_actions = tuple(a for action in actions if (a := self._carry_out(action)) is not None)
         return Decisions(request_actions, self._next_tick_ms(), error)
 
     def _carry_out(self, action: Action) -> RequestAction | None:
-        """Carry out an action that concerns no request; return one that does."""
+        """Carry out an action that concerns no request, or return one that does."""
         match action:
             case StartAttempt() | RejectRequest() | FailRequest() | CancelAttempt() | QueueRequest():
                 return action
             case SetTimer(tag=tag, delay_ms=delay_ms):
                 heapq.heappush(self._timers, (self._now_ms + delay_ms, next(self._timer_order), tag))
-            case CloseIdleConnections():  # every attempt opens its own connection: none is idle
+            case CloseIdleConnections():  # no idle connections exist: every attempt opens its own
                 pass
             case LogMessage(text=text):
                 log.info("dispatcher message=%r", text)
-            case _:  # endpoint lists are pushed to it, and it does not probe
+            case _:  # SubscribeEndpoints and ProbeWorker: endpoint lists are pushed, probes are unsupported
                 log.warning("dispatcher action not supported action=%s", type(action).__name__)
         return None
--- a/oxbowyard/decision/hashing.py
+++ b/oxbowyard/decision/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which workers serve a key, the same in every process and without coordination."""
+"""Rendezvous hashing: all processes choose the same workers for a key without coordination."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 def hash_name(name: str) -> int:
-    """64 bits of a name, the same in every process, unlike hash()."""
+    """Return a 64-bit hash of a name. Unlike hash(), it is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def rendezvous_position(key: int, salt: int, share: float) -> float:
-    """The position of one member in a key's order, the smallest first.
+    """Return the position of one member in the order of a key. The smallest position comes first.
 
-    Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): a member comes first in as many keys'
-    orders as its `share`, above 0, says. `key` and `salt` (the member's hash) hold 64 bits.
+    This is weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): a member comes first for a part
+    of the keys that is proportional to its `share`, which must be above 0. `key` and `salt` (the hash of the
+    member) are 64-bit integers.
     """
     mixed = ((key ^ salt) * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     mixed = ((mixed ^ (mixed >> 31)) * 0xBF58476D1CE4E5B9) & 0xFFFFFFFFFFFFFFFF
@@ -30,16 +31,16 @@
 
 @dataclass(slots=True)
 class RendezvousOrder(Generic[T]):
-    """The members of one key's order, sorted by position, with new members inserted as they become known."""
+    """The order of one key: its members sorted by position. New members are inserted as they become known."""
 
     members: list[T] = field(default_factory=list)
     positions: list[float] = field(default_factory=list)
-    known_count: int = 0  # how many of all members ever known were looked at
+    known_count: int = 0  # how much of the list passed to `extend` has been processed
 
     def extend(self, known: list[T], position: Callable[[T], float | None]) -> list[T]:
-        """Insert what was appended to `known` since the last call, and return all members in order.
+        """Insert the members appended to `known` since the last call, and return all members in order.
 
-        A member whose position is None is left out. The cost grows with what was appended alone.
+        A member whose position is None is left out. The cost depends only on the number of appended members.
         """
         if self.known_count < len(known):
             added = {
@@ -57,7 +58,7 @@
         return self.members
 
     def clear(self) -> None:
-        """Forget all members: positions have changed."""
+        """Remove all members, because positions have changed."""
         self.members = []
         self.positions = []
         self.known_count = 0
--- a/oxbowyard/decision/load_estimate.py
+++ b/oxbowyard/decision/load_estimate.py
@@ -1,8 +1,8 @@
-"""Estimates of a worker's load and of the wait in its queue.
+"""Estimates of the load of a worker and of the wait in its queue.
 
-A dispatcher sees its own jobs only. Where the deployment reports loads, the reports are used; otherwise other
-dispatchers are taken to load a worker as this one does, on average, and as the fleet as a whole is loaded.
-Writes the workers' load fields and the fleet's estimates.
+A dispatcher observes its own attempts only. Where workers report their loads, the reports are used. Otherwise
+the other dispatchers are assumed to load a worker as this one does on average, mixed with the mean load of
+the fleet. This module writes the load fields of the workers and the estimates of the fleet.
 """
 
 from __future__ import annotations
@@ -13,65 +13,66 @@
 from .slow_start import warmth
 from .state import DispatcherState, Worker
 
-MEAN_TIME_CONSTANT_MS = 6000.0  # own attempts are averaged over about two jobs' time
-PRIOR_JOBS = 3.0  # the fleet's mean weighs as much as this many own jobs at a worker
-QUEUE_WAIT_TIME_CONSTANT_MS = 1000.0  # what one start showed of a queue fades over about a job's time
-WEIGHT_REPORT_VALID_MS = 4000.0  # weights that fall with the load are renewed about every second
-WEIGHT_REPORT_HIDDEN_SHARE = 0.3  # of what own traffic hides, the share that such weights hide too
-REQUEST_TIME_CONSTANT_MS = 10000.0  # recent requests are counted over this time
-CONNECTION_COST_TIME_CONSTANT_MS = 10000.0  # new connections are few: their cost is kept for long
-REPORTED_JOBS_SAMPLES = 18
+MEAN_TIME_CONSTANT_MS = 6000.0  # own attempts are averaged over about the duration of two jobs
+PRIOR_JOBS = 3.0  # weight of the fleet's mean load, in own attempts at a worker
+QUEUE_WAIT_TIME_CONSTANT_MS = 1000.0  # the wait of one start decays over about the duration of one job
+WEIGHT_REPORT_VALID_MS = 4000.0  # weights that depend on the load are updated about every second
+WEIGHT_REPORT_HIDDEN_SHARE = 0.3  # part of the unobserved load that such weights do not show either
+REQUEST_TIME_CONSTANT_MS = 10000.0  # the count of recent requests decays over this time
+CONNECTION_COST_TIME_CONSTANT_MS = 10000.0  # long, because new connections are rare
+REPORTED_JOBS_SAMPLES = 18  # reports over which the mean of a pool is taken
 
 
 def estimate_load(state: DispatcherState, worker: Worker, now: float) -> float:
-    """The jobs at a worker: own attempts, and an estimate of the other dispatchers' jobs."""
+    """Return the estimated number of jobs at a worker: own attempts plus those of other dispatchers."""
     pool = worker.pool
     if pool.is_exclusive:
         return worker.in_flight
     own_mean = worker.mean_in_flight.update(worker.in_flight, now, MEAN_TIME_CONSTANT_MS)
     peers = state.settings.scheduler_count - 1
-    # Other dispatchers spare a cold worker too.
-    usual = warmth(state, worker, now) * (pool.mean_reported_jobs or peers * state.mean_worker_in_flight)
+    # Other dispatchers also send less to a cold worker.
+    expected = warmth(state, worker, now) * (pool.mean_reported_jobs or peers * state.mean_worker_in_flight)
     if pool.mean_reported_jobs:
-        report_age_span_ms = (
-            pool.mean_service_time_ms or MEAN_TIME_CONSTANT_MS
-        )  # then the jobs it counted have ended
-        usual += (worker.reported_jobs - usual) * math.exp((worker.reported_at_ms - now) / report_age_span_ms)
+        # A report decays over one service time, because the jobs that it counted have ended by then.
+        report_decay_ms = pool.mean_service_time_ms or MEAN_TIME_CONSTANT_MS
+        expected += (worker.reported_jobs - expected) * math.exp(
+            (worker.reported_at_ms - now) / report_decay_ms
+        )
         if now - worker.weight_reported_at_ms < WEIGHT_REPORT_VALID_MS:
-            return worker.in_flight + max(usual - worker.own_jobs_at_report, 0.0)
-        usual = max(usual - worker.in_flight, 0.0)
-    prior = state.fleet_mean_weight
-    return worker.in_flight + peers * own_mean * (1 - prior) + usual * prior
+            return worker.in_flight + max(expected - worker.own_jobs_at_report, 0.0)
+        expected = max(expected - worker.in_flight, 0.0)
+    fleet_weight = state.fleet_mean_weight
+    return worker.in_flight + peers * own_mean * (1 - fleet_weight) + expected * fleet_weight
 
 
 def estimate_queue_wait_ms(state: DispatcherState, worker: Worker, now: float) -> float:
-    """The wait in milliseconds that a new job would have at a worker.
+    """Return the estimated wait of a new job in the queue of a worker.
 
-    It follows the wait of the own job that started there last, which fades, and is no shorter than the wait
-    so far of the oldest own job that has not started.
+    It is the wait of the own attempt that started there last, decaying to the usual wait, and at least the
+    time for which the oldest unstarted own attempt has waited so far.
     """
     pool = worker.pool
-    usual = pool.mean_queue_wait_ms * state.unobserved_share
-    if pool.mean_service_time_ms and _load_tells_queue(state, worker, now):
+    usual_ms = pool.mean_queue_wait_ms * state.unobserved_share
+    if pool.mean_service_time_ms and _is_queue_reported(state, worker, now):
         excess = max(estimate_load(state, worker, now) - pool.slots, 0.0)
-        usual = excess * pool.mean_service_time_ms / (pool.slots * warmth(state, worker, now))
-    fading = math.exp((worker.queue_wait_at_ms - now) / QUEUE_WAIT_TIME_CONSTANT_MS)
-    wait = usual + (worker.queue_wait_ms - usual) * fading
+        usual_ms = excess * pool.mean_service_time_ms / (pool.slots * warmth(state, worker, now))
+    decay = math.exp((worker.queue_wait_at_ms - now) / QUEUE_WAIT_TIME_CONSTANT_MS)
+    wait_ms = usual_ms + (worker.queue_wait_ms - usual_ms) * decay
     if worker.unstarted:
         oldest = next(iter(worker.unstarted))
-        wait = max(wait, now - oldest.sent_at_ms - 2 * worker.min_start_delay_ms)
-    return wait
+        wait_ms = max(wait_ms, now - oldest.sent_at_ms - 2 * worker.min_start_delay_ms)
+    return wait_ms
 
 
-def _load_tells_queue(state: DispatcherState, worker: Worker, now: float) -> bool:
-    """Whether reports tell the worker's queue better than own starts do."""
+def _is_queue_reported(state: DispatcherState, worker: Worker, now: float) -> bool:
+    """Return whether load reports describe the worker's queue better than the starts of own attempts."""
     if now - worker.weight_reported_at_ms < WEIGHT_REPORT_VALID_MS:
         return True
     return bool(state.sparse_traffic and worker.pool.mean_reported_jobs and not state.weights_reported)
 
 
 def record_reported_jobs(worker: Worker, jobs: float, now: float) -> None:
-    """Take in a report of the number of jobs at a worker."""
+    """Record a report of the number of jobs at a worker."""
     worker.reported_jobs = max(jobs, 0.0)
     worker.own_jobs_at_report = worker.in_flight
     worker.reported_at_ms = now
@@ -80,18 +81,20 @@
 
 
 def refresh_fleet_estimates(state: DispatcherState, now: float) -> None:
-    """Bring the fleet's estimates up to the arrival of a request: how much own traffic tells of a worker."""
+    """Update the estimates of the fleet when a request arrives, such as the unobserved share of its load."""
     elapsed = now - state.load_updated_at_ms
     state.load_updated_at_ms = now
     mean_in_flight = state.in_flight / max(len(state.ready_workers), 1)
     state.mean_worker_in_flight += (mean_in_flight - state.mean_worker_in_flight) * -math.expm1(
         -elapsed / MEAN_TIME_CONSTANT_MS
     )
-    service_time = max((pool.mean_service_time_ms for pool in state.pools.values()), default=0.0)
-    known_jobs = state.mean_worker_in_flight * MEAN_TIME_CONSTANT_MS / service_time if service_time else 0.0
+    service_time_ms = max((pool.mean_service_time_ms for pool in state.pools.values()), default=0.0)
+    observed_jobs = (
+        state.mean_worker_in_flight * MEAN_TIME_CONSTANT_MS / service_time_ms if service_time_ms else 0.0
+    )
     state.recent_requests = state.recent_requests * math.exp(-elapsed / REQUEST_TIME_CONSTANT_MS) + 1
     state.connection_cost_ms *= math.exp(-elapsed / CONNECTION_COST_TIME_CONSTANT_MS)
-    state.fleet_mean_weight = PRIOR_JOBS / (known_jobs + PRIOR_JOBS)
+    state.fleet_mean_weight = PRIOR_JOBS / (observed_jobs + PRIOR_JOBS)
     hidden_share = WEIGHT_REPORT_HIDDEN_SHARE if state.weights_reported else 1.0
     state.unobserved_share = state.fleet_mean_weight * (1 - 1 / state.settings.scheduler_count) * hidden_share
     if len(state.quotas) >= quotas.MIN_TENANTS and state.settings.scheduler_count > 1:
--- a/oxbowyard/decision/observation.py
+++ b/oxbowyard/decision/observation.py
@@ -1,4 +1,4 @@
-"""What the starts and ends of attempts tell: queues, slots, service times, speeds and failures of workers."""
+"""Estimates from the starts and ends of attempts: queues, slots, service times, speeds and failures."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from .ranking import FAILURE_TIME_CONSTANT_MS, QUEUED_WAIT_SHARE, record_speed
 from .state import MAX_SERVICE_TIME_RATIO, SERVICE_TIME_SAMPLES, Attempt, DispatcherState, Worker
 
-SLOTS_STEP = 0.1  # how far one start moves the estimated slots
-QUEUE_WAIT_SAMPLES = 6  # starts over which a pool's mean wait is taken
+SLOTS_STEP = 0.1  # share of the difference by which one start moves the estimated slots
+QUEUE_WAIT_SAMPLES = 6  # starts over which the mean wait of a pool is taken
 CONNECTION_COST_SAMPLES = 8
 SERVICE_TIME_RATIO_SAMPLES = 50
-REHASH_TOLERANCE = 0.15  # a service time ratio that has moved this far changes the keys' orders
+REHASH_TOLERANCE = 0.15  # relative change of a service time ratio from which the orders are rebuilt
 
-UNSTARTED_FAILURE_SCORE = 0.25  # a job that never started tells less than one that failed
-MAX_UNSTARTED_FAILURES = 0.5  # it may have waited in a queue that own traffic does not show
-SUCCESS_FAILURE_FACTOR = 0.7  # of the failure score, what a success leaves
+UNSTARTED_FAILURE_SCORE = 0.25  # less than for a failure: an attempt that never started proves less
+MAX_UNSTARTED_FAILURES = 0.5  # bounded, because the request may have waited in a queue of other traffic
+SUCCESS_FAILURE_FACTOR = 0.7  # a success multiplies the failure score by this factor
 RESPONSE_RESULTS = (Result.OK, Result.ERROR, Result.FULL)
 
 
 def observe_start(state: DispatcherState, attempt: Attempt, now: float) -> None:
-    """A worker began to run an attempt."""
+    """Update the estimates when a worker starts to run an attempt."""
     worker, pool = attempt.worker, attempt.worker.pool
     worker.last_progress_at_ms = now
     if state.settings.fifo_workers:
         outlier_detection.record_lost_attempts(state, attempt, now)
-    # A worker is taken to cache the data of as many keys as it runs jobs.
+    # Assume that a worker caches the data of as many keys as it runs jobs concurrently.
     attempt.key_was_cached = worker.cached_keys.touch(attempt.request.key.key_hash, pool.max_concurrency)
     pool.max_concurrency = max(pool.max_concurrency, len(worker.running))
     pool.first_start_at_ms = min(pool.first_start_at_ms, now)
@@ -39,8 +39,8 @@
     worker.queue_wait_at_ms = now
     if attempt.opens_connection:
         worker.open_connections += 1
-        price_ms = max(worker.queue_wait_ms - pool.mean_queue_wait_ms, 0.0)
-        _record_connection_cost(state, price_ms)
+        cost_ms = max(worker.queue_wait_ms - pool.mean_queue_wait_ms, 0.0)
+        _record_connection_cost(state, cost_ms)
     pool.mean_queue_wait_ms += (worker.queue_wait_ms - pool.mean_queue_wait_ms) / QUEUE_WAIT_SAMPLES
     was_queued = worker.queue_wait_ms > QUEUED_WAIT_SHARE * pool.mean_service_time_ms
     if not was_queued and worker not in state.recent_idle_workers:
@@ -49,16 +49,16 @@
 
 
 def _adjust_slots(state: DispatcherState, attempt: Attempt, was_queued: bool) -> None:
-    """Move the pool's slots towards the load at which this job was queued, or was not."""
+    """Move the slots of the pool towards the load at which this attempt was queued, or was not."""
     pool = attempt.worker.pool
-    # Where the load is a mean the true one may be larger by its deviation.
+    # An estimated load may be too low by about its standard deviation.
     load = attempt.load_before + math.sqrt(attempt.load_before * state.unobserved_share)
     if pool.mean_service_time_ms and was_queued == (load < pool.slots):
         pool.slots = max(pool.slots + SLOTS_STEP * (load - pool.slots), pool.min_slots)
 
 
 def observe_end(state: DispatcherState, attempt: Attempt, event: AttemptEnded, now: float) -> None:
-    """An attempt ended."""
+    """Update the estimates when an attempt has ended."""
     worker, result = attempt.worker, event.result
     has_started = attempt.started_at_ms >= 0
     if not has_started and result in (Result.TIMEOUT, Result.CANCELLED):
@@ -87,7 +87,7 @@
             )
             worker.failure_score.add(1.0, now, FAILURE_TIME_CONSTANT_MS)
         case Result.FULL if attempt.load_before < worker.pool.slots and not worker.pool.is_exclusive:
-            # It has free slots: it rejects the class.
+            # The worker has free slots, so it rejects the class.
             outlier_detection.record_class_failure(
                 state, worker, job_class, outlier_detection.FAILURE_WEIGHT, now
             )
@@ -111,7 +111,7 @@
 
 
 def _record_service_time(state: DispatcherState, attempt: Attempt, service_time: float) -> None:
-    """The class's mean, what a fetch of a key's data adds to it, and the pool's ratio to it."""
+    """Update the mean of the class, the cost of fetching a key's data, and the ratio of the pool."""
     name, worker, pool = attempt.request.job_class.name, attempt.worker, attempt.worker.pool
     state.key_fetch_cost_ms.add(name, not attempt.key_was_cached, service_time)
     class_mean = state.service_times_ms.add(name, service_time)
@@ -128,13 +128,13 @@
 ) -> None:
     worker.open_connections = 0
     if event.result is Result.UNREACHABLE:
-        # The process of a dead worker refuses connections at once; a slow one lets them time out.
+        # If the process is dead, the connection is refused at once. A slow worker lets it time out.
         refused = event.duration_ms < state.settings.connect_timeout_ms / 2
         if refused and not worker.is_unreachable:
             worker.is_unreachable = True
             worker.unreachable_since_ms = now
-        _record_connection_cost(state, 2 * event.duration_ms)  # it takes another attempt
-    # A dead worker resets all its connections: if others hold, the fault may be the connection's.
+        _record_connection_cost(state, 2 * event.duration_ms)  # doubled, because another attempt is needed
+    # A dead worker resets all its connections. If others stay open, only this connection may have failed.
     is_lone_reset = event.result is Result.RESET and worker.in_flight
     failures = outlier_detection.LONE_RESET_WEIGHT if is_lone_reset else outlier_detection.FAILURE_WEIGHT
     outlier_detection.record_connection_failure(state, worker, failures, now)
--- a/oxbowyard/decision/placement.py
+++ b/oxbowyard/decision/placement.py
@@ -1,4 +1,4 @@
-"""What becomes of a job now: an attempt at a worker, a place in the queue, or its final answer."""
+"""Placement: a request is sent to a worker, queued, or answered finally."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def place(state: DispatcherState, request: RequestState, now: float) -> None:
-    """Send the job, queue it, or give it its final answer."""
-    if request.deadline_ms - now <= state.tick_interval_ms:  # the next tick would answer it too late
+    """Send the request, queue it, or answer it finally."""
+    if request.deadline_ms - now <= state.tick_interval_ms:  # the next tick would be too late for an answer
         reject_or_fail(state, request)
         return
     state.queued_requests[request.id] = request
@@ -26,17 +26,17 @@
             reject_or_fail(state, request)
         return
     choice = choose_worker(state, request, now)
-    if choice.worker is None:  # no worker, or all of them were tried: the next tick tries all again
+    if choice.worker is None:  # none is eligible, or all were tried: the next tick tries all
         request.tried_workers.clear()
     elif not choice.is_probation and should_reject(state, request, choice.worker, choice.rank, now):
-        over_quota_wait = state.settings.max_retry_after_ms if request.is_over_quota else None
-        reject_or_fail(state, request, over_quota_wait)
+        retry_after_ms = state.settings.max_retry_after_ms if request.is_over_quota else None
+        reject_or_fail(state, request, retry_after_ms)
     else:
         _send(state, request, choice.worker, now)
 
 
 def place_next_in_queue(state: DispatcherState, queue: KeyQueue, now: float) -> None:
-    """Send the first job of a key's queue if nothing blocks it; forget a queue that is empty."""
+    """Place the first request of a key's queue if the queue is not blocked. Remove an empty queue."""
     first = next(iter(queue.requests), None)
     if now < queue.blocked_until_ms:
         return
@@ -52,7 +52,8 @@
         request.job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
         and worker.open_connections > worker.in_flight
     ):
-        # What is written to an idle connection of a worker that was cut off is lost, and may have run.
+        # A request written to an idle connection of a worker that has become unreachable is lost, and it is
+        # unknown whether it ran.
         worker.open_connections = worker.in_flight
         state.actions.append(CloseIdleConnections(worker.name))
     attempt = Attempt(
--- a/oxbowyard/decision/quotas.py
+++ b/oxbowyard/decision/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: a token bucket each, and how this dispatcher's traffic compares with the others'."""
+"""Quotas of tenants: one token bucket per tenant, scaled to the traffic that this dispatcher gets."""
 
 from __future__ import annotations
 
@@ -8,39 +8,37 @@
 
 from .settings import Settings
 
-QUOTA_MARGIN_WINDOW_S = (
-    20.0  # a quota grows by the root of the requests of this time: rare requests exceed it by chance
-)
-BURST_S = 3.0  # a tenant may save up its quota for this long: arrivals cluster
-BURST_REQUESTS = 3.0  # and this many jobs besides
-RATE_TIME_CONSTANT_MS = 5000.0  # a tenant's rate is averaged over this time
-MIN_TENANTS = 3  # with fewer tenants their median tells nothing
-MAX_TRAFFIC_RATIO = 4.0  # bound on how uneven the traffic of dispatchers is believed to be
+QUOTA_MARGIN_WINDOW_S = 20.0  # the refill rate has a margin of one deviation over this time, for chance
+BURST_S = 3.0  # capacity of a bucket in seconds of its quota, because arrivals cluster
+BURST_REQUESTS = 3.0  # requests added to this capacity
+RATE_TIME_CONSTANT_MS = 5000.0  # the rate of a tenant is averaged over this time
+MIN_TENANTS = 3  # with fewer tenants, their median is not meaningful
+MAX_TRAFFIC_RATIO = 4.0  # upper bound on the assumed imbalance of traffic between dispatchers
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The quota of one tenant at one dispatcher. Rates are requests a second."""
+    """The quota of one tenant at one dispatcher."""
 
-    quota: float
-    refill: float  # tokens a second
+    quota_per_s: float
+    refill_per_s: float  # tokens per second
     capacity: float  # tokens
     rate_time_constant_ms: float
     tokens: float
-    rate: float = 0.0
+    rate_per_s: float = 0.0  # requests received, decaying mean
     refilled_at_ms: float = 0.0
 
     def try_acquire(self, now: float, traffic_ratio: float) -> bool:
-        """Count one request and take a token for it; False if the quota is used up.
+        """Count one request and take a token for it. Return False if the quota is used up.
 
-        `traffic_ratio` multiplies the refill: how much more traffic than the mean this dispatcher gets.
+        The refill rate is multiplied by `traffic_ratio`, the traffic of this dispatcher over the mean.
         """
         elapsed = now - self.refilled_at_ms
         self.refilled_at_ms = now
-        self.rate += (1000 / self.rate_time_constant_ms) - self.rate * -math.expm1(
+        self.rate_per_s += (1000 / self.rate_time_constant_ms) - self.rate_per_s * -math.expm1(
             -elapsed / self.rate_time_constant_ms
         )
-        self.tokens = min(self.tokens + elapsed * self.refill * traffic_ratio / 1000, self.capacity)
+        self.tokens = min(self.tokens + elapsed * self.refill_per_s * traffic_ratio / 1000, self.capacity)
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -48,29 +46,28 @@
 
 
 def create_token_buckets(settings: Settings) -> dict[str, TokenBucket]:
-    """A bucket for each tenant with a quota, by name: the dispatcher's equal part of the quota."""
-    quotas = {
+    """Return a bucket per tenant with a quota, by name. Each dispatcher gets an equal part of a quota."""
+    quotas_per_s = {
         tenant.name: tenant.quota_per_s / settings.scheduler_count
         for tenant in settings.tenants
         if tenant.quota_per_s
     }
     return {
         name: TokenBucket(
-            quota=quota,
-            refill=quota + math.sqrt(quota / QUOTA_MARGIN_WINDOW_S),
-            capacity=BURST_S * quota + BURST_REQUESTS,
+            quota_per_s=quota_per_s,
+            refill_per_s=quota_per_s + math.sqrt(quota_per_s / QUOTA_MARGIN_WINDOW_S),
+            capacity=BURST_S * quota_per_s + BURST_REQUESTS,
             rate_time_constant_ms=RATE_TIME_CONSTANT_MS,
-            tokens=quota,
+            tokens=quota_per_s,
         )
-        for name, quota in quotas.items()
+        for name, quota_per_s in quotas_per_s.items()
     }
 
 
 def estimate_traffic_ratio(buckets: Iterable[TokenBucket]) -> float:
-    """This dispatcher's traffic over the mean dispatcher's, at least 1.
+    """Return the traffic of this dispatcher over that of the mean dispatcher, at least 1.
 
-    Dispatchers do not get equal traffic. The median tenant is taken to send what its quota allows, at this
-    dispatcher as elsewhere.
+    Dispatchers do not get equal traffic. The median tenant is assumed to send as much as its quota allows.
     """
-    ratios = sorted(bucket.rate / bucket.quota for bucket in buckets)
+    ratios = sorted(bucket.rate_per_s / bucket.quota_per_s for bucket in buckets)
     return max(ratios[len(ratios) // 2], 1.0)
--- a/oxbowyard/decision/relocation.py
+++ b/oxbowyard/decision/relocation.py
@@ -1,7 +1,7 @@
-"""Moving jobs that have not started to workers that would start them at once.
+"""Relocation: unstarted requests are moved to workers that would start them at once.
 
-Only jobs that may run twice are moved, and only as many as a budget allows that each request adds to: a guard
-against retry storms. Writes the attempts' `reconsider_at_ms` and the budget.
+Only requests that may run twice are moved, and only within a budget that grows with each received request, to
+prevent retry storms. This module writes `Attempt.reconsider_at_ms` and the budget.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from .settings import RetrySafety
 from .state import Attempt, DispatcherState
 
-MIN_WAIT_BEFORE_MOVE_SHARE = 0.25  # of its latency objective: how long a job waits before it may move
-MOVES_PER_REQUEST = 0.2
+MIN_WAIT_BEFORE_MOVE_SHARE = 0.25  # of the latency objective: a request waits this long before it may move
+MOVES_PER_REQUEST = 0.2  # amount that each received request adds to the budget
 MAX_MOVE_BUDGET = 10.0
 
 
-def earn_budget(state: DispatcherState) -> None:
-    """A request adds its part to the budget."""
+def add_move_budget(state: DispatcherState) -> None:
+    """Add the share of one received request to the budget."""
     state.move_budget = min(state.move_budget + MOVES_PER_REQUEST, MAX_MOVE_BUDGET)
 
 
 def move_unstarted_requests(state: DispatcherState, now: float) -> None:
-    """Cancel attempts that wait too long where another worker would start the job soon.
+    """Cancel attempts that have waited for too long if another worker would start the request soon.
 
-    The end of the cancelled attempt places the job anew.
+    The AttemptEnded event of the cancelled attempt then places the request again.
     """
     for attempt in list(state.unstarted_attempts):
-        shortest_wait = state.unknown_class.latency_objective_ms * MIN_WAIT_BEFORE_MOVE_SHARE
-        if state.move_budget < 1 or now - attempt.sent_at_ms < shortest_wait:
+        min_wait_ms = state.unknown_class.latency_objective_ms * MIN_WAIT_BEFORE_MOVE_SHARE
+        if state.move_budget < 1 or now - attempt.sent_at_ms < min_wait_ms:
             break
         if _may_move(attempt, now):
             _move_if_better(state, attempt, now)
@@ -40,7 +40,8 @@
     request = attempt.request
     if request.job_class.retry_safety is not RetrySafety.IDEMPOTENT or attempt.is_cancelled:
         return False
-    if _is_load_reported(attempt) and len(request.attempts) > 1:  # the ranks are believed: one move is enough
+    # With load reports the ranks are reliable, so one move is enough.
+    if _is_load_reported(attempt) and len(request.attempts) > 1:
         return False
     waits_until = attempt.sent_at_ms + request.job_class.latency_objective_ms * MIN_WAIT_BEFORE_MOVE_SHARE
     return now >= max(attempt.reconsider_at_ms, waits_until)
@@ -49,7 +50,7 @@
 def _move_if_better(state: DispatcherState, attempt: Attempt, now: float) -> None:
     request = attempt.request
     waited_ms = now - attempt.sent_at_ms
-    attempt.reconsider_at_ms = 2 * now - attempt.sent_at_ms  # the longer it waits, the rarer: it costs CPU
+    attempt.reconsider_at_ms = 2 * now - attempt.sent_at_ms  # at growing intervals, to save CPU time
     request.tried_workers.append(attempt.worker)
     choice = choose_worker(state, request, now)
     if choice.worker is None:
--- a/oxbowyard/decision/retry.py
+++ b/oxbowyard/decision/retry.py
@@ -1,4 +1,7 @@
-"""What may be attempted again, and where: no job that must not run twice is sent while it may have run."""
+"""Retries: whether a request may be attempted again, and at which workers.
+
+A request that must not run twice is not sent again once an attempt of it may have run.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def may_attempt(state: DispatcherState, request: RequestState, now: float) -> bool:
-    """Whether the job may have an attempt, or one more, at some worker."""
+    """Return whether the request may have a first or a further attempt at any worker."""
     if len(request.attempts) >= state.settings.max_attempts:
         return False
     if request.deadline_ms - now <= state.tick_interval_ms:
@@ -22,9 +25,9 @@
 
 
 def may_attempt_at(request: RequestState, worker: Worker, now: float) -> bool:
-    """Whether this worker may run the job, given where an attempt may have run.
+    """Return whether this worker may run the request, given where an earlier attempt may have run.
 
-    A deduplicated job is repeated only at workers that remember its first run, and while they do.
+    A deduplicated request is retried only at workers that remember its first run, and only while they do.
     """
     first_worker, job_class = request.first_run_worker, request.job_class
     if first_worker is None or job_class.retry_safety is RetrySafety.IDEMPOTENT:
@@ -42,7 +45,7 @@
 
 
 def is_safe_to_retry_anywhere(job_class: JobClass) -> bool:
-    """Whether a client's retry of a job that may have run does no harm, whichever worker gets it."""
+    """Return whether a client may safely retry a request that may have run, whichever worker gets it."""
     if job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return True
     return job_class.retry_safety is RetrySafety.DEDUPLICATED and job_class.dedup_scope == "all"
--- a/oxbowyard/decision/settings.py
+++ b/oxbowyard/decision/settings.py
@@ -1,6 +1,6 @@
 """The settings of a dispatcher: job classes, tenants, and the rules and limits of its deployment.
 
-Times are milliseconds. How the platform words these settings is in `platform_settings`.
+Times are milliseconds. `platform_settings` parses them from the platform's settings document.
 """
 
 from __future__ import annotations
@@ -11,76 +11,78 @@
 
 
 class RetrySafety(Enum):
-    """What a second run of a request would do."""
+    """Whether a request may run twice."""
 
-    IDEMPOTENT = "free"  # idempotent: it does no harm
-    DEDUPLICATED = "guarded"  # dropped by the workers that remember the first run, by its idempotency key
-    NOT_IDEMPOTENT = "single_shot"  # not idempotent: a second run must never happen
+    IDEMPOTENT = "free"  # a second run does no harm
+    DEDUPLICATED = "guarded"  # workers that remember the first run drop a second one
+    NOT_IDEMPOTENT = "single_shot"  # a second run must never happen
 
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
     """A class of requests.
 
-    An answer within the latency objective earns the full priority weight. The deadline is the client's
-    patience over all its tries. Both are milliseconds above 0.
+    An answer within the latency objective earns the full priority weight. The deadline is the time after
+    which the client gives up, all its retries included. Both are milliseconds above 0.
     """
 
     name: str
     latency_objective_ms: float
     deadline_ms: float
     retry_safety: RetrySafety = RetrySafety.NOT_IDEMPOTENT
-    # DEDUPLICATED only: which workers drop a repeat ("all", "zone" or "cell"), and for how long after the
-    # first attempt that may have run.
+    # For DEDUPLICATED only: which workers drop a second run ("all", or those of the same "zone" or "cell"),
+    # and for how long after the first attempt that may have run.
     dedup_scope: str = "all"
     dedup_window_ms: float = 0.0
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
+    objective_stretch: float = 0.0  # the objective is extended by this multiple of the request's own work
     priority_weight: float = 1.0
-    late_weight_share: float = 0.0  # of the weight, that an answer after the objective still earns
+    late_weight_share: float = 0.0  # part of the weight that an answer after the objective still earns
     kind: str | None = None  # the only kind of worker that runs it; None: any
     streaming: bool = False
-    is_ordered: bool = False  # requests of such classes with one key run one at a time, in order of arrival
+    is_ordered: bool = False  # requests with the same key run one at a time, in order of arrival
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota at all dispatchers together."""
+    """A tenant and its total quota at all dispatchers."""
 
     name: str
-    quota_per_s: float = 0.0  # requests a second within its share; 0: unlimited
+    quota_per_s: float = 0.0  # requests per second; 0: unlimited
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a dispatcher is configured with. Raises ValueError for impossible values."""
+    """The settings of a dispatcher. Invalid values raise ValueError."""
 
     classes: tuple[JobClass, ...]
-    scheduler_count: int = 1  # dispatchers that send to the same workers, this one included; at least 1
+    scheduler_count: int = 1  # dispatchers that send to the same workers, including this one; at least 1
     zone: str = ""
-    weight_is_per_work: bool = False  # weight counts per unit of work, not per request
+    weight_is_per_work: bool = False  # a priority weight is per unit of work, not per request
     tenants: tuple[Tenant, ...] = ()
-    over_quota_weight_share: float = 1.0  # of the weight, that a request over its quota earns
-    must_subscribe: bool = False  # endpoint lists come only to those that subscribe
-    max_poll_interval_ms: float = math.inf  # without a poll for this long, changes count as notified
-    live_weights: bool = False  # a worker's weight is its size, reduced by the jobs that it holds
+    over_quota_weight_share: float = 1.0  # part of the weight that a request over its quota earns
+    must_subscribe: bool = False  # endpoint lists are only sent to subscribers
+    max_poll_interval_ms: float = math.inf  # after this time without a poll, changes count as notified
+    live_weights: bool = False  # the weight of a worker is its size, reduced by its present jobs
     reports_starts: bool = False  # workers report the start of a job
     fifo_workers: bool = False  # workers start queued jobs first in, first out
     progress_interval_ms: float = 0.0  # interval of workers' progress reports; 0: none
     may_probe: bool = False
     may_cancel: bool = False
-    may_hedge: bool = False  # hedged requests: two attempts of one request may be in flight together
+    may_hedge: bool = False  # two attempts of one request may be in flight concurrently
     max_attempts: int = 1  # at least 1
     max_retry_after_ms: float = 0.0  # the longest Retry-After that clients honour
     connect_timeout_ms: float = 250.0
-    connection_idle_timeout_ms: float = 60000.0  # an idle connection is closed after this time
+    connection_idle_timeout_ms: float = 60000.0  # idle connections are closed after this time
     drain_grace_ms: float = 0.0  # sends to a draining worker must stop within this time
-    initial_capacity_share: float = 1.0  # of a worker that starts; above 0, at most 1
-    ramp_ms: float = 0.0  # and all of it after this time
-    overload_multiple: float = 3.0  # of its present capacity: a cold worker that is sent more collapses
-    overload_window_ms: float = 1000.0  # over this time
-    ordered_gap_ms: float = 0.0  # an ordered key rests this long after an attempt that may still run
-    waste_cost: float = 0.0  # price of work that served no answer, as a share of the work offered
-    probe_cost: float = 0.0  # price of one probe per request
+    initial_capacity_share: float = (
+        1.0  # share of its capacity that a starting worker has; above 0, at most 1
+    )
+    ramp_ms: float = 0.0  # time after which a started worker has its full capacity
+    overload_multiple: float = 3.0  # a cold worker collapses if sent more than this multiple of its capacity
+    overload_window_ms: float = 1000.0  # time over which this overload is measured
+    ordered_gap_ms: float = 0.0  # an ordered key is blocked this long after an attempt that may still run
+    waste_cost: float = 0.0  # cost of work that led to no answer, as a share of the offered work
+    probe_cost: float = 0.0  # cost of one probe per request
 
     def __post_init__(self) -> None:
         """Reject settings that are missing or out of range."""
--- a/oxbowyard/decision/slow_start.py
+++ b/oxbowyard/decision/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how warm a restarted worker is, and how much may be sent to it while it is cold.
+"""Slow start: the present capacity of a restarted worker, and how much may be sent to it while it is cold.
 
 A cold worker collapses if all dispatchers together send it more than `Settings.overload_multiple` times its
-present capacity over `Settings.overload_window_ms`. Each dispatcher keeps to its share of a smaller budget.
-Writes the workers' budget fields.
+present capacity within `Settings.overload_window_ms`. Each dispatcher stays within its share of a smaller
+budget. This module writes the budget fields of the workers.
 """
 
 from __future__ import annotations
@@ -12,28 +12,29 @@
 from . import estimators
 from .state import DispatcherState, Worker, WorkerPool
 
-BUDGET_SHARE = 0.6  # of the budget: capacity is estimated, and arrivals at other dispatchers cluster
-BURST_ALLOWANCE_DEVIATIONS = 4.0  # the dispatchers' total stays within the budget by this many deviations
+BUDGET_SHARE = 0.6  # part of the budget that is used: capacity is an estimate, and arrivals cluster
+BURST_ALLOWANCE_DEVIATIONS = 4.0  # standard deviations between the total of all dispatchers and the budget
 
 
 def is_warming_up(state: DispatcherState, worker: Worker, now: float) -> bool:
-    """Whether the worker started less than the ramp ago."""
+    """Return whether the worker started less than the ramp ago."""
     return now < worker.started_at_ms + state.settings.ramp_ms
 
 
 def warmth(state: DispatcherState, worker: Worker, now: float) -> float:
-    """The share of its capacity that a worker has by now: it grows to 1 over the ramp."""
+    """Return the share of its capacity that a worker has now. It grows to 1 over the ramp."""
     settings = state.settings
     if worker.started_at_ms <= 0 or now - worker.started_at_ms >= settings.ramp_ms:
         return 1.0
-    elapsed = max(now - worker.started_at_ms, 0.0)
+    elapsed_ms = max(now - worker.started_at_ms, 0.0)
     return (
-        settings.initial_capacity_share + (1 - settings.initial_capacity_share) * elapsed / settings.ramp_ms
+        settings.initial_capacity_share
+        + (1 - settings.initial_capacity_share) * elapsed_ms / settings.ramp_ms
     )
 
 
 def budget_allows_send(state: DispatcherState, worker: Worker, now: float) -> bool:
-    """Whether this dispatcher may send one more job to the worker in the present budget window."""
+    """Return whether this dispatcher may send one more request to the worker in the current budget window."""
     settings = state.settings
     current_warmth = warmth(state, worker, now)
     if current_warmth >= 1:
@@ -48,35 +49,41 @@
 
 
 def _draw_budget(state: DispatcherState, worker: Worker, current_warmth: float, now: float) -> int:
-    """This dispatcher's sends in one window; a share below one gives one send in some windows, at random."""
+    """Draw how many requests this dispatcher may send in one window.
+
+    If its share is below one request, it may send one in randomly chosen windows.
+    """
     settings, pool = state.settings, worker.pool
-    service_time = _service_time_ms(state, pool, now)
+    service_time_ms = _estimate_service_time_ms(state, pool, now)
     budget = (
         settings.overload_multiple
         * current_warmth
         * pool.max_concurrency
-        / service_time
+        / service_time_ms
         * settings.overload_window_ms
     )
     sends = int(BUDGET_SHARE * budget / settings.scheduler_count)
     if sends:
         return sends
-    # The total at which a Poisson burst of this many deviations just reaches the budget.
+    # The mean total at which a Poisson burst of this many deviations just reaches the budget.
     deviations = BURST_ALLOWANCE_DEVIATIONS
     mean_total = (math.sqrt(deviations**2 + 4 * budget) - deviations) ** 2 / 4
     return int(state.random.random() < mean_total / settings.scheduler_count)
 
 
-def _service_time_ms(state: DispatcherState, pool: WorkerPool, now: float) -> float:
-    """The pool's mean service time; at first jobs that still run count too, since short ones end first."""
-    default = state.settings.overload_window_ms
-    if now - pool.first_start_at_ms >= default:
-        return pool.mean_service_time_ms or default
-    running = [
+def _estimate_service_time_ms(state: DispatcherState, pool: WorkerPool, now: float) -> float:
+    """Return the mean service time of the pool.
+
+    Soon after the first start, running attempts count too, because short ones end first.
+    """
+    default_ms = state.settings.overload_window_ms
+    if now - pool.first_start_at_ms >= default_ms:
+        return pool.mean_service_time_ms or default_ms
+    running_ms = [
         now - attempt.started_at_ms
         for worker in state.ready_workers
         if worker.pool is pool
         for attempt in worker.running
     ]
-    mean = estimators.censored_mean(pool.mean_service_time_ms, pool.completed_jobs, running, default)
-    return max(pool.mean_service_time_ms, min(mean, default))
+    mean_ms = estimators.censored_mean(pool.mean_service_time_ms, pool.completed_jobs, running_ms, default_ms)
+    return max(pool.mean_service_time_ms, min(mean_ms, default_ms))
--- a/oxbowyard/decision/snapshot.py
+++ b/oxbowyard/decision/snapshot.py
@@ -1,8 +1,8 @@
-"""A dispatcher's estimates as plain data, for the process that replaces it.
+"""Snapshots of the estimates of a dispatcher, for the process that replaces it.
 
-Estimates alone: requests and attempts stay with the process that took them. Times are milliseconds of a clock
-that both processes share. `STORED_KEYS` names the fields as they are written to disk (`handover.learned`);
-they stay as they are while the names here may change.
+A snapshot holds no requests or attempts: they stay with the process that received them. Times are
+milliseconds of a clock that both processes share. `STORED_KEYS` maps the fields to their names on disk
+(`handover.learned`). The fields here may be renamed, their names on disk may not.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from .state import AffinityKey, ClassEjection, DispatcherState, Worker, WorkerPool
 
 VERSION = 1
-MAX_SNAPSHOT_KEYS = 500  # affinity sets that are handed over, those of the busiest keys
+MAX_SNAPSHOT_KEYS = 500  # affinity sets in a snapshot, those of the busiest keys
 
 
 @dataclass(slots=True)
 class PoolEstimates:
-    """The workers of one kind; the fields are those of `state.WorkerPool`."""
+    """Estimates of the workers of one kind. The fields are those of `state.WorkerPool`."""
 
     max_concurrency: int
     slots: float
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class WorkerEstimates:
-    """The load and health of one worker; the fields are those of `state.Worker`."""
+    """Load and health of one worker. The fields are those of `state.Worker`."""
 
     started_at_ms: float
     reported_jobs: float
@@ -54,7 +54,8 @@
     ejected_until_ms: float
     is_unreachable: bool
     unreachable_since_ms: float
-    class_ejections: dict[str, tuple[float, float]] = field(default_factory=dict)  # failures, until when
+    # By class: the failure count and the end of the ejection.
+    class_ejections: dict[str, tuple[float, float]] = field(default_factory=dict)
     cold_sends_at_ms: list[float] = field(default_factory=list)
     cached_keys: list[int] = field(default_factory=list)
 
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """All estimates of a dispatcher at `taken_at_ms`."""
+    """The estimates of a dispatcher at `taken_at_ms`."""
 
     version: int
     taken_at_ms: float
@@ -164,8 +165,8 @@
 
 
 def take(state: DispatcherState, now: float) -> Snapshot:
-    """The estimates as they are now."""
-    busiest = sorted(state.keys.items(), key=lambda item: item[1].recent_requests, reverse=True)
+    """Return a snapshot of the current estimates."""
+    busiest_keys = sorted(state.keys.items(), key=lambda item: item[1].recent_requests, reverse=True)
     with_fetch, without_fetch = state.key_fetch_cost_ms.state()
     return Snapshot(
         version=VERSION,
@@ -178,30 +179,30 @@
         mean_worker_in_flight=state.mean_worker_in_flight,
         recent_requests=state.recent_requests,
         traffic_ratio=state.traffic_ratio,
-        pools={kind: _pool_estimates(pool) for kind, pool in state.pools.items()},
-        workers={worker.name: _worker_estimates(worker) for worker in state.workers.values()},
-        keys=[_key_estimates(key_id, key) for key_id, key in busiest[:MAX_SNAPSHOT_KEYS] if key_id[0]],
+        pools={kind: _export_pool(pool) for kind, pool in state.pools.items()},
+        workers={worker.name: _export_worker(worker) for worker in state.workers.values()},
+        keys=[_export_key(key_id, key) for key_id, key in busiest_keys[:MAX_SNAPSHOT_KEYS] if key_id[0]],
     )
 
 
 def restore(state: DispatcherState, snapshot: Snapshot, now: float) -> None:
-    """Continue with the estimates of a snapshot.
+    """Restore the estimates of a snapshot.
 
-    Of a worker that has restarted since, only what its kind has shown is used; workers that are not listed
-    here are left out.
+    Estimates of a worker that has restarted since are ignored, except those of its kind. Workers that are not
+    in the endpoint list here are ignored too.
     """
-    for kind, estimates in snapshot.pools.items():
+    for kind, pool_estimates in snapshot.pools.items():
         pool = state.pools.get(kind)
-        if pool is not None and pool.completed_jobs < estimates.completed_jobs:
-            _apply_pool(pool, estimates)
-    for name, known in snapshot.workers.items():
+        if pool is not None and pool.completed_jobs < pool_estimates.completed_jobs:
+            _restore_pool(pool, pool_estimates)
+    for name, worker_estimates in snapshot.workers.items():
         worker = state.workers.get(name)
-        if worker is not None and worker.started_at_ms <= known.started_at_ms:
-            _apply_worker(state, worker, known)
+        if worker is not None and worker.started_at_ms <= worker_estimates.started_at_ms:
+            _restore_worker(state, worker, worker_estimates)
     for class_name in state.classes:
         refresh_failing_everywhere(state, class_name, now)
     for key in snapshot.keys:
-        _apply_key(state, key)
+        _restore_key(state, key)
     state.service_times_ms.restore(snapshot.service_times_ms)
     state.key_fetch_cost_ms.restore(
         snapshot.service_times_with_fetch_ms,
@@ -215,20 +216,20 @@
     state.load_updated_at_ms = now
 
 
-def _pool_estimates(pool: WorkerPool) -> PoolEstimates:
+def _export_pool(pool: WorkerPool) -> PoolEstimates:
     return PoolEstimates(**{name: getattr(pool, name) for name in PoolEstimates.__slots__})
 
 
-def _apply_pool(pool: WorkerPool, known: PoolEstimates) -> None:
+def _restore_pool(pool: WorkerPool, estimates: PoolEstimates) -> None:
     for name in PoolEstimates.__slots__:
-        setattr(pool, name, getattr(known, name))
+        setattr(pool, name, getattr(estimates, name))
 
 
-def _worker_estimates(worker: Worker) -> WorkerEstimates:
+def _export_worker(worker: Worker) -> WorkerEstimates:
     ejections = worker.class_ejections.items()
     return WorkerEstimates(
         **{name: getattr(worker, name) for name in COPIED_WORKER_FIELDS},
-        reported_at_ms=max(worker.reported_at_ms, 0.0),  # 0: long ago
+        reported_at_ms=max(worker.reported_at_ms, 0.0),  # 0 in place of -inf: long ago
         failure_score=worker.failure_score.value,
         failure_score_at_ms=worker.failure_score.updated_at_ms,
         failure_count=worker.failure_count,
@@ -238,34 +239,34 @@
     )
 
 
-def _apply_worker(state: DispatcherState, worker: Worker, known: WorkerEstimates) -> None:
+def _restore_worker(state: DispatcherState, worker: Worker, estimates: WorkerEstimates) -> None:
     for name in COPIED_WORKER_FIELDS:
-        setattr(worker, name, getattr(known, name))
-    worker.reported_at_ms = known.reported_at_ms
-    worker.own_jobs_at_report = 0  # the jobs of the replaced process are another's now
-    worker.failure_score = DecayingScore(known.failure_score, known.failure_score_at_ms)
-    set_failure_count(worker, known.failure_count)
+        setattr(worker, name, getattr(estimates, name))
+    worker.reported_at_ms = estimates.reported_at_ms
+    worker.own_jobs_at_report = 0  # the attempts of the replaced process are not own ones
+    worker.failure_score = DecayingScore(estimates.failure_score, estimates.failure_score_at_ms)
+    set_failure_count(worker, estimates.failure_count)
     worker.class_ejections = {
         name: ClassEjection(failures, until_ms)
-        for name, (failures, until_ms) in known.class_ejections.items()
+        for name, (failures, until_ms) in estimates.class_ejections.items()
         if name in state.classes
     }
-    worker.cold_sends_at_ms = deque(sorted([*known.cold_sends_at_ms, *worker.cold_sends_at_ms]))
-    for key_hash in known.cached_keys:
-        worker.cached_keys.touch(key_hash, len(known.cached_keys))
+    worker.cold_sends_at_ms = deque(sorted([*estimates.cold_sends_at_ms, *worker.cold_sends_at_ms]))
+    for key_hash in estimates.cached_keys:
+        worker.cached_keys.touch(key_hash, len(estimates.cached_keys))
 
 
-def _key_estimates(key_id: tuple[str, str | None], key: AffinityKey) -> KeyEstimates:
+def _export_key(key_id: tuple[str, str | None], key: AffinityKey) -> KeyEstimates:
     name, kind = key_id
     return KeyEstimates(
         name, kind, key.set_size, key.recent_requests, key.last_request_at_ms, key.resized_at_ms
     )
 
 
-def _apply_key(state: DispatcherState, known: KeyEstimates) -> None:
-    key = state.keys.setdefault((known.name, known.kind), AffinityKey(state.hash_key(known.name)))
-    key.set_size = max(key.set_size, known.set_size)
-    if known.last_request_at_ms > key.last_request_at_ms:
-        key.recent_requests = known.recent_requests
-        key.last_request_at_ms = known.last_request_at_ms
-        key.resized_at_ms = known.resized_at_ms
+def _restore_key(state: DispatcherState, estimates: KeyEstimates) -> None:
+    key = state.keys.setdefault((estimates.name, estimates.kind), AffinityKey(state.hash_key(estimates.name)))
+    key.set_size = max(key.set_size, estimates.set_size)
+    if estimates.last_request_at_ms > key.last_request_at_ms:
+        key.recent_requests = estimates.recent_requests
+        key.last_request_at_ms = estimates.last_request_at_ms
+        key.resized_at_ms = estimates.resized_at_ms
