--- a/oxbowyard/simhost.py
+++ b/oxbowyard/simhost.py
@@ -1,6 +1,7 @@
-"""The adapter between the simulator's wire and a dispatcher's events and actions. It decides nothing.
+"""Adapter between the protocol of the simulator and the events and actions of dispatchers.
 
-The wire's names end here: this module maps them to those of `decision.events` and `decision.actions`.
+This module maps the names of the protocol to those of `decision.events` and `decision.actions`. No other
+module uses them.
 """
 
 from __future__ import annotations
@@ -40,114 +41,136 @@
 
 
 class WireError(Exception):
-    """The other side broke the wire's format."""
+    """The simulator sent a line that violates the protocol."""
 
 
-def _worker(row: list[Any]) -> events.WorkerInfo:
-    name, zone, kind, cell, readiness, heft, since = (*row, None, None)[:7]
+def _parse_worker(row: list[Any]) -> events.WorkerInfo:
+    name, zone, kind, cell, readiness, weight, started_at_ms = (*row, None, None)[:7]
     state = READINESS[readiness]
-    return events.WorkerInfo(name, state, zone or "", kind or "", cell or 0, heft or 1.0, since or 0.0)
+    return events.WorkerInfo(
+        name, state, zone or "", kind or "", cell or 0, weight or 1.0, started_at_ms or 0.0
+    )
 
 
-def encode(who: int, action: actions.Action) -> bytes:
-    """One action as a line of the wire."""
+def encode(instance_id: int, action: actions.Action) -> bytes:
+    """Encode an action as a line of the protocol."""
     line: list[Any]
     match action:
         case actions.StartAttempt(request_id=request_id, worker=worker, timeout_ms=timeout):
-            line = ["passOn", who, request_id, worker, timeout]
+            line = ["passOn", instance_id, request_id, worker, timeout]
         case actions.SetTimer(tag=tag, delay_ms=delay):
-            line = ["defer", who, tag, delay]
+            line = ["defer", instance_id, tag, delay]
         case actions.RejectRequest(request_id=request_id, retry_after_ms=retry_after):
-            line = ["decline", who, request_id, retry_after]
+            line = ["decline", instance_id, request_id, retry_after]
         case actions.FailRequest(request_id=request_id):
-            line = ["giveUp", who, request_id]
+            line = ["giveUp", instance_id, request_id]
         case actions.CancelAttempt(request_id=request_id, attempt=attempt):
-            line = ["abandon", who, request_id, attempt]
+            line = ["abandon", instance_id, request_id, attempt]
         case actions.ProbeWorker(worker=worker):
-            line = ["soundOut", who, worker]
+            line = ["soundOut", instance_id, worker]
         case actions.CloseIdleConnections(worker=worker):
-            line = ["close", who, worker]
+            line = ["close", instance_id, worker]
         case actions.SubscribeEndpoints():
-            line = ["follow", who, True]
+            line = ["follow", instance_id, True]
         case actions.LogMessage(text=text):
-            line = ["record", who, text]
+            line = ["record", instance_id, text]
         case actions.QueueRequest():
             raise TypeError("the wire has no line for QueueRequest: a request without an action is queued")
     return orjson.dumps(line)
 
 
 class SimulatorSession:
-    """The instances of one process and the lists that the wire numbers for all of them."""
+    """The dispatchers of one process, and the endpoint lists that the protocol numbers for all of them."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Dispatcher] = {}
-        self.lists: dict[int, tuple[events.WorkerInfo, ...]] = {}
-        self.loads: dict[int, dict[str, str]] = {}
-        self.translate: dict[str, Callable[[int, list[Any]], events.Event | None]] = {
+        self.endpoint_lists: dict[int, tuple[events.WorkerInfo, ...]] = {}
+        self.load_names: dict[int, dict[str, str]] = {}
+        self.translators: dict[str, Callable[[int, list[Any]], events.Event | None]] = {
             "membership": self._membership,
-            "submit": lambda who, m: events.RequestReceived(
-                m[2], m[4], m[8], m[12] if len(m) > 12 else None, m[3] or None, m[9] or 1, bool(m[10])
+            "submit": lambda instance_id, message: events.RequestReceived(
+                message[2],
+                message[4],
+                message[8],
+                message[12] if len(message) > 12 else None,
+                message[3] or None,
+                message[9] or 1,
+                bool(message[10]),
             ),
-            "statusBack": lambda who, m: events.ProbeEnded(m[2], RESULTS[m[4]], m[3], self._load(who, m, 5)),
-            "ackFirst": lambda who, m: events.StreamStarted(m[2], m[3], m[4]),
-            "aborted": lambda who, m: events.ClientDisconnected(m[2]),
-            "notice": lambda who, m: (
-                events.AttemptStarted(m[2], m[6], m[4])
-                if m[3] == 1
-                else events.AttemptProgressed(m[2], m[6], m[4], m[5] or 0.0)
+            "statusBack": lambda instance_id, message: events.ProbeEnded(
+                message[2], RESULTS[message[4]], message[3], self._parse_load(instance_id, message, 5)
             ),
-            "outcome": lambda who, m: events.AttemptEnded(
-                m[2], m[3], m[4], RESULTS[m[5]], m[6], bool(m[7]), self._load(who, m, 9)
+            "ackFirst": lambda instance_id, message: events.StreamStarted(message[2], message[3], message[4]),
+            "aborted": lambda instance_id, message: events.ClientDisconnected(message[2]),
+            "notice": lambda instance_id, message: (
+                events.AttemptStarted(message[2], message[6], message[4])
+                if message[3] == 1
+                else events.AttemptProgressed(message[2], message[6], message[4], message[5] or 0.0)
             ),
-            "reminder": lambda who, m: events.TimerFired(m[2]),
-            "memo": lambda who, m: None,
+            "outcome": lambda instance_id, message: events.AttemptEnded(
+                message[2],
+                message[3],
+                message[4],
+                RESULTS[message[5]],
+                message[6],
+                bool(message[7]),
+                self._parse_load(instance_id, message, 9),
+            ),
+            "reminder": lambda instance_id, message: events.TimerFired(message[2]),
+            "memo": lambda instance_id, message: None,
         }
 
-    def _membership(self, who: int, m: list[Any]) -> events.Event:
-        scope = SCOPES[m[2]]
-        return events.EndpointsChanged(scope, () if scope is events.Scope.FAILED else self.lists[m[4]])
+    def _membership(self, instance_id: int, message: list[Any]) -> events.Event:
+        scope = SCOPES[message[2]]
+        return events.EndpointsChanged(
+            scope, () if scope is events.Scope.FAILED else self.endpoint_lists[message[4]]
+        )
 
-    def _load(self, who: int, m: list[Any], place: int) -> dict[str, float]:
-        gauge = m[place] if len(m) > place else None
-        if not gauge:
+    def _parse_load(self, instance_id: int, message: list[Any], index: int) -> dict[str, float]:
+        report = message[index] if len(message) > index else None
+        if not report:
             return NO_LOAD
-        names = self.loads[who]
-        return {names[k]: v for k, v in (gauge.items() if isinstance(gauge, dict) else gauge) if k in names}
+        names = self.load_names[instance_id]
+        return {
+            names[name]: value
+            for name, value in (report.items() if isinstance(report, dict) else report)
+            if name in names
+        }
 
-    def born(self, who: int, seed: int, facts: dict[str, Any]) -> None:
-        """Start an instance that knows nothing but its settings."""
-        self.instances[who] = Dispatcher(parse_settings(facts), seed)
-        self.loads[who] = get_load_report_names(facts)
+    def start_instance(self, instance_id: int, seed: int, settings: dict[str, Any]) -> None:
+        """Start a dispatcher without estimates."""
+        self.instances[instance_id] = Dispatcher(parse_settings(settings), seed)
+        self.load_names[instance_id] = get_load_report_names(settings)
 
-    def handle_line(self, now: float, m: list[Any]) -> list[bytes]:
+    def handle_line(self, now: float, message: list[Any]) -> list[bytes]:
         """Handle one event line and return the lines of its actions."""
-        name = m[0]
+        name = message[0]
         if name == "inventory":
-            self.lists[m[1]] = tuple(_worker(row) for row in m[2])
+            self.endpoint_lists[message[1]] = tuple(_parse_worker(row) for row in message[2])
             return []
-        who = m[1]
+        instance_id = message[1]
         if name == "born":
-            self.born(who, m[2], m[3])
+            self.start_instance(instance_id, message[2], message[3])
             return []
         if name == "powerOff":
-            self.instances.pop(who, None)
+            self.instances.pop(instance_id, None)
             return []
-        translate = self.translate.get(name)
-        instance = self.instances.get(who)
+        translate = self.translators.get(name)
+        instance = self.instances.get(instance_id)
         if translate is None or instance is None:
             return []
-        event = translate(who, m)
+        event = translate(instance_id, message)
         if event is None:
             return []
         try:
-            return [encode(who, action) for action in instance.handle(now, event)]
-        except Exception as failure:  # the wire wants the text of any failure of the decisions
-            return [orjson.dumps(["internalError", who, f"{type(failure).__name__}: {failure}"])]
+            return [encode(instance_id, action) for action in instance.handle(now, event)]
+        except Exception as failure:  # the protocol reports any exception of a dispatcher
+            return [orjson.dumps(["internalError", instance_id, f"{type(failure).__name__}: {failure}"])]
 
 
 def serve(lines: Iterable[bytes], out: BinaryIO) -> None:
-    """Answer batch after batch until the input ends."""
-    link = SimulatorSession()
+    """Answer each batch until the input ends."""
+    session = SimulatorSession()
     now: float | None = None
     reply: list[bytes] = []
     for number, line in enumerate(lines, 1):
@@ -166,7 +189,7 @@
                 out.flush()
                 now = None
             else:
-                reply.extend(link.handle_line(now, message))
+                reply.extend(session.handle_line(now, message))
         except WireError as fault:
             raise WireError(f"line {number}: {fault}") from None
         except (ValueError, TypeError, LookupError, AttributeError) as fault:
@@ -176,7 +199,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; one plain message on standard error if the wire is broken."""
+    """Serve standard input and output. Print one line to standard error if the protocol is violated."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as fault:
