--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -258,7 +258,7 @@
     def _cancel(self, name: str, attempt: int) -> None:
         work = self._open.pop((name, attempt), None)
         if work is not None:
-            worker = self.schedulers[work.scheduler].state.jobs[name].attempts[attempt].worker.name
+            worker = self.schedulers[work.scheduler].state.requests[name].attempts[attempt].worker.name
             self._tell_end(worker, work, AttemptResult.CANCELLED, self.now - work.sent, final=False)
 
     def _tell_end(self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -209,7 +209,7 @@
     world.settle()
     d = world.d
     assert (
-        not d.state.jobs
+        not d.state.requests
         and not d.state.queued_requests
         and not d.state.unstarted_attempts
         and d.state.in_flight == 0
--- a/tests/test_workers_in_part.py
+++ b/tests/test_workers_in_part.py
@@ -63,7 +63,7 @@
     home = served(d, 1, "warm")
     assert ask(d, 300, "once1", "once") == home
     d.handle(611, AttemptEnded("once1", 0, home, Result.FULL, 311))
-    assert d.state.jobs["once1"].attempts[-1].worker.name != home
+    assert d.state.requests["once1"].attempts[-1].worker.name != home
     for i in range(3):  # again and again: longer than its first bar
         now = 700 + 40 * i
         assert ask(d, now, f"once-{i}", "once") != home
@@ -77,7 +77,7 @@
         ask(d, 300, f"r{i}", "once")
     last = next(reversed(home.unstarted))
     assert last.load_before >= home.pool.slots
-    d.handle(400, AttemptEnded(last.job.id, 0, home.name, Result.FULL, 100))
+    d.handle(400, AttemptEnded(last.request.id, 0, home.name, Result.FULL, 100))
     assert home.queue_wait_ms > 0 and ONCE.name not in home.class_ejections
 
 
