--- a/benchmarks/waiting_lag.py
+++ b/benchmarks/waiting_lag.py
@@ -12,7 +12,7 @@
 import asyncio
 import time
 
-from oxbowyard.core.clock import steady_unix_ms
+from oxbowyard.core.clock import make_unix_ms_clock
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.core.service_measure import ServiceMeasure
@@ -35,7 +35,7 @@
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         """Wait for the word."""
-        context.written = True
+        context.is_last_byte_written = True
         context.on_started()
         await self.go.wait()
         if request.id != "j0":  # children are freed; running them is not measured here
@@ -45,7 +45,7 @@
 
 async def one(shape: str, how: str, jobs: int) -> tuple[float, float, int]:
     """Longest stand-still and the whole, in ms, and how many ended."""
-    clock, worker = steady_unix_ms(), Worker()
+    clock, worker = make_unix_ms_clock(), Worker()
     settings = Settings(classes=CLASSES, reports_starts=True)
     measure = ServiceMeasure(CLASSES)
     scheduler = Scheduler(settings, Facade(settings, 1, clock), worker, clock, measure, Limits())
--- a/oxbowyard/backends/answer_lines.py
+++ b/oxbowyard/backends/answer_lines.py
@@ -9,7 +9,7 @@
 
 from ..core.request import AttemptOutcome
 from ..decision.facade import Result
-from .load_report import parse_figures
+from .load_report import parse_load_values
 
 log = logging.getLogger("oxbowyard.backends")
 
@@ -43,7 +43,7 @@
     def __init__(self, request_id: str, load_names: Mapping[str, str]) -> None:
         self._request_id = request_id
         self._load_names = load_names
-        self._broken_lines = 0
+        self._malformed_line_count = 0
         self.line_count = 0
         self.is_started = False
         self.progress: float | None = None  # the share that is done, by the latest line that told it
@@ -53,7 +53,7 @@
         self.line_count += 1
         message = _parse(line)
         if message is None or message.get("id") != self._request_id:
-            self._log_broken(line)
+            self._log_malformed(line)
             return None
         state = message.get("state")
         if state == "started":
@@ -69,7 +69,7 @@
 
     def _outcome(self, state: str, message: Mapping[str, object]) -> AttemptOutcome:
         report = message.get("load")
-        load = parse_figures(report, self._load_names) if isinstance(report, dict) else {}
+        load = parse_load_values(report, self._load_names) if isinstance(report, dict) else {}
         if state != "done":
             return AttemptOutcome(FINAL_STATES[state], load=load, reason=state)
         result = message.get("result")
@@ -77,9 +77,9 @@
             return AttemptOutcome(Result.ERROR, load=load, reason="done without a result")
         return AttemptOutcome(Result.OK, result.encode(), load)
 
-    def _log_broken(self, line: bytes) -> None:
-        self._broken_lines += 1
-        if self._broken_lines <= MAX_LOGGED_LINES:
+    def _log_malformed(self, line: bytes) -> None:
+        self._malformed_line_count += 1
+        if self._malformed_line_count <= MAX_LOGGED_LINES:
             log.warning("broken answer line passed over: request=%s line=%.120r", self._request_id, line)
 
 
--- a/oxbowyard/backends/answer_tail.py
+++ b/oxbowyard/backends/answer_tail.py
@@ -11,7 +11,7 @@
 MAX_TAIL_BYTES = 1 << 16
 # What the library raises for an answer that breaks off or cannot be read: ValueError
 # for a line that is too long, and AnswerTooLongError of our own.
-BROKEN_ANSWER = (aiohttp.ClientError, OSError, HttpProcessingError, ValueError)
+ANSWER_READ_ERRORS = (aiohttp.ClientError, OSError, HttpProcessingError, ValueError)
 
 
 class AnswerTooLongError(ValueError):
@@ -59,7 +59,7 @@
         if size > MAX_TAIL_BYTES:
             raise AnswerTooLongError
         response.release()
-    except (TimeoutError, *BROKEN_ANSWER):
+    except (TimeoutError, *ANSWER_READ_ERRORS):
         response.close()
     except asyncio.CancelledError:
         response.close()
--- a/oxbowyard/backends/http.py
+++ b/oxbowyard/backends/http.py
@@ -17,14 +17,14 @@
     AttemptUpdate,
     Request,
     UpdateKind,
-    lease_recorded,
     reason_not_to_send,
+    wait_for_lease_record,
 )
 from ..decision.facade import Result
 from ..discovery.registry import Registry
 from .answer_lines import MAX_LINES, AnswerReader, outcome_of_status
-from .answer_tail import BROKEN_ANSWER, AnswerTooLongError, TailReader
-from .load_report import parse_header
+from .answer_tail import ANSWER_READ_ERRORS, AnswerTooLongError, TailReader
+from .load_report import parse_load_header
 
 LAST_BYTE_DELAY_S = 0.010  # between the rest of a body and its last byte, for a job that must not run twice
 READ_BUFFER_BYTES = 1 << 18  # the library reads lines of up to twice this; 64 KiB may grow sixfold in JSON
@@ -103,7 +103,7 @@
         except (aiohttp.ClientError, OSError) as fault:
             if isinstance(fault.__cause__, _NotSentError):
                 return AttemptOutcome(Result.NOT_SENT, reason=str(fault.__cause__))
-            return _broken_connection(fault, context)
+            return _outcome_of_broken_connection(fault, context)
         return await self._read_answer(response, request, context)
 
     async def _body(
@@ -112,7 +112,7 @@
         """The body in pieces; the library asks for the first one when the connection is up, and sends the
         headers with it.
 
-        `context.written` is set before the last byte goes: a break while it is written may leave it sent.
+        `context.is_last_byte_written` is set before the last byte goes: a break while it is written may leave it sent.
         """
         if self._registry.address(backend) != address:
             # While it connected, its grace period for requests ended, or it moved to another address.
@@ -126,9 +126,11 @@
             yield payload
             await asyncio.sleep(LAST_BYTE_DELAY_S)
             unsent = last_byte
-        await lease_recorded(request, backend)  # a record that comes after the last byte may never come
+        await wait_for_lease_record(
+            request, backend
+        )  # a record that comes after the last byte may never come
         _check_still_wanted(request, context)
-        context.written = True
+        context.is_last_byte_written = True
         yield unsent
         self.sent_attempts[request.job_class] += 1  # the library asks for more once this piece is written
 
@@ -137,15 +139,15 @@
     ) -> AttemptOutcome:
         is_complete = False
         try:
-            load = parse_header(response.headers.get(LOAD_HEADER), self._load_names)
+            load = parse_load_header(response.headers.get(LOAD_HEADER), self._load_names)
             outcome = outcome_of_status(response.status, response.headers.get(DECLINED_HEADER), load)
             if outcome is None:
                 outcome = await self._read_lines(response, request, context)
             self._tails.read(response)
             is_complete = True
             return outcome
-        except BROKEN_ANSWER as fault:
-            return _broken_connection(fault, context)
+        except ANSWER_READ_ERRORS as fault:
+            return _outcome_of_broken_connection(fault, context)
         finally:
             if not is_complete:  # cancelled or broken: bytes may be outstanding on it
                 response.close()
@@ -213,7 +215,7 @@
         raise _NotSentError(reason)
 
 
-def _broken_connection(fault: Exception, context: AttemptContext) -> AttemptOutcome:
+def _outcome_of_broken_connection(fault: Exception, context: AttemptContext) -> AttemptOutcome:
     """Before the last byte was handed over the request never ran; after that it may have."""
-    result = Result.RESET if context.written else Result.UNREACHABLE
+    result = Result.RESET if context.is_last_byte_written else Result.UNREACHABLE
     return AttemptOutcome(result, reason=repr(fault))
--- a/oxbowyard/core/admission.py
+++ b/oxbowyard/core/admission.py
@@ -47,7 +47,7 @@
         """Whether a request of this id is open: a second copy could run beside it."""
         return request_id in self._open
 
-    def rejection(self) -> Answer | None:
+    def reject_if_full(self) -> Answer | None:
         """The answer to a further request while too many are open, else None."""
         if len(self._open) < self._limits.max_open_requests:
             return None
--- a/oxbowyard/core/attempts.py
+++ b/oxbowyard/core/attempts.py
@@ -66,8 +66,8 @@
     def cancel(self, entry: OpenRequest) -> None:
         """Cancel the running attempt, if there is one; its end is still reported."""
         attempt = entry.attempt
-        if attempt is not None and not attempt.cancelling:
-            attempt.cancelling = True
+        if attempt is not None and not attempt.is_cancelling:
+            attempt.is_cancelling = True
             attempt.task.cancel()
 
     def report_not_sent(self, action: StartAttempt, is_final: bool) -> None:
@@ -79,7 +79,9 @@
             async with asyncio.timeout(context.time_left_s):
                 return await self._transport.attempt(action.worker, request, context)
         except TimeoutError:
-            return AttemptOutcome(Result.TIMEOUT if context.written else Result.NOT_SENT, reason="timed out")
+            return AttemptOutcome(
+                Result.TIMEOUT if context.is_last_byte_written else Result.NOT_SENT, reason="timed out"
+            )
         except Exception as fault:
             log.exception(
                 "attempt failed in our own code: request=%s attempt=%d backend=%s",
@@ -87,7 +89,9 @@
                 action.attempt,
                 action.worker,
             )
-            return AttemptOutcome(Result.ERROR if context.written else Result.NOT_SENT, reason=repr(fault))
+            return AttemptOutcome(
+                Result.ERROR if context.is_last_byte_written else Result.NOT_SENT, reason=repr(fault)
+            )
 
     def _started(self, entry: OpenRequest, action: StartAttempt) -> None:
         entry.run_started_at = self._loop.time()
@@ -116,9 +120,9 @@
 
 
 def _cancelled_outcome(entry: OpenRequest, attempt: RunningAttempt) -> AttemptOutcome:
-    if not attempt.context.written:
+    if not attempt.context.is_last_byte_written:
         return AttemptOutcome(Result.NOT_SENT, reason="called off unsent")
-    return AttemptOutcome(Result.TIMEOUT if entry.expired else Result.CANCELLED, reason="called off")
+    return AttemptOutcome(Result.TIMEOUT if entry.is_expired else Result.CANCELLED, reason="called off")
 
 
 def _describe(entry: OpenRequest, action: StartAttempt) -> str:
--- a/oxbowyard/core/clock.py
+++ b/oxbowyard/core/clock.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-def steady_unix_ms() -> Callable[[], float]:
+def make_unix_ms_clock() -> Callable[[], float]:
     """A clock that reads Unix time once and follows the monotonic clock, so that a step of the system's time
     has no effect."""
     offset_s = time.time() - time.monotonic()
--- a/oxbowyard/core/deadlines.py
+++ b/oxbowyard/core/deadlines.py
@@ -41,7 +41,7 @@
         if entry.attempt is None:
             self._on_expired(entry, "held until its deadline")
             return
-        entry.expired = True
+        entry.is_expired = True
         entry.attempt.task.cancel()
         # A transport may swallow its cancellation; the client is answered all the same.
         entry.deadline_timer = self._loop.call_later(ANSWER_AHEAD_S, self._on_expired, entry, "deadline")
--- a/oxbowyard/core/endpoint_lists.py
+++ b/oxbowyard/core/endpoint_lists.py
@@ -32,7 +32,7 @@
         others = (rows.values() for name, rows in self._by_source.items() if name != source)
         return (*backends, *chain.from_iterable(others))
 
-    def without_announced_starts(self, faults: Iterable[WorkerFault]) -> list[WorkerFault]:
+    def exclude_announced_starts(self, faults: Iterable[WorkerFault]) -> list[WorkerFault]:
         """The faults less the cold starts that a list announces: every scheduler reads those there."""
         announced: dict[str, float] = {}
         for rows in self._by_source.values():
--- a/oxbowyard/core/open_request.py
+++ b/oxbowyard/core/open_request.py
@@ -9,7 +9,7 @@
 from ..decision.facade import NEVER_RAN, Result, StartAttempt
 from .request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request, RunState
 
-NO_END_SEEN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+INDETERMINATE_RESULTS = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
 @dataclass(slots=True, eq=False)
@@ -20,7 +20,7 @@
     context: AttemptContext
     task: asyncio.Task[AttemptOutcome]
     sent_at: float  # loop time
-    cancelling: bool = False
+    is_cancelling: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +38,7 @@
     deadline_timer: asyncio.TimerHandle | None = None
     attempt: RunningAttempt | None = None
     attempt_count: int = 0  # attempts that were never sent are counted too
-    expired: bool = False  # its running attempt was cut at the deadline
+    is_expired: bool = False  # its running attempt was cut at the deadline
     may_have_run: bool = False
     may_be_running: bool = False  # no end was seen of an attempt that may have run
     repeat_deadline: float = math.inf
@@ -53,7 +53,7 @@
     @property
     def has_sent_attempt(self) -> bool:
         """Whether the running attempt may run by now."""
-        return self.attempt is not None and self.attempt.context.written
+        return self.attempt is not None and self.attempt.context.is_last_byte_written
 
     @property
     def run_state(self) -> RunState:
@@ -81,7 +81,7 @@
             self.may_have_run = True
             window_s = math.inf if self.repeat_window_s is None else self.repeat_window_s
             self.repeat_deadline = attempt.sent_at + window_s
-        self.may_be_running |= result in NO_END_SEEN
+        self.may_be_running |= result in INDETERMINATE_RESULTS
 
     def make_answer(self, kind: AnswerKind, reason: str, retry_after_s: float = 0.0) -> Answer:
         """An answer without a body, with what is known of the run."""
--- a/oxbowyard/core/request.py
+++ b/oxbowyard/core/request.py
@@ -108,7 +108,9 @@
     send_deadline: float = math.inf
     # Whether the request has no answer yet, and was not cancelled.
     is_wanted: Callable[[], bool] = lambda: True
-    written: bool = False  # the last byte was handed to the connection: from here on the request may run
+    is_last_byte_written: bool = (
+        False  # the last byte was handed to the connection: from here on the request may run
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,7 +165,7 @@
     return ""
 
 
-async def lease_recorded(request: Request, backend: str) -> None:
+async def wait_for_lease_record(request: Request, backend: str) -> None:
     """Wait until the request's lease for the backend is recorded; at once where no lease is kept."""
     if request.record_lease is None:
         return
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -52,7 +52,7 @@
         if self._admission.is_open(request.id):
             return Answer(AnswerKind.FAILED, reason="a req with this id is open")
         self.measure.record_request(request.job_class, request.is_retry)
-        rejection = self._admission.rejection()
+        rejection = self._admission.reject_if_full()
         if rejection is not None:
             self.measure.record_answer(request.job_class, AnswerKind.REJECTED, elapsed_s=0.0, run_time_s=None)
             return rejection
@@ -126,7 +126,7 @@
 
     def worker_faults(self) -> list[WorkerFault]:
         """The faults of backends that this scheduler's own attempts show. It walks all backends."""
-        return self._endpoints.without_announced_starts(self._facade.worker_faults())
+        return self._endpoints.exclude_announced_starts(self._facade.worker_faults())
 
     def apply_peer_faults(self, faults: tuple[WorkerFault, ...]) -> None:
         """Take all faults of backends that other schedulers report and that hold now."""
--- a/oxbowyard/core/settings_update.py
+++ b/oxbowyard/core/settings_update.py
@@ -12,12 +12,12 @@
 
 from ..decision.settings import JobClass, RetrySafety, Settings
 
-BY_STRICTNESS = (
+RETRY_SAFETY_BY_STRICTNESS = (
     RetrySafety.IDEMPOTENT,
     RetrySafety.DEDUPLICATED,
     RetrySafety.NOT_IDEMPOTENT,
 )  # from the most lenient
-SCOPE_ALL = "all"
+DEDUP_SCOPE_ALL = "all"
 LIVE_SETTINGS = ("classes", "max_attempts")
 
 
@@ -43,29 +43,33 @@
     final = replace(old, classes=new.classes, max_attempts=new.max_attempts)
     old_classes = {c.name: c for c in old.classes}
     new_names = {c.name for c in new.classes}
-    changed = tuple(_stricter(old_classes[c.name], c) if c.name in old_classes else c for c in new.classes)
+    changed = tuple(
+        _with_stricter_retry_rule(old_classes[c.name], c) if c.name in old_classes else c for c in new.classes
+    )
     removed = tuple(c for c in old.classes if c.name not in new_names)
     max_attempts = min(old.max_attempts, new.max_attempts)
     transition = replace(final, classes=changed + removed, max_attempts=max_attempts)
     return SettingsUpdate(transition, final)
 
 
-def _stricter(old: JobClass, new: JobClass) -> JobClass:
+def _with_stricter_retry_rule(old: JobClass, new: JobClass) -> JobClass:
     """The new class, with the old repeat rule where that one is stricter."""
     if old.retry_safety is new.retry_safety is RetrySafety.DEDUPLICATED:
-        return _stricter_deduplication(old, new)
-    if BY_STRICTNESS.index(old.retry_safety) <= BY_STRICTNESS.index(new.retry_safety):
+        return _with_stricter_deduplication(old, new)
+    if RETRY_SAFETY_BY_STRICTNESS.index(old.retry_safety) <= RETRY_SAFETY_BY_STRICTNESS.index(
+        new.retry_safety
+    ):
         return new
     return replace(
         new, retry_safety=old.retry_safety, dedup_scope=old.dedup_scope, dedup_window_ms=old.dedup_window_ms
     )
 
 
-def _stricter_deduplication(old: JobClass, new: JobClass) -> JobClass:
+def _with_stricter_deduplication(old: JobClass, new: JobClass) -> JobClass:
     """The new class with a repeat allowed only where, and for as long as, both rules allow it."""
     window_ms = min(old.dedup_window_ms, new.dedup_window_ms)
-    if old.dedup_scope == new.dedup_scope or old.dedup_scope == SCOPE_ALL:
+    if old.dedup_scope == new.dedup_scope or old.dedup_scope == DEDUP_SCOPE_ALL:
         return replace(new, dedup_window_ms=window_ms)
-    if new.dedup_scope == SCOPE_ALL:
+    if new.dedup_scope == DEDUP_SCOPE_ALL:
         return replace(new, dedup_scope=old.dedup_scope, dedup_window_ms=window_ms)
     return replace(new, retry_safety=RetrySafety.NOT_IDEMPOTENT)  # a zone's workers are not a cell's
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from ..backends.http import HttpBackends
-from ..core.clock import steady_unix_ms
+from ..core.clock import make_unix_ms_clock
 from ..core.request import BackendTransport, RoutedTransport
 from ..core.scheduler import Limits, Scheduler
 from ..core.service_measure import ServiceMeasure
@@ -120,7 +120,7 @@
     deferred jobs, and `durable` is the open store that they are kept in. `clock` gives Unix time in
     milliseconds that only advances; None: the system's.
     """
-    clock = clock or steady_unix_ms()
+    clock = clock or make_unix_ms_clock()
     gearman = _within_descriptors(gearman, config.sockets)
     settings = _with_functions(config.settings, gearman)
     classes = _classes(settings.classes, waiting)
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -113,6 +113,6 @@
         peers=membership.documents if membership else None,
     )
     component = StartComponent(settings, dependencies)
-    discovery.admit_first_poll = component.wait_for_admission
+    discovery.wait_before_first_poll = component.wait_for_admission
     discovery.on_answer = component.service_answered
     return component
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -70,7 +70,7 @@
         self._discovery = address
         if self._context.states.current is State.SERVING:
             self._context.states.enter(State.RELOADING)
-        self._context.subsystems.discovery.move(address)
+        self._context.subsystems.discovery.change_address(address)
 
     def _update_settings(self, settings: Settings) -> tuple[str, ...]:
         """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
--- a/oxbowyard/discovery/client.py
+++ b/oxbowyard/discovery/client.py
@@ -53,7 +53,9 @@
         self._expiry_timer: asyncio.TimerHandle | None = None  # when the list is too old to send by
         self.latest_revision: int | None = None  # the one that the service sent last
         self.on_answer: Callable[[], None] = lambda: None  # after each answer, also that nothing changed
-        self.admit_first_poll: Callable[[], Awaitable[None]] = _no_delay  # awaited before the first poll
+        self.wait_before_first_poll: Callable[[], Awaitable[None]] = (
+            _no_delay  # awaited before the first poll
+        )
         self.ready = asyncio.Event()  # there is a list to serve from: the service's, or one from before
 
     def set_scheduler_count(self, schedulers: int) -> None:
@@ -71,8 +73,10 @@
         except MalformedListError as error:
             log.warning("endpoint list of the configuration not usable: %s", error)
             return
-        self._update_endpoints(*self._registry.apply(event, restored=True))
-        if self._schedule.shared and event.endpoints:  # the full list costs it twice as much as what is newer
+        self._update_endpoints(*self._registry.apply(event, is_restored=True))
+        if (
+            self._schedule.is_shared and event.endpoints
+        ):  # the full list costs it twice as much as what is newer
             self._resume_after = event.revision
             self.ready.set()
 
@@ -92,24 +96,24 @@
             return False
         if not event.endpoints:
             return False
-        scope, infos = self._registry.apply(replace(event, is_full=True), restored=True)
+        scope, infos = self._registry.apply(replace(event, is_full=True), is_restored=True)
         if online_since is not None:
             infos = tuple(replace(i, started_at_ms=max(i.started_at_ms, online_since)) for i in infos)
         self._update_endpoints(scope, infos)
-        self._resume_after = event.revision if may_resume and self._schedule.shared else None
+        self._resume_after = event.revision if may_resume and self._schedule.is_shared else None
         self.ready.set()
         return True
 
     # ---- The watches ----
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Watch another address from now on; until it has answered, the one before stays in force."""
         self._addresses.put_nowait(address)
 
     async def run(self) -> None:
         """Watch until cancelled."""
         async with asyncio.TaskGroup() as group:
-            await self.admit_first_poll()
+            await self.wait_before_first_poll()
             while True:
                 address = await self._addresses.get()
                 self._cancel(self._pending)  # overtaken before it answered
@@ -136,7 +140,7 @@
         if watch is not None:
             self._tasks.pop(watch).cancel()
 
-    def _apply(self, watch: Watch, event: WatchEvent, late: bool) -> None:
+    def _apply(self, watch: Watch, event: WatchEvent, may_be_overdue: bool) -> None:
         activated = watch is self._pending
         if activated:
             self._cancel(self._active)
@@ -144,7 +148,7 @@
         elif watch is not self._active:  # it answered in the moment in which it was cancelled
             return
         if event.endpoints or event.is_full:
-            self._publish(event, late)
+            self._publish(event, may_be_overdue)
         self._resume_sending()
         self.latest_revision = event.revision
         self.on_answer()
@@ -153,8 +157,8 @@
             log.info("discovery watch active: address=%s", watch.address)
             self._on_address_settled()
 
-    def _publish(self, event: WatchEvent, late: bool) -> None:
-        scope, infos = self._registry.apply(event, late=late)
+    def _publish(self, event: WatchEvent, may_be_overdue: bool) -> None:
+        scope, infos = self._registry.apply(event, may_be_overdue=may_be_overdue)
         # Weights change every second: only a full list is logged by itself, state changes have their lines.
         level = logging.INFO if event.is_full else logging.DEBUG
         log.log(
@@ -187,7 +191,7 @@
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
             self._expiry_timer = None
-        if self._registry.suspended:
+        if self._registry.is_suspended:
             log.info("endpoint list renewed, sending resumes")
             self._registry.resume()
             self._update_endpoints(Scope.FULL, self._registry.effective_endpoints())
--- a/oxbowyard/discovery/poll_schedule.py
+++ b/oxbowyard/discovery/poll_schedule.py
@@ -21,8 +21,8 @@
 
 # A service that is down, or its front, may reject each poll at once, or each after a while. Only one that is
 # overloaded does both: at once where its queue is full, later where a poll has queued for too long.
-IMMEDIATE_REJECTION_S = 0.1
-QUEUED_REJECTION_S = 1.0
+IMMEDIATE_ERROR_S = 0.1
+QUEUED_ERROR_S = 1.0
 
 # An agent on this machine answers at once and at no cost. It drops a watch 0.2 s after its last answer.
 AGENT_RETRY_DELAY_S = 0.1
@@ -61,7 +61,7 @@
 
     UNREACHABLE = "unreachable"  # refused, reset, never connected, or an answer that is no endpoint list
     TIMEOUT = "timeout"  # connected, and no answer in time
-    REJECTED = "rejected"  # answered with another status than 200
+    ERROR_STATUS = "rejected"  # answered with another status than 200
 
 
 @dataclass(slots=True)
@@ -75,16 +75,16 @@
     All times are seconds on the caller's clock, unless their name says otherwise.
     """
 
-    shared: bool  # one service for all schedulers, not an agent of this scheduler's own
+    is_shared: bool  # one service for all schedulers, not an agent of this scheduler's own
     schedulers: int
     random: Random
     max_poll_interval_ms: float = math.inf  # unpolled for longer, all that the service has counts as notified
     consecutive_failures: int = 0
     list_expires_at: float = math.inf  # the service has answered since, but not with its list
     _notification_due_at: float = math.inf  # when a change that was missed may begin to count as notified
-    _rejected_immediately: bool = False  # a poll of this outage
-    _rejected_after_wait: bool = False
-    _phase_drawn: bool = False  # the polls of this outage have their place within the period
+    _has_immediate_error: bool = False  # a poll of this outage
+    _has_queued_error: bool = False
+    _has_phase: bool = False  # the polls of this outage have their place within the period
 
     def set_scheduler_count(self, schedulers: int) -> None:
         """From now on this many schedulers, at least one, poll the same service."""
@@ -95,25 +95,25 @@
     @property
     def wait_ms(self) -> int:
         """How long the service may hold a poll that continues a watch, in milliseconds."""
-        if not self.shared:
+        if not self.is_shared:
             return AGENT_WAIT_MS
         allowed = self.max_poll_interval_ms - MAX_OPEN_TIMEOUT_S * 1000 - POLL_INTERVAL_MARGIN_MS
         return int(min(SHARED_WAIT_MS, max(allowed, MIN_SHARED_WAIT_MS)))
 
-    def timeout_s(self, now: float, continues: bool) -> float:
+    def timeout_s(self, now: float, is_continuation: bool) -> float:
         """How many seconds past its wait a poll is given.
 
-        `continues`: it continues a watch, and does not open one.
+        `is_continuation`: it continues a watch, and does not open one.
         """
-        if not self.shared:
+        if not self.is_shared:
             slow = self.consecutive_failures >= AGENT_SLOW_AFTER_FAILURES
             return AGENT_SLOW_TIMEOUT_S if slow else AGENT_TIMEOUT_S
-        if continues:
+        if is_continuation:
             return CONTINUED_TIMEOUT_S
         return self._open_timeout_s(now)
 
     def _open_timeout_s(self, now: float) -> float:
-        if self._overloaded:
+        if self._is_overloaded:
             return MAX_OPEN_TIMEOUT_S
         if self.consecutive_failures > QUICK_RETRIES:
             long = self.consecutive_failures % LONG_TIMEOUT_EVERY == 0
@@ -127,56 +127,56 @@
     def first_delay_s(self, now: float) -> float:
         """Seconds to wait before the first poll, where a list from before is being served."""
         self._notification_due_at = now + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
-        return self.random.uniform(0.0, self._first_spread_s) if self.shared else 0.0
+        return self.random.uniform(0.0, self._first_spread_s) if self.is_shared else 0.0
 
     def move_delay_s(self, now: float) -> float:
         """Seconds to wait before the first poll of another address; all schedulers may move to it at once."""
         self._notification_due_at = now + NOTIFIED_AFTER_MOVE_S - NOTIFIED_MARGIN_S
         spread = min(self.schedulers / OPENED_WATCHES_PER_S, MAX_MOVE_SPREAD_S)
-        return self.random.uniform(0.0, spread) if self.shared else 0.0
+        return self.random.uniform(0.0, spread) if self.is_shared else 0.0
 
     def record_answer(self, now: float) -> None:
         """A poll was answered: the next failure is the first of its outage."""
         self.consecutive_failures = 0
-        self._phase_drawn = False
-        self._rejected_immediately = False
-        self._rejected_after_wait = False
+        self._has_phase = False
+        self._has_immediate_error = False
+        self._has_queued_error = False
         self._notification_due_at = now + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
         self.list_expires_at = math.inf
 
     def record_failure(
-        self, now: float, failure: PollFailure, elapsed_s: float, continued: bool = False
+        self, now: float, failure: PollFailure, elapsed_s: float, is_continuation: bool = False
     ) -> float:
         """A poll has failed; returns the seconds to wait before the next one.
 
-        `elapsed_s`: how long the poll lasted. `continued`: it continued a watch, which is dead from here on,
+        `elapsed_s`: how long the poll lasted. `is_continuation`: it continued a watch, which is dead from here on,
         perhaps since the poll began.
         """
         self.consecutive_failures += 1
-        if not self.shared:
+        if not self.is_shared:
             return AGENT_RETRY_DELAY_S
-        if continued:
+        if is_continuation:
             self._notification_due_at = now - elapsed_s + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
             return self._random_delay_s(self._reopen_spread_s)
-        if failure is PollFailure.REJECTED:
-            self._record_rejection(now, elapsed_s)
+        if failure is PollFailure.ERROR_STATUS:
+            self._record_error_status(now, elapsed_s)
         return self._retry_delay_s(failure, elapsed_s)
 
-    def _record_rejection(self, now: float, elapsed_s: float) -> None:
-        self._rejected_immediately |= elapsed_s < IMMEDIATE_REJECTION_S
-        self._rejected_after_wait |= elapsed_s >= QUEUED_REJECTION_S
-        if self._overloaded:
+    def _record_error_status(self, now: float, elapsed_s: float) -> None:
+        self._has_immediate_error |= elapsed_s < IMMEDIATE_ERROR_S
+        self._has_queued_error |= elapsed_s >= QUEUED_ERROR_S
+        if self._is_overloaded:
             expires_at = now - elapsed_s + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
             self.list_expires_at = min(self.list_expires_at, expires_at)
 
     def _retry_delay_s(self, failure: PollFailure, elapsed_s: float) -> float:
-        if self._overloaded:
+        if self._is_overloaded:
             spread = max(OVERLOAD_SPACING_S * self.schedulers, 2 * MAX_OPEN_TIMEOUT_S)
             return self.random.uniform(MAX_OPEN_TIMEOUT_S, spread)
         if failure is PollFailure.TIMEOUT and self.consecutive_failures <= QUICK_RETRIES + 1:
             return self._random_delay_s(QUICK_RETRY_SPREAD_S)
-        if elapsed_s < IMMEDIATE_REJECTION_S and not self._phase_drawn:
-            self._phase_drawn = True
+        if elapsed_s < IMMEDIATE_ERROR_S and not self._has_phase:
+            self._has_phase = True
             return self._random_delay_s(self._period_s)
         # At a steady rate: twice as many polls, spread by chance, would come no sooner at the worst.
         jitter = self.random.uniform(1 - PERIOD_JITTER_SHARE, 1 + PERIOD_JITTER_SHARE)
@@ -186,8 +186,8 @@
         return max(self.random.uniform(0.0, spread_s), AGENT_RETRY_DELAY_S)
 
     @property
-    def _overloaded(self) -> bool:
-        return self._rejected_immediately and self._rejected_after_wait
+    def _is_overloaded(self) -> bool:
+        return self._has_immediate_error and self._has_queued_error
 
     @property
     def _first_spread_s(self) -> float:
--- a/oxbowyard/discovery/registry.py
+++ b/oxbowyard/discovery/registry.py
@@ -26,7 +26,7 @@
     address: str  # HOST:PORT; empty where no entry has named it
     readiness: Readiness  # as the discovery service sent it last
     info: WorkerInfo
-    drains_since: float | None = None  # when it was notified as draining or gone, or cordoned
+    draining_since: float | None = None  # when it was notified as draining or gone, or cordoned
 
     @property
     def is_listed(self) -> bool:
@@ -52,18 +52,20 @@
     # ---- The endpoint list ----
 
     def apply(
-        self, event: WatchEvent, restored: bool = False, late: bool = False
+        self, event: WatchEvent, is_restored: bool = False, may_be_overdue: bool = False
     ) -> tuple[Scope, tuple[WorkerInfo, ...]]:
         """Apply a watch event; returns what to pass on to the decisions.
 
-        `restored`: the list is one kept from before. `late`: its changes may have counted as notified before.
+        `is_restored`: the list is one kept from before. `may_be_overdue`: its changes may have counted as notified before.
         """
         if event.is_full:
-            self._mark_unnamed_as_gone(event, late)
+            self._mark_unnamed_as_gone(event, may_be_overdue)
         for listed in event.endpoints:
-            self._apply_entry(listed, late)
-        self._forget_long_gone()
-        return _scope_of(event, restored), tuple(self._effective(listed.info) for listed in event.endpoints)
+            self._apply_entry(listed, may_be_overdue)
+        self._remove_expired()
+        return _scope_of(event, is_restored), tuple(
+            self._effective(listed.info) for listed in event.endpoints
+        )
 
     def effective_endpoints(self) -> tuple[WorkerInfo, ...]:
         """All endpoints in the form for the decisions."""
@@ -84,14 +86,14 @@
         # The decisions learn of a cordon or a suspension at once: there is no grace.
         if endpoint is None or self._suspended or uid in self.cordoned:
             return None
-        if endpoint.drains_since is not None and self._clock() - endpoint.drains_since >= self._grace_ms:
+        if endpoint.draining_since is not None and self._clock() - endpoint.draining_since >= self._grace_ms:
             return None
         return endpoint.address or None
 
     def _listed(self) -> list[Endpoint]:
         return [endpoint for endpoint in self.endpoints.values() if endpoint.is_listed]
 
-    def _apply_entry(self, listed: ListedEndpoint, late: bool) -> None:
+    def _apply_entry(self, listed: ListedEndpoint, may_be_overdue: bool) -> None:
         uid, readiness = listed.info.name, listed.info.readiness
         known = self.endpoints.get(uid)
         address = listed.address or (known.address if known else "")
@@ -99,32 +101,38 @@
             log.info("endpoint added: uid=%s address=%s state=%s", uid, address, readiness.value)
         else:
             _log_state_change(known, address, readiness)
-        drains_since = self._drain_start(uid, known.drains_since if known else None, readiness, late)
-        self.endpoints[uid] = Endpoint(uid, address, readiness, listed.info, drains_since)
+        draining_since = self._drain_started_at(
+            uid, known.draining_since if known else None, readiness, may_be_overdue
+        )
+        self.endpoints[uid] = Endpoint(uid, address, readiness, listed.info, draining_since)
 
-    def _mark_unnamed_as_gone(self, event: WatchEvent, late: bool) -> None:
+    def _mark_unnamed_as_gone(self, event: WatchEvent, may_be_overdue: bool) -> None:
         named = {listed.info.name for listed in event.endpoints}
         for known in [e for e in self.endpoints.values() if e.uid not in named]:
             _log_state_change(known, known.address, Readiness.GONE)
-            drains_since = self._drain_start(known.uid, known.drains_since, Readiness.GONE, late)
-            self.endpoints[known.uid] = known._replace(readiness=Readiness.GONE, drains_since=drains_since)
-
-    def _drain_start(
-        self, uid: str, drains_since: float | None, readiness: Readiness, late: bool
+            draining_since = self._drain_started_at(
+                known.uid, known.draining_since, Readiness.GONE, may_be_overdue
+            )
+            self.endpoints[known.uid] = known._replace(
+                readiness=Readiness.GONE, draining_since=draining_since
+            )
+
+    def _drain_started_at(
+        self, uid: str, draining_since: float | None, readiness: Readiness, may_be_overdue: bool
     ) -> float | None:
         if readiness is Readiness.READY and uid not in self.cordoned:
             return None
-        if drains_since is not None:
-            return drains_since
+        if draining_since is not None:
+            return draining_since
         # How much of the grace is left of a change that a dead watch held back is not known: none is taken.
-        return self._clock() - (self._grace_ms if late else 0.0)
+        return self._clock() - (self._grace_ms if may_be_overdue else 0.0)
 
-    def _forget_long_gone(self) -> None:
+    def _remove_expired(self) -> None:
         now = self._clock()
         long_gone = [
             endpoint.uid
             for endpoint in self.endpoints.values()
-            if not endpoint.is_listed and now - (endpoint.drains_since or now) > self._grace_ms
+            if not endpoint.is_listed and now - (endpoint.draining_since or now) > self._grace_ms
         ]
         for uid in long_gone:
             del self.endpoints[uid]
@@ -132,7 +140,7 @@
     # ---- Suspension: the list is too old to send by ----
 
     @property
-    def suspended(self) -> bool:
+    def is_suspended(self) -> bool:
         """Whether every endpoint counts as draining, because the list is too old to send by."""
         return self._suspended
 
@@ -168,8 +176,8 @@
         endpoint = self.endpoints.get(uid)
         if endpoint is None:
             return WorkerInfo(uid, Readiness.GONE)
-        if endpoint.drains_since is None:
-            self.endpoints[uid] = endpoint._replace(drains_since=self._clock())
+        if endpoint.draining_since is None:
+            self.endpoints[uid] = endpoint._replace(draining_since=self._clock())
         return self._effective(endpoint.info)
 
     def cordon_unlisted(self, uid: str) -> None:
@@ -190,7 +198,7 @@
         if endpoint is None:
             return WorkerInfo(uid, Readiness.GONE)
         if endpoint.readiness is Readiness.READY:
-            self.endpoints[uid] = endpoint._replace(drains_since=None)
+            self.endpoints[uid] = endpoint._replace(draining_since=None)
         return self._effective(endpoint.info)
 
     def _effective(self, info: WorkerInfo) -> WorkerInfo:
@@ -206,7 +214,7 @@
         log.info("endpoint state changed: uid=%s address=%s state=%s", known.uid, address, readiness.value)
 
 
-def _scope_of(event: WatchEvent, restored: bool) -> Scope:
-    if restored:
+def _scope_of(event: WatchEvent, is_restored: bool) -> Scope:
+    if is_restored:
         return Scope.RESTORED
     return Scope.FULL if event.is_full else Scope.CHANGES
--- a/oxbowyard/discovery/watch.py
+++ b/oxbowyard/discovery/watch.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("oxbowyard.discovery")
 
-PATH = "/discovery/hosts"
+DISCOVERY_PATH = "/discovery/hosts"
 CATCH_UP_WAIT_MS = 1  # what was missed is asked for without a wait: only once it is known a watch begins
 MAX_CONNECTIONS = 2
 STATUS_OK = 200
@@ -50,10 +50,10 @@
         self._on_event = on_event
         self._on_failure = on_failure
         self._revision = after_revision
-        self._url = URL(f"http://{address}{PATH}")
+        self._url = URL(f"http://{address}{DISCOVERY_PATH}")
         self._loop = asyncio.get_running_loop()
-        self._failing = False
-        self._continues = False  # the last poll was answered, and the next one continues from there
+        self._is_failing = False
+        self._is_continuing = False  # the last poll was answered, and the next one continues from there
 
     async def run(self, delay_s: float) -> None:
         """Poll until cancelled, beginning after so many seconds."""
@@ -64,13 +64,13 @@
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         ) as session:
             while True:
-                retry_delay_s = await self._step(session)
+                retry_delay_s = await self._poll_once(session)
                 if retry_delay_s is not None:
                     await asyncio.sleep(retry_delay_s)
 
-    async def _step(self, session: aiohttp.ClientSession) -> float | None:
+    async def _poll_once(self, session: aiohttp.ClientSession) -> float | None:
         """Poll once; returns None if it was answered, otherwise the seconds until the next poll."""
-        began, continued = self._loop.time(), self._continues
+        began, is_continuation = self._loop.time(), self._is_continuing
         try:
             self._handle_answer(await self._poll(session))
             return None
@@ -83,28 +83,28 @@
                 self.address,
             )
             self._revision, failure = None, PollFailure.UNREACHABLE
-        self._continues = False
+        self._is_continuing = False
         now = self._loop.time()
-        retry_delay_s = self._schedule.record_failure(now, failure, now - began, continued)
+        retry_delay_s = self._schedule.record_failure(now, failure, now - began, is_continuation)
         self._on_failure()
         return retry_delay_s
 
     def _handle_answer(self, event: WatchEvent) -> None:
         self._log_recovery()
-        self._on_event(self, event, not self._continues)
-        self._revision, self._continues = event.revision, True
+        self._on_event(self, event, not self._is_continuing)
+        self._revision, self._is_continuing = event.revision, True
         self._schedule.record_answer(self._loop.time())
 
     async def _poll(self, session: aiohttp.ClientSession) -> WatchEvent:
         url, wait_s = self._url, 0.0
         if self._revision is not None:
-            wait_ms = self._schedule.wait_ms if self._continues else CATCH_UP_WAIT_MS
+            wait_ms = self._schedule.wait_ms if self._is_continuing else CATCH_UP_WAIT_MS
             url = url.with_query(after=self._revision, wait_ms=wait_ms)
             wait_s = wait_ms / 1000
-        timeout_s = wait_s + self._schedule.timeout_s(self._loop.time(), self._continues)
+        timeout_s = wait_s + self._schedule.timeout_s(self._loop.time(), self._is_continuing)
         status, body = await self._get(session, url, timeout_s)
         if status != STATUS_OK:
-            raise PollError(PollFailure.REJECTED, f"status {status}")
+            raise PollError(PollFailure.ERROR_STATUS, f"status {status}")
         return self._parse(body)
 
     async def _get(self, session: aiohttp.ClientSession, url: URL, timeout_s: float) -> tuple[int, bytes]:
@@ -133,15 +133,15 @@
         return event
 
     def _log_failure(self, error: PollError) -> None:
-        if not self._failing:  # once an outage, not once a poll
+        if not self._is_failing:  # once an outage, not once a poll
             log.warning(
                 "discovery unavailable, serving from the current endpoint list: address=%s reason=%s",
                 self.address,
                 error,
             )
-        self._failing = True
+        self._is_failing = True
 
     def _log_recovery(self) -> None:
-        if self._failing:
+        if self._is_failing:
             log.info("discovery available again: address=%s", self.address)
-        self._failing = False
+        self._is_failing = False
--- a/oxbowyard/gearman/assignment.py
+++ b/oxbowyard/gearman/assignment.py
@@ -47,7 +47,7 @@
     def mark_sent(self) -> None:
         """The job goes to the worker now: from here on it may run."""
         self.is_sent = True
-        self.context.written = True
+        self.context.is_last_byte_written = True
 
     def start_timeout(self, limit_s: float) -> None:
         """End the attempt as failed after the worker's own limit; 0: there is none."""
--- a/oxbowyard/peers/drain_propagation.py
+++ b/oxbowyard/peers/drain_propagation.py
@@ -15,7 +15,7 @@
 from ..membership.messages import GossipEntry
 
 DRAIN_PREFIX = "out:"  # of an entry's key; the worker's id follows
-UNLIMITED_S = 1e9
+UNLIMITED_LIFETIME_S = 1e9
 MAX_LOCAL_DRAINS = 1000  # of which the time is remembered
 YIELDING_LAMPORT_TIME = 0  # an entry that any other write replaces
 
@@ -41,7 +41,7 @@
     def announce_restored(self, workers: Iterable[str]) -> None:
         """Announce the drains from before this process began; one that was undone meanwhile yields."""
         for worker in sorted(workers):
-            self.write_entry(_entry(worker, True, UNLIMITED_S, YIELDING_LAMPORT_TIME))
+            self.write_entry(_entry(worker, True, UNLIMITED_LIFETIME_S, YIELDING_LAMPORT_TIME))
 
     def receive(self, entry: GossipEntry, now: float) -> bool:
         """Take an entry of another scheduler; returns whether it is about a drain.
@@ -61,7 +61,7 @@
         return True
 
     def _write(self, worker: str, is_drained: bool) -> None:
-        lifetime_s = UNLIMITED_S if is_drained else self.undrain_retention_s
+        lifetime_s = UNLIMITED_LIFETIME_S if is_drained else self.undrain_retention_s
         self.write_entry(_entry(worker, is_drained, lifetime_s, None))
 
 
--- a/oxbowyard/peers/facts.py
+++ b/oxbowyard/peers/facts.py
@@ -19,7 +19,7 @@
 STATES = ("joining", "serving", "draining", "left")  # a member record has the position in it
 UNKNOWN_STATE = "unknown"
 
-PUBLISH_INTERVAL_S = 5.0  # at least, between facts of which only the figures have changed
+MIN_PUBLISH_INTERVAL_S = 5.0  # at least, between facts of which only the figures have changed
 SIGNIFICANT_SHARE = 0.25  # by which a figure has to change to be published
 SIGNIFICANT_DIFFERENCE = 1.0
 
@@ -30,7 +30,7 @@
     def __init__(self, services: ProgramServices) -> None:
         self._services = services
         self._published: dict[str, float] = {}
-        self._checked_at = -PUBLISH_INTERVAL_S
+        self._checked_at = -MIN_PUBLISH_INTERVAL_S
 
     def forget_published(self) -> None:
         """The member begins again as another process, whose record has no facts yet."""
@@ -40,7 +40,7 @@
         """The facts to publish at `now` (seconds): at once for another state, rarely for other figures."""
         state = float(STATES.index(self._services.state()))
         is_same_state = state == self._published.get(STATE)
-        if is_same_state and now - self._checked_at < PUBLISH_INTERVAL_S:
+        if is_same_state and now - self._checked_at < MIN_PUBLISH_INTERVAL_S:
             return None
         self._checked_at = now
         facts = self._facts(state)
--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -16,7 +16,7 @@
 
 EJECTED_PREFIX = "bar:"  # of an entry's key; the worker's id follows
 WARMING_UP_PREFIX = "cold:"
-PREFIXES = (EJECTED_PREFIX, WARMING_UP_PREFIX)
+KEY_PREFIXES = (EJECTED_PREFIX, WARMING_UP_PREFIX)
 
 MAX_REPORTED_FAULTS = 64
 MAX_REPORTED_SHARE = 0.25  # of the workers: with more, this scheduler is rather at fault itself
@@ -68,20 +68,20 @@
         peer_starts = {fault.worker: fault.cold_since_ms for fault in self.peer_faults(now, clock_ms)}
         reports: list[FaultReport] = []
         for fault in own_faults:
-            reports += self._ejection(fault, now)
+            reports += self._ejection_report(fault, now)
             peer_start = peer_starts.get(fault.worker, -math.inf)
             if fault.cold_since_ms and abs(fault.cold_since_ms - peer_start) > MIN_START_DIFFERENCE_MS:
-                reports += self._warm_up(fault, now, clock_ms)
+                reports += self._warm_up_report(fault, now, clock_ms)
         return reports
 
-    def _ejection(self, fault: WorkerFault, now: float) -> list[FaultReport]:
-        return self._if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.avoid_for_ms / MS_PER_S, now)
+    def _ejection_report(self, fault: WorkerFault, now: float) -> list[FaultReport]:
+        return self._report_if_new(EJECTED_PREFIX + fault.worker, 0.0, fault.avoid_for_ms / MS_PER_S, now)
 
-    def _warm_up(self, fault: WorkerFault, now: float, clock_ms: float) -> list[FaultReport]:
+    def _warm_up_report(self, fault: WorkerFault, now: float, clock_ms: float) -> list[FaultReport]:
         age_s = max(clock_ms - fault.cold_since_ms, 0.0) / MS_PER_S
-        return self._if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
+        return self._report_if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
 
-    def _if_new(self, key: str, value: float, lifetime_s: float, now: float) -> list[FaultReport]:
+    def _report_if_new(self, key: str, value: float, lifetime_s: float, now: float) -> list[FaultReport]:
         """The report, unless it is over soon or was made already with about the same end."""
         is_reported = self._reported_until.get(key, 0.0) + MIN_EXTENSION_S > now + lifetime_s
         if lifetime_s < MIN_LIFETIME_S or is_reported:
@@ -93,7 +93,7 @@
 
     def receive(self, entry: GossipEntry, now: float) -> bool:
         """Take a peer's entry; returns whether it is a fault report."""
-        if not entry.key.startswith(PREFIXES) or entry.is_shared:
+        if not entry.key.startswith(KEY_PREFIXES) or entry.is_shared:
             return False
         self._received[entry.author, entry.key] = _ReceivedReport(entry, now - entry.age_s)
         return True
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -44,7 +44,7 @@
         registry.address = address  # type: ignore[method-assign]
         context = AttemptContext(1.0, lambda: None)
         ending = await backends.attempt("w", Request("r", "preview", 1.0, "/preview", b"body"), context)
-        assert not context.written
+        assert not context.is_last_byte_written
         await backends.close()
         server.close()
         await server.wait_closed()
--- a/tests/test_cancel_crossings.py
+++ b/tests/test_cancel_crossings.py
@@ -33,7 +33,7 @@
         await self.may_send.wait()
         if reason := reason_not_to_send(request, context):  # as the transports ask before the last byte
             return AttemptOutcome(Result.NOT_SENT, reason=reason)
-        context.written = True
+        context.is_last_byte_written = True
         self.sent += 1
         await self.may_answer.wait()
         return AttemptOutcome(self.ends, b"made")
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -270,7 +270,7 @@
         granted[0]()
         ending = await attempt
         assert ending.result is (Result.OK if stays else Result.NOT_SENT)
-        assert stage.worker.ran == stays and context.written is stays
+        assert stage.worker.ran == stays and context.is_last_byte_written is stays
 
     play(tmp_path, scene)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oxbowyard.core.clock import steady_unix_ms
+from oxbowyard.core.clock import make_unix_ms_clock
 from oxbowyard.core.request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request
 from oxbowyard.core.scheduler import Limits, Scheduler
 from oxbowyard.core.service_measure import ServiceMeasure
@@ -32,7 +32,7 @@
     """A scheduler over a transport that is one function."""
 
     def __init__(self, attempt: Attempt, workers: int = 2, limits: Limits | None = None) -> None:
-        clock = steady_unix_ms()
+        clock = make_unix_ms_clock()
         self.facade = Facade(SETTINGS, 1, clock)
         self.measure = ServiceMeasure(SETTINGS.classes)
         self.attempts: list[tuple[str, str]] = []
@@ -50,20 +50,20 @@
 
 
 async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     context.on_started()
     return AttemptOutcome(Result.OK, b"made")
 
 
 async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
 async def deaf(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     """Does not end when it is called off."""
-    context.written = True
+    context.is_last_byte_written = True
     while True:
         try:
             await asyncio.sleep(0.9)
@@ -73,7 +73,7 @@
 
 
 async def breaks(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     raise RuntimeError("our own code")
 
 
@@ -82,7 +82,7 @@
 
 
 async def lost(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     return AttemptOutcome(Result.RESET)
 
 
--- a/tests/test_core_records.py
+++ b/tests/test_core_records.py
@@ -60,7 +60,7 @@
         entry.attempt = attempt = running_attempt(loop)
         assert not entry.may_be_attempted
         states = []
-        for attempt.context.written in (False, True):
+        for attempt.context.is_last_byte_written in (False, True):
             states.append(entry.run_state)
         assert states == [RunState.NEVER_RAN, RunState.MAY_BE_RUNNING]
         entry.attempt = None
@@ -96,7 +96,7 @@
         WorkerFault("told", 250.0, 3000.0),
         WorkerFault("told", 0.0, 5000.0),
     ]
-    assert lists.without_announced_starts(faults) == [
+    assert lists.exclude_announced_starts(faults) == [
         WorkerFault("guessed", 0.0, 4000.0),
         WorkerFault("told", 250.0, 0.0),
         WorkerFault("told", 0.0, 5000.0),
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -18,7 +18,7 @@
     Request,
     RunState,
     UpdateKind,
-    lease_recorded,
+    wait_for_lease_record,
 )
 from oxbowyard.decision.facade import Result
 from oxbowyard.durable.durable_store import DurableStore, StoreNotOpenedError
@@ -65,7 +65,7 @@
         return time.time() + self.stepped
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        await lease_recorded(request, backend)
+        await wait_for_lease_record(request, backend)
         self.sent.append(request.id)
         return await self._attempt(backend, request, context)
 
@@ -175,7 +175,7 @@
 
         async def crash(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             if sent:
-                await lease_recorded(request, backend)  # and then no byte is written
+                await wait_for_lease_record(request, backend)  # and then no byte is written
             reached.set()
             await asyncio.sleep(60)
             raise AssertionError
@@ -203,7 +203,7 @@
 
         async def silent(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             leases[request.id] = request.lease
-            context.written = True
+            context.is_last_byte_written = True
             return AttemptOutcome(Result.RESET)
 
         kept._attempt = silent
@@ -241,7 +241,7 @@
 def test_a_lease_that_lapses_frees_what_may_be_repeated_and_doubts_the_rest(tmp_path: Path) -> None:
     async def scene() -> None:
         async def tells(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-            context.written = True
+            context.is_last_byte_written = True
             context.on_started()
             if request.id == "talks":
                 for _ in range(8):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -451,7 +451,7 @@
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        monkeypatch.setattr(composition, "steady_unix_ms", lambda: lambda: loop.time() * 1000)
+        monkeypatch.setattr(composition, "make_unix_ms_clock", lambda: lambda: loop.time() * 1000)
         stage = Stage(tmp_path, lanes=_guarded(1000.0))
         await stage.begin()
         stage.worker.answer = False
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -104,21 +104,21 @@
 
 
 async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     context.on_started()
     await asyncio.sleep(0.001)
     return AttemptOutcome(Result.OK, b"made " + request.id.encode())
 
 
 async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     context.on_started()
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
 async def error(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    context.written = True
+    context.is_last_byte_written = True
     return AttemptOutcome(Result.ERROR)
 
 
@@ -344,7 +344,7 @@
         self.is_waiting: list[tuple[str, float]] = []
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        context.written = True
+        context.is_last_byte_written = True
         loop = asyncio.get_running_loop()
         came = loop.time()
         async with self._slots.setdefault(backend, asyncio.Semaphore(4)):
--- a/tests/test_poll_schedule.py
+++ b/tests/test_poll_schedule.py
@@ -45,16 +45,16 @@
         """When the caller knows, and what failed."""
         self.begun.append(now)
         if now < self.down_until:
-            return now + self.down_after, PollFailure.REJECTED
+            return now + self.down_after, PollFailure.ERROR_STATUS
         wait = max(self.busy_until - now, 0.0)
         if wait > 2 * self.most_waiting:
-            return now, PollFailure.REJECTED
+            return now, PollFailure.ERROR_STATUS
         self.busy_until = now + wait + self.work
         turned_down = wait > self.most_waiting
         known_after = self.most_waiting if turned_down else wait + self.work
         if known_after > timeout:
             return now + timeout, PollFailure.TIMEOUT
-        return now + known_after, PollFailure.REJECTED if turned_down else None
+        return now + known_after, PollFailure.ERROR_STATUS if turned_down else None
 
 
 Calls = list[tuple[float, int]]  # when, and whose
@@ -87,7 +87,7 @@
         began = -random.uniform(0.0, wait)
         schedule.record_answer(began)
         noticed = began + wait + schedule.timeout_s(began, True)
-        pause = schedule.record_failure(noticed, PollFailure.TIMEOUT, noticed - began, continued=True)
+        pause = schedule.record_failure(noticed, PollFailure.TIMEOUT, noticed - began, is_continuation=True)
         calls.append((noticed + pause, i))
     return calls
 
@@ -124,7 +124,7 @@
     schedule.record_answer(0.0)
     wait = schedule.wait_ms / 1000
     noticed = wait + schedule.timeout_s(0.0, True)
-    first = noticed + schedule.record_failure(noticed, PollFailure.TIMEOUT, noticed, continued=True)
+    first = noticed + schedule.record_failure(noticed, PollFailure.TIMEOUT, noticed, is_continuation=True)
     assert heard_after(schedule, 0.0, first, in_a_row - 1) <= BOUND_S, "silent as it began"
     assert first - instant * wait <= BOUND_S
 
@@ -152,7 +152,7 @@
     """It returns just as a call has begun that fails all the same; further ones may fail after that."""
     schedule = PollSchedule(True, schedulers, Longest(), ASK_EVERY_MS)
     schedule.record_answer(0.0)
-    now = 1.5 + schedule.record_failure(1.5, failure, 1.5, continued=True)
+    now = 1.5 + schedule.record_failure(1.5, failure, 1.5, is_continuation=True)
     returned = now
     for number in range(outage_calls + in_a_row):
         if number == outage_calls:
@@ -216,7 +216,7 @@
         return 0.0
 
     def record_failure(
-        self, now: float, failure: PollFailure, elapsed_s: float, continued: bool = False
+        self, now: float, failure: PollFailure, elapsed_s: float, is_continuation: bool = False
     ) -> float:
         return AGENT_RETRY_DELAY_S
 
@@ -261,20 +261,20 @@
                 cycle = max(schedule.record_failure(float(n), failure, took) for n in range(100)) + took
                 assert cycle <= MAX_SPREAD_S * 1.1
     schedule = PollSchedule(True, 200, Longest(), ASK_EVERY_MS)
-    schedule.record_failure(0.0, PollFailure.REJECTED, 0.0)
-    assert schedule.record_failure(3.0, PollFailure.REJECTED, 2.0) > NOTIFIED_WITHIN_S
+    schedule.record_failure(0.0, PollFailure.ERROR_STATUS, 0.0)
+    assert schedule.record_failure(3.0, PollFailure.ERROR_STATUS, 2.0) > NOTIFIED_WITHIN_S
 
 
 def test_the_list_expires_where_the_service_lives_and_tells_nothing() -> None:
     schedule = PollSchedule(True, 40, Random(1), ASK_EVERY_MS)
     schedule.record_answer(0.0)
-    schedule.record_failure(10.0, PollFailure.UNREACHABLE, 0.0, continued=True)
+    schedule.record_failure(10.0, PollFailure.UNREACHABLE, 0.0, is_continuation=True)
     schedule.record_failure(11.0, PollFailure.TIMEOUT, 0.75)
-    schedule.record_failure(15.0, PollFailure.REJECTED, 2.0)
-    schedule.record_failure(18.0, PollFailure.REJECTED, 2.0)
+    schedule.record_failure(15.0, PollFailure.ERROR_STATUS, 2.0)
+    schedule.record_failure(18.0, PollFailure.ERROR_STATUS, 2.0)
     assert schedule.list_expires_at > 1e9, "it may be down, and its front says so"
-    schedule.record_failure(20.0, PollFailure.REJECTED, 0.01)
-    schedule.record_failure(30.0, PollFailure.REJECTED, 2.0)
+    schedule.record_failure(20.0, PollFailure.ERROR_STATUS, 0.01)
+    schedule.record_failure(30.0, PollFailure.ERROR_STATUS, 2.0)
     expected = 19.99 + NOTIFIED_WITHIN_S - NOTIFIED_MARGIN_S
     assert schedule.list_expires_at == expected, "from when that was seen"
     schedule.record_answer(40.0)
