--- a/oxbowyard/core/__init__.py
+++ b/oxbowyard/core/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler between a front and its backends. It knows no wire format."""
+"""The scheduler between the fronts and the backends. It is independent of any wire format."""
--- a/oxbowyard/core/admission.py
+++ b/oxbowyard/core/admission.py
@@ -1,4 +1,4 @@
-"""Which requests are admitted, by which rules of their class, and which of them are open."""
+"""Admission of requests under the rules of their class, and the table of open requests."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from .open_request import OpenRequest
 from .request import Answer, AnswerKind, Request
 
-MAX_ATTEMPTS = 16  # per request, above every setting in use: a fault in the decisions must have an end
-BUSY_RETRY_AFTER_S = 1.0  # advice with the rejection of a request while too many are open
+MAX_ATTEMPTS = 16  # per request; above every configured limit, it only bounds retries caused by a bug
+BUSY_RETRY_AFTER_S = 1.0  # retry delay sent with a rejection while too many requests are open
 
 
 @dataclass(slots=True)
 class Limits:
-    """What one process may hold."""
+    """The limits of one process."""
 
     max_open_requests: int = 20_000
     max_attempts: int = MAX_ATTEMPTS
 
 
 class Admission:
-    """The open requests. A request is admitted unless its id is open or too many are."""
+    """Holds the open requests. A request is admitted unless its id is open already or too many are open."""
 
     def __init__(self, settings: Settings, limits: Limits) -> None:
         self._loop = asyncio.get_running_loop()
@@ -34,27 +34,27 @@
         self._open_by_class: Counter[str] = Counter()
         self._idle = asyncio.Event()
         self._idle.set()
-        # Zero where the clients heed no advice.
+        # The maximum is zero if clients ignore the retry delay.
         self.retry_after_s = min(BUSY_RETRY_AFTER_S, settings.max_retry_after_ms / 1000)
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Admit requests by these classes and this number of attempts from now on."""
+        """Use the classes and the attempt limit of these settings for requests admitted from now on."""
         self._max_attempts = min(settings.max_attempts, self._limits.max_attempts)
         self._repeat_windows_s = {c.name: _repeat_window_s(c) for c in settings.classes}
 
     def is_open(self, request_id: str) -> bool:
-        """Whether a request of this id is open: a second copy could run beside it."""
+        """Return whether a request with this id is open: a second one could run at the same time."""
         return request_id in self._open
 
     def reject_if_full(self) -> Answer | None:
-        """The answer to a further request while too many are open, else None."""
+        """Return the rejection for a further request if too many are open, else None."""
         if len(self._open) < self._limits.max_open_requests:
             return None
         return Answer(AnswerKind.REJECTED, retry_after_s=self.retry_after_s, reason="too many open reqs")
 
     def admit(self, request: Request) -> OpenRequest:
-        """Open a request; its deadline counts from now."""
+        """Open a request. Its timeout starts now."""
         now = self._loop.time()
         entry = OpenRequest(
             request,
@@ -70,11 +70,11 @@
         return entry
 
     def find(self, request_id: str) -> OpenRequest | None:
-        """The open request of this id."""
+        """Return the open request with this id, or None."""
         return self._open.get(request_id)
 
     def release(self, entry: OpenRequest) -> None:
-        """Close a request, once it is answered and no attempt of it is running."""
+        """Close a request if it is answered and none of its attempts is running; otherwise do nothing."""
         if not entry.is_answered or entry.attempt is not None:
             return
         if self._open.pop(entry.request.id, None) is not None:
@@ -84,15 +84,15 @@
 
     @property
     def open_count(self) -> int:
-        """The number of open requests."""
+        """Return the number of open requests."""
         return len(self._open)
 
     def open_count_of(self, classes: Iterable[str]) -> int:
-        """The number of open requests of some classes."""
+        """Return the number of open requests of the given classes."""
         return sum(self._open_by_class[name] for name in classes)
 
     def max_time_left_s(self) -> float:
-        """Seconds until the latest deadline of the open requests; 0 if none is open."""
+        """Return the seconds until the latest deadline of the open requests; 0 if none is open."""
         latest = max((entry.deadline for entry in self._open.values()), default=0.0)
         return max(latest - self._loop.time(), 0.0)
 
@@ -102,6 +102,7 @@
 
 
 def _repeat_window_s(job_class: JobClass) -> float | None:
+    """Return how long a repeat of a request that may have run is harmless; None if it never is."""
     if job_class.retry_safety is RetrySafety.DEDUPLICATED and job_class.dedup_scope == "all":
         return job_class.dedup_window_ms / 1000
     return math.inf if job_class.retry_safety is RetrySafety.IDEMPOTENT else None
--- a/oxbowyard/core/attempts.py
+++ b/oxbowyard/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: each sends one request to one backend, and ends by its outcome, a timeout or a cancellation."""
+"""Attempts: each sends one request to one backend and ends with an outcome, a timeout or a cancellation."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class AttemptObserver(Protocol):
-    """Who is told of each attempt."""
+    """The receiver of the events of each attempt."""
 
     def attempt_started(self, entry: OpenRequest, action: StartAttempt) -> None:
-        """The backend started to run the request."""
+        """Handle the start of the request on the backend."""
 
     def attempt_ended(
         self, entry: OpenRequest, action: StartAttempt, outcome: AttemptOutcome, duration_ms: float
     ) -> None:
-        """The attempt has its outcome, which the request's record holds already."""
+        """Handle the outcome of an attempt, which is recorded in the open request already."""
 
     def attempt_not_sent(self, action: StartAttempt, is_final: bool) -> None:
-        """The attempt was not made; `is_final` where its request has its answer."""
+        """Handle an attempt that was not sent. `is_final`: its request has its final answer."""
 
 
 class Attempts:
-    """Starts and cancels attempts, and reports to the observer what becomes of them."""
+    """Starts and cancels attempts, and reports their progress to the observer."""
 
     def __init__(self, transport: BackendTransport, deadlines: Deadlines, observer: AttemptObserver) -> None:
         self._loop = asyncio.get_running_loop()
@@ -40,7 +40,7 @@
         self._observer = observer
 
     def start(self, entry: OpenRequest, action: StartAttempt) -> None:
-        """Start the attempt that was decided on, unless a rule forbids it; that is reported in a moment."""
+        """Start an attempt. If a rule forbids it, report it as not sent in the next loop iteration."""
         time_left_s = self._deadlines.time_left_s(entry)
         allowed = entry.may_be_attempted and time_left_s > 0
         entry.attempt_count += 1
@@ -60,18 +60,19 @@
         task = self._loop.create_task(self._run(entry.request, action, context))
         entry.attempt = RunningAttempt(action, context, task, sent_at=self._loop.time())
         _trace("attempt sent", entry, action)
-        # A task that is cancelled before its first step never enters its coroutine, but its callback is run.
+        # The end is handled in a callback because a task cancelled before its first step never enters its
+        # coroutine, while its callbacks still run.
         task.add_done_callback(partial(self._ended, entry, entry.attempt))
 
     def cancel(self, entry: OpenRequest) -> None:
-        """Cancel the running attempt, if there is one; its end is still reported."""
+        """Cancel the running attempt, if there is one. Its end is still reported."""
         attempt = entry.attempt
         if attempt is not None and not attempt.is_cancelling:
             attempt.is_cancelling = True
             attempt.task.cancel()
 
     def report_not_sent(self, action: StartAttempt, is_final: bool) -> None:
-        """Report, once the current decisions are carried out, that an attempt was not made."""
+        """Report that an attempt was not sent, after the current decisions have been carried out."""
         self._loop.call_soon(self._observer.attempt_not_sent, action, is_final)
 
     async def _run(self, request: Request, action: StartAttempt, context: AttemptContext) -> AttemptOutcome:
@@ -140,8 +141,8 @@
 ) -> None:
     if outcome.result is Result.OK:
         if log.isEnabledFor(logging.DEBUG):
-            where = _describe(entry, action)
-            log.debug("attempt served: %s duration_ms=%.0f load=%s", where, duration_ms, outcome.load)
+            attempt = _describe(entry, action)
+            log.debug("attempt served: %s duration_ms=%.0f load=%s", attempt, duration_ms, outcome.load)
         return
     log.info(
         "attempt not served: %s result=%s duration_ms=%.0f reason=%s",
--- a/oxbowyard/core/clock.py
+++ b/oxbowyard/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a scheduler: Unix time in milliseconds that only advances."""
+"""The clock of a scheduler: Unix time in milliseconds that never goes backwards."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 
 
 def make_unix_ms_clock() -> Callable[[], float]:
-    """A clock that reads Unix time once and follows the monotonic clock, so that a step of the system's time
-    has no effect."""
+    """Return a clock that reads Unix time once and then follows the monotonic clock.
+
+    Later steps of the system time have no effect on it.
+    """
     offset_s = time.time() - time.monotonic()
     return lambda: (time.monotonic() + offset_s) * 1000
--- a/oxbowyard/core/deadlines.py
+++ b/oxbowyard/core/deadlines.py
@@ -7,13 +7,13 @@
 
 from .open_request import OpenRequest
 
-ANSWER_AHEAD_S = 0.010  # a request is answered so long before its deadline: the answer has to travel
+ANSWER_AHEAD_S = 0.010  # a request is answered this long before its deadline, to leave time for delivery
 
 
 class Deadlines:
     """Ends each request shortly before its deadline.
 
-    `on_expired` is called with the request and a reason where it has to be answered without the decisions.
+    `on_expired` is called with the request and a reason if it has to be answered without a decision.
     """
 
     def __init__(self, on_expired: Callable[[OpenRequest, str], None]) -> None:
@@ -21,21 +21,21 @@
         self._on_expired = on_expired
 
     def set(self, entry: OpenRequest) -> None:
-        """Watch the deadline of a request that was just admitted."""
+        """Start the deadline timer of a request that was just admitted."""
         due = entry.deadline - ANSWER_AHEAD_S
         entry.deadline_timer = self._loop.call_at(due, self._expire, entry)
 
     def cancel(self, entry: OpenRequest) -> None:
-        """Watch the deadline no longer."""
+        """Stop the deadline timer."""
         if entry.deadline_timer is not None:
             entry.deadline_timer.cancel()
 
     def time_left_s(self, entry: OpenRequest) -> float:
-        """Seconds that an attempt may still take; 0 or less when the time is up."""
+        """Return the seconds that an attempt may still take; 0 or less if the deadline has passed."""
         return entry.deadline - ANSWER_AHEAD_S - self._loop.time()
 
     def _expire(self, entry: OpenRequest) -> None:
-        """Cut a running attempt, whose outcome then asks the decisions for the answer."""
+        """Cancel a running attempt, whose outcome then leads to a decision about the answer."""
         if entry.is_answered:
             return
         if entry.attempt is None:
@@ -43,12 +43,12 @@
             return
         entry.is_expired = True
         entry.attempt.task.cancel()
-        # A transport may swallow its cancellation; the client is answered all the same.
+        # A transport may suppress its cancellation; the client has to be answered nevertheless.
         entry.deadline_timer = self._loop.call_later(ANSWER_AHEAD_S, self._on_expired, entry, "deadline")
 
 
 class DecisionTimer:
-    """Calls `on_due` at the time for which the decisions last asked, by the clock of the decisions."""
+    """Calls `on_due` at the time that the dispatcher requested last, by the dispatcher's clock."""
 
     def __init__(self, clock: Callable[[], float], on_due: Callable[[], None]) -> None:
         self._loop = asyncio.get_running_loop()
@@ -57,7 +57,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def set(self, due_ms: float | None) -> None:
-        """Replace the time that was set before; None sets none."""
+        """Set the due time in place of the previous one; None clears it."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/oxbowyard/core/endpoint_lists.py
+++ b/oxbowyard/core/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""The lists of backends, one for each source, and what they say of a backend's start."""
+"""The lists of backends, one per source, and the start times that they announce."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class EndpointLists:
-    """The last known list of each source: discovery, and the backends that connect by themselves."""
+    """Holds the last known list of each source: discovery, and the backends that connect to the scheduler."""
 
     def __init__(self) -> None:
         self._by_source: dict[str, dict[str, WorkerInfo]] = {}
 
     def update(self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str) -> tuple[WorkerInfo, ...]:
-        """Take a list, or changes of one, and return what the decisions are to be told.
+        """Store a list, or changes to one, and return the update to pass on to the dispatcher.
 
-        A complete list is complete for its own source only: the backends of the other sources are added.
+        A full list covers its own source only, so the backends of the other sources are added to it.
         """
         listed = self._by_source.setdefault(source, {})
         if scope is not Scope.CHANGES:
@@ -33,7 +33,7 @@
         return (*backends, *chain.from_iterable(others))
 
     def exclude_announced_starts(self, faults: Iterable[WorkerFault]) -> list[WorkerFault]:
-        """The faults less the cold starts that a list announces: every scheduler reads those there."""
+        """Return the faults without cold starts announced by a list, since every scheduler gets that list."""
         announced: dict[str, float] = {}
         for rows in self._by_source.values():
             announced |= {name: info.started_at_ms for name, info in rows.items() if info.started_at_ms}
--- a/oxbowyard/core/lifecycle.py
+++ b/oxbowyard/core/lifecycle.py
@@ -1,7 +1,7 @@
-"""The way of a request from its admission to its one final answer.
+"""The lifecycle of a request, from its admission to its one final answer.
 
-The decisions choose what happens next; this carries it out, reports what became of it, and answers by itself
-where the decisions fail or come too late.
+The dispatcher decides what happens next. This module carries the decisions out, reports the results back, and
+answers a request itself if a decision fails or comes too late.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class RequestLifecycle:
-    """Takes admitted requests through the decisions and their attempts. It observes the attempts."""
+    """Reports the events of admitted requests to the facade and carries out its decisions."""
 
     def __init__(
         self,
@@ -58,10 +58,10 @@
         self._rejected_at = -math.inf  # loop time
 
     def begin(self, request: Request) -> OpenRequest:
-        """Admit a request and ask the decisions about it."""
+        """Admit a request and request a decision about it."""
         entry = self._admission.admit(request)
         self._deadlines.set(entry)
-        ask = RequestReceived(
+        event = RequestReceived(
             request.id,
             request.job_class,
             request.timeout_s * 1000,
@@ -70,12 +70,12 @@
             request.slots,
             request.is_retry,
         )
-        self.apply_decisions(self._facade.decide(ask), entry)
+        self.apply_decisions(self._facade.decide(event), entry)
         return entry
 
     def client_disconnected(self, entry: OpenRequest) -> None:
-        """End a request whose client has gone; it is counted as one answer."""
-        if not entry.answer.cancelled():  # the client went while its answer was on the way: that one counts
+        """End a request whose client has disconnected. This counts as its answer."""
+        if not entry.answer.cancelled():  # it has an answer already, which is the one that counts
             return
         self._deadlines.cancel(entry)
         elapsed_s = self._loop.time() - entry.received_at
@@ -87,10 +87,10 @@
         self._admission.release(entry)
 
     def apply_decisions(self, decisions: Decisions, about: OpenRequest | None = None) -> None:
-        """Carry out the actions, whichever requests they are for, and set the next tick.
+        """Carry out the actions, which may concern any requests, and schedule the next tick.
 
-        `about` is the request that the decisions are about: after a fault in the decisions it is answered
-        here, unless an attempt of it is running.
+        `about` is the request that caused the decisions. If they failed with an exception, it is answered
+        here, unless one of its attempts is running.
         """
         if decisions.fault is not None:
             log.error("decision fault: %r", decisions.fault, exc_info=decisions.fault)
@@ -106,13 +106,13 @@
         self._timer.set(decisions.next_tick_ms)
 
     def seconds_since_rejection(self) -> float:
-        """Seconds since an admitted request was last rejected; infinite if none was."""
+        """Return the seconds since an admitted request was last rejected; infinite if none was."""
         return self._loop.time() - self._rejected_at
 
-    # ---- The attempts' observer ----
+    # ---- AttemptObserver ----
 
     def attempt_started(self, entry: OpenRequest, action: StartAttempt) -> None:
-        """Report that the backend started to run the request."""
+        """Report to the facade that the backend started to run the request."""
         self.apply_decisions(
             self._facade.report(AttemptStarted(entry.request.id, action.attempt, action.worker))
         )
@@ -120,7 +120,7 @@
     def attempt_ended(
         self, entry: OpenRequest, action: StartAttempt, outcome: AttemptOutcome, duration_ms: float
     ) -> None:
-        """Answer the request if it was served, and report the outcome."""
+        """Answer the request if it was served, and report the outcome to the facade."""
         if outcome.result is Result.OK:
             self._finish(entry, Answer(AnswerKind.SERVED, outcome.body, run_state=RunState.HAS_RUN))
         ended = AttemptEnded(
@@ -136,7 +136,7 @@
         self.apply_decisions(self._facade.report(ended), entry)
 
     def attempt_not_sent(self, action: StartAttempt, is_final: bool) -> None:
-        """Report an attempt that was decided on and not made, so that it does not count as running."""
+        """Report to the facade that an attempt was not sent, so that it does not count as running."""
         ended = AttemptEnded(
             action.request_id, action.attempt, action.worker, Result.NOT_SENT, final=is_final
         )
@@ -149,7 +149,7 @@
 
     def _carry_out(self, action: RequestAction) -> None:
         entry = self._admission.find(action.request_id)
-        if entry is None:  # it was answered without the decisions
+        if entry is None:  # it was answered without a decision
             if isinstance(action, StartAttempt):
                 self._attempts.report_not_sent(action, is_final=True)
             return
@@ -169,8 +169,7 @@
     # ---- Answers ----
 
     def _reject(self, entry: OpenRequest, retry_after_s: float) -> None:
-        """Reject a request; fail it where it may have run, since a rejection promises that a repeat is
-        harmless."""
+        """Reject a request, or fail it if it may have run: a rejection promises that a repeat is harmless."""
         if entry.is_repeat_harmless:
             self._finish(entry, entry.make_answer(AnswerKind.REJECTED, "refused", retry_after_s))
             return
@@ -178,7 +177,7 @@
         self._finish(entry, entry.make_answer(AnswerKind.FAILED, "may have run"))
 
     def _answer_without_decision(self, entry: OpenRequest, reason: str) -> None:
-        """Answer a request by the rules alone: rejected where a repeat is surely harmless, else failed."""
+        """Answer a request without a decision: reject it if a repeat is certainly harmless, else fail it."""
         if entry.is_answered:
             return
         if entry.is_repeat_harmless:
@@ -189,7 +188,7 @@
         self.apply_decisions(self._facade.report(ClientDisconnected(entry.request.id)))
 
     def _finish(self, entry: OpenRequest, answer: Answer) -> None:
-        """Give the final answer, unless there is one."""
+        """Set the final answer, unless there is one already."""
         if entry.is_answered:
             return
         entry.answer.set_result(answer)
--- a/oxbowyard/core/open_request.py
+++ b/oxbowyard/core/open_request.py
@@ -1,4 +1,4 @@
-"""The record of an open request: what is known of it, and what may still be done with it."""
+"""The record of an open request: its attempts, its possible runs, and the rules for further attempts."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from ..decision.facade import NEVER_RAN, Result, StartAttempt
 from .request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request, RunState
 
+# The backend may still be running the request after these.
 INDETERMINATE_RESULTS = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
@@ -31,52 +32,55 @@
     received_at: float
     deadline: float
     answer: asyncio.Future[Answer]
-    # For how long after the first attempt that may have run a repeat does no harm; None: not at all. It is
-    # the rule of the class when the request was received, and stays if the settings change.
+    # How long after the first attempt that may have run a repeat is harmless; None if it never is. Taken from
+    # the class when the request was received, and not affected by later changes of the settings.
     repeat_window_s: float | None
     max_attempts: int
     deadline_timer: asyncio.TimerHandle | None = None
     attempt: RunningAttempt | None = None
-    attempt_count: int = 0  # attempts that were never sent are counted too
-    is_expired: bool = False  # its running attempt was cut at the deadline
+    attempt_count: int = 0  # includes attempts that were never sent
+    is_expired: bool = False  # its running attempt was cancelled at the deadline
     may_have_run: bool = False
-    may_be_running: bool = False  # no end was seen of an attempt that may have run
+    may_be_running: bool = False  # the end of an attempt that may have run was not observed
     repeat_deadline: float = math.inf
     run_started_at: float | None = None  # of the latest attempt
     run_time_s: float | None = None
 
     @property
     def is_answered(self) -> bool:
-        """Whether the final answer is given, or nobody waits for it any more."""
+        """Return whether the final answer is set, or the client has disconnected."""
         return self.answer.done()
 
     @property
     def has_sent_attempt(self) -> bool:
-        """Whether the running attempt may run by now."""
+        """Return whether the running attempt was sent completely, so that the backend may be running it."""
         return self.attempt is not None and self.attempt.context.is_last_byte_written
 
     @property
     def run_state(self) -> RunState:
-        """What is known of its run."""
+        """Return what is known about its execution on a backend."""
         if self.may_be_running or self.has_sent_attempt:
             return RunState.MAY_BE_RUNNING
         return RunState.MAY_HAVE_RUN if self.may_have_run else RunState.NEVER_RAN
 
     @property
     def is_repeat_harmless(self) -> bool:
-        """Whether the client may send the same work again without running it twice."""
+        """Return whether the client may repeat the request without the work being done twice."""
         return self.repeat_window_s is not None or not (self.may_have_run or self.has_sent_attempt)
 
     @property
     def may_be_attempted(self) -> bool:
-        """Whether the rules allow an attempt: one at a time, no more than the limit, and none after one that
-        may have run unless that is harmless."""
+        """Return whether the rules allow a further attempt.
+
+        Only one attempt may run at a time, their number is limited, and after one that may have run there is
+        none unless a repeat is harmless.
+        """
         if self.is_answered or self.attempt is not None or self.attempt_count >= self.max_attempts:
             return False
         return not self.may_have_run or self.repeat_window_s is not None
 
     def record_outcome(self, attempt: RunningAttempt, result: Result) -> None:
-        """Note what the end of an attempt says about a run."""
+        """Record whether an attempt that ended may have run, or may still be running."""
         if result not in NEVER_RAN and not self.may_have_run:
             self.may_have_run = True
             window_s = math.inf if self.repeat_window_s is None else self.repeat_window_s
@@ -84,5 +88,5 @@
         self.may_be_running |= result in INDETERMINATE_RESULTS
 
     def make_answer(self, kind: AnswerKind, reason: str, retry_after_s: float = 0.0) -> Answer:
-        """An answer without a body, with what is known of the run."""
+        """Return an answer without a body, with the current run state."""
         return Answer(kind, b"", retry_after_s, reason, self.run_state)
--- a/oxbowyard/core/request.py
+++ b/oxbowyard/core/request.py
@@ -1,7 +1,8 @@
 """A request, its attempts and its answer: the types between a front, the core and a backend transport.
 
 A front makes a `Request` and awaits `Scheduler.serve`, which returns one `Answer`. The scheduler sends the
-request to backends through a `BackendTransport`, one attempt at a time. The modules here know no wire format.
+request to backends through a `BackendTransport`, one attempt at a time. The core is independent of any wire
+format.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 
 
 class AnswerKind(Enum):
-    """How a request ended. Exactly one of these is counted for each request; the values are logged."""
+    """How a request ended. Exactly one of these is counted per request; the values are logged."""
 
     SERVED = "served"
-    REJECTED = "refused"  # a new request for the same work does no harm
-    FAILED = "failed"  # nothing is promised about its effect
+    REJECTED = "refused"  # the client may safely send the same work again
+    FAILED = "failed"  # no promise about whether the work was done
     CLIENT_DISCONNECTED = "left"
 
 
 class RunState(Enum):
-    """What is known of a request's run on a backend; the values are stored, and sent on the waiting API."""
+    """What is known about a request's run on a backend. The values are stored and sent to clients."""
 
     NEVER_RAN = "never"
-    MAY_BE_RUNNING = "open"  # it may have begun, and no end of it was seen
-    MAY_HAVE_RUN = "maybe"  # it may have run, and is over
+    MAY_BE_RUNNING = "open"  # it may have started, and its end was not observed
+    MAY_HAVE_RUN = "maybe"  # it may have run, and has ended
     HAS_RUN = "yes"
 
 
 class UpdateKind(Enum):
-    """What a backend may report while an attempt is in progress."""
+    """The kinds of updates that a backend may send while an attempt is in progress."""
 
     DATA = "data"
     WARNING = "warning"
@@ -45,11 +46,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptUpdate:
-    """A report of a running attempt for whoever waits for the answer; the body is passed on unread."""
+    """An update from a running attempt for the client. Its body is passed on without being parsed."""
 
     kind: UpdateKind
     body: bytes = b""
-    done: float = 0.0  # STATUS: so much of `total`
+    done: float = 0.0  # for STATUS: the part of `total` that is done
     total: float = 1.0
 
 
@@ -57,32 +58,33 @@
 class Request:
     """One unit of work for a backend.
 
-    `target` and `payload` belong to the front and reach the backend unread.
+    `target` and `payload` are passed from the front to the backend without being parsed.
     """
 
     id: str
     job_class: str
-    timeout_s: float  # how long the client waits for the answer from now on
+    timeout_s: float  # how long the client waits for the answer, from its admission
     target: str = ""
     payload: bytes = b""
     key: str | None = None
     tenant: str | None = None
     slots: int = 1
     is_retry: bool = False
-    backend_class: str = ""  # the class as backends know it, where that is another
+    backend_class: str = ""  # the class name used by the backends, if it differs
     extras: Mapping[str, str] = field(default_factory=dict)
-    idempotency_key: str = ""  # the client's own name for the work: workers drop a repeat by it
-    lease: str = ""  # sent to the backend, which names it when it reports an end too late
-    # Called with the backend just before the request may run there. It records the lease, and the request may
-    # be sent only once the second argument is called. Set by fronts whose jobs outlive this process.
+    idempotency_key: str = ""  # set by the client; workers use it to drop a repeat
+    lease: str = ""  # sent to the backend, which quotes it when it reports a result late
+    # Called with the backend just before the request may run there. It records the lease and then calls its
+    # second argument; the request may be sent only after that. Set by fronts whose jobs outlive this process.
     record_lease: Callable[[str, Callable[[], None]], None] | None = None
-    on_running: Callable[[bool], None] | None = None  # True when a backend starts it, False when that ends
+    # Called with True when a backend starts the request, and with False when that attempt ends.
+    on_running: Callable[[bool], None] | None = None
     on_update: Callable[[AttemptUpdate], None] | None = None
-    # Called with the final answer as soon as there is one: a cancellation of `Scheduler.serve` in the same
-    # turn of the event loop hides it. Set by the queue of deferred jobs, which records how each ended.
+    # Called with the final answer as soon as there is one, because a cancellation of `Scheduler.serve` in the
+    # same iteration of the event loop would lose it. Set by the queue of deferred jobs, which records it.
     on_answer: Callable[[Answer], None] | None = None
-    # Whether somebody still waits for the answer; a transport asks just before it sends the last byte. Unset
-    # where the work is to be done whether or not the client stays.
+    # Returns whether the client is still connected; a transport calls it just before it sends the last byte.
+    # None if the work is to be done even if the client disconnects.
     client_connected: Callable[[], bool] | None = None
 
 
@@ -92,30 +94,30 @@
 
     kind: AnswerKind
     body: bytes = b""
-    retry_after_s: float = 0.0  # 0: no advice
+    retry_after_s: float = 0.0  # 0: the client gets no retry delay
     reason: str = ""
     run_state: RunState = RunState.NEVER_RAN
 
 
 @dataclass(slots=True)
 class AttemptContext:
-    """What the scheduler tells a transport of an attempt, and what the transport records while it goes on."""
+    """The parameters and callbacks of an attempt, and the state that its transport records."""
 
     time_left_s: float  # how long the scheduler waits for the outcome
     on_started: Callable[[], None]
     on_update: Callable[[AttemptUpdate], None] = lambda update: None
-    # Loop time until which the last byte may be sent: workers drop a repeat of an earlier attempt until then.
+    # Loop time until which the last byte may be sent. After it workers no longer recognize a repeat of an
+    # earlier attempt, and the work could be done twice.
     send_deadline: float = math.inf
-    # Whether the request has no answer yet, and was not cancelled.
+    # Returns whether the request has no answer yet and was not cancelled.
     is_wanted: Callable[[], bool] = lambda: True
-    is_last_byte_written: bool = (
-        False  # the last byte was handed to the connection: from here on the request may run
-    )
+    # Set when the last byte is passed to the connection: from then on the request may run.
+    is_last_byte_written: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How an attempt ended, as its transport saw it."""
+    """How an attempt ended, as observed by its transport."""
 
     result: Result
     body: bytes = b""
@@ -124,12 +126,12 @@
 
 
 class BackendTransport(Protocol):
-    """The way to the backends."""
+    """The interface through which the core sends requests to backends."""
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        """Send the request to the backend and wait for its outcome there.
+        """Send the request to the backend and wait for the outcome.
 
-        When it is cancelled it must leave nothing running on its connection.
+        When cancelled, it must leave nothing running on its connection.
         """
         ...
 
@@ -142,20 +144,21 @@
         self._by_prefix = by_prefix
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        """Send the request through the transport of the backend's prefix, else through the default one."""
+        """Send the request through the transport for the backend's prefix, or through the default one."""
         prefix, separator, _ = backend.partition(":")
         transport = self._by_prefix.get(prefix, self._default) if separator else self._default
         return await transport.attempt(backend, request, context)
 
 
 def is_client_connected(request: Request) -> bool:
-    """Whether somebody still waits for the answer, as far as the front can tell."""
+    """Return whether the client still waits for the answer, as far as the front can tell."""
     return request.client_connected is None or request.client_connected()
 
 
 def reason_not_to_send(request: Request, context: AttemptContext) -> str:
-    """Why the request's last byte must not be sent any more, asked just before it is; empty if it may."""
-    # Asked here again since a busy loop, or a connection that is not read, notices a disconnect too late.
+    """Return why the last byte of the request must not be sent now; empty if it may be sent."""
+    # The connection is checked again because a disconnect is noticed too late if the event loop is busy or
+    # reading is paused.
     if not is_client_connected(request):
         return "its client left"
     if not context.is_wanted():
@@ -166,7 +169,7 @@
 
 
 async def wait_for_lease_record(request: Request, backend: str) -> None:
-    """Wait until the request's lease for the backend is recorded; at once where no lease is kept."""
+    """Wait until the request's lease for the backend is recorded; return at once if it needs none."""
     if request.record_lease is None:
         return
     recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/oxbowyard/core/scheduler.py
+++ b/oxbowyard/core/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as its fronts and the program use it."""
+"""The interface of the scheduler to the fronts and the rest of the program."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Scheduler:
-    """The core: fronts await `serve`, the facade decides, a backend transport makes the attempts.
+    """The core: fronts await `serve`, the facade decides, and a backend transport sends the attempts.
 
-    It must be made, and its methods called, on the running event loop.
+    It must be created, and its methods called, in the running event loop.
 
     Args:
-        settings: The classes and the limits of the platform.
-        facade: The decisions.
-        transport: The way to the backends.
-        clock: Unix time in milliseconds, never stepping back; the facade has the same one.
+        settings: The job classes and the limits of the platform.
+        facade: Decides how each request is handled.
+        transport: Sends requests to the backends.
+        clock: Unix time in milliseconds that never goes backwards; the facade uses the same one.
         measure: Counts the requests and their answers.
-        limits: What this process may hold.
+        limits: The limits of this process.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     # ---- Requests ----
 
     async def serve(self, request: Request) -> Answer:
-        """Wait for the one final answer to a request. Cancel this when its client has gone."""
+        """Return the one final answer to a request. Cancel this call when its client disconnects."""
         if self._admission.is_open(request.id):
             return Answer(AnswerKind.FAILED, reason="a req with this id is open")
         self.measure.record_request(request.job_class, request.is_retry)
@@ -64,26 +64,28 @@
             raise
 
     def run_state(self, request_id: str) -> RunState:
-        """What is known of the run of an open request; a request that is not open counts as never run."""
+        """Return what is known about the run of an open request; one that is not open counts as never run."""
         entry = self._admission.find(request_id)
         return entry.run_state if entry is not None else RunState.NEVER_RAN
 
     @property
     def open_request_count(self) -> int:
-        """Requests that are not answered, or of which an attempt is still running."""
+        """Return the number of requests that are not answered or have a running attempt."""
         return self._admission.open_count
 
     def open_request_count_of(self, classes: Iterable[str]) -> int:
-        """The same for some classes."""
+        """Return the number of open requests of the given classes."""
         return self._admission.open_count_of(classes)
 
     def max_time_left_s(self) -> float:
-        """Seconds until the latest deadline of the open requests; a client may ask for more than its
-        class."""
+        """Return the seconds until the latest deadline of the open requests.
+
+        A client may request a longer timeout than that of its class.
+        """
         return self._admission.max_time_left_s()
 
     def seconds_since_rejection(self) -> float:
-        """Seconds since an admitted request was last rejected; infinite if none was."""
+        """Return the seconds since an admitted request was last rejected; infinite if none was."""
         return self._lifecycle.seconds_since_rejection()
 
     async def wait_until_idle(self) -> None:
@@ -93,7 +95,7 @@
     # ---- Settings and endpoints ----
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use other classes and another number of attempts from now on; open requests keep theirs."""
+        """Use the classes and the attempt limit of these settings from now on; open requests keep theirs."""
         self._admission.apply_settings(settings)
         self._facade.replace_classes(settings)
         self.measure.set_classes(settings.classes)
@@ -101,33 +103,33 @@
     def update_endpoints(
         self, scope: Scope, backends: tuple[WorkerInfo, ...], source: str = "discovery"
     ) -> None:
-        """Take a list of backends, or changes of it. A complete list leaves those of other sources alone."""
+        """Apply a list of backends, or changes to it. A full list does not affect those of other sources."""
         self._lifecycle.apply_decisions(
             self._facade.update_endpoints(scope, self._endpoints.update(scope, backends, source))
         )
 
     def set_scheduler_count(self, count: int) -> None:
-        """Set how many schedulers send to the same backends, this one included."""
+        """Set the number of schedulers that send to the same backends, including this one."""
         self._facade.set_scheduler_count(count)
 
     def capacity(self, job_class: str) -> Capacity:
-        """What the listed backends can do for a class."""
+        """Return the capacity of the listed backends for a class."""
         return self._facade.capacity(job_class)
 
-    # ---- What was learned ----
+    # ---- Learned state ----
 
     def snapshot(self) -> Snapshot:
-        """What the decisions have learned, for a process that replaces this one."""
+        """Return the state that the dispatcher has learned, for a process that replaces this one."""
         return self._facade.snapshot()
 
     def restore(self, learned: Snapshot) -> None:
-        """Go on from what the replaced process has learned."""
+        """Continue from the state that the replaced process has learned."""
         self._facade.adopt(learned)
 
     def worker_faults(self) -> list[WorkerFault]:
-        """The faults of backends that this scheduler's own attempts show. It walks all backends."""
+        """Return the backend faults seen in this scheduler's own attempts. It iterates over all backends."""
         return self._endpoints.exclude_announced_starts(self._facade.worker_faults())
 
     def apply_peer_faults(self, faults: tuple[WorkerFault, ...]) -> None:
-        """Take all faults of backends that other schedulers report and that hold now."""
+        """Replace the backend faults reported by other schedulers with the ones in force now."""
         self._lifecycle.apply_decisions(self._facade.apply_peer_faults(faults))
--- a/oxbowyard/core/settings_update.py
+++ b/oxbowyard/core/settings_update.py
@@ -1,9 +1,9 @@
-"""A change of settings while the scheduler runs: what may change, and the rules that hold in between.
+"""A change of settings at run time: which ones may change, and the rules that apply during the transition.
 
-A change takes effect for a client when that client uses it, a little after the signal. Until then a request
-may come under the old rules or the new ones, so the stricter of the two holds: a class that must not run
-twice by either must not, and of two numbers of attempts the smaller counts. A class that is removed is still
-accepted for that time, under its old rules.
+Each client switches to the new settings at its own time, shortly after the reload signal. Until then a
+request may follow the old rules or the new ones, so the stricter ones apply: a class whose jobs must not run
+twice by either version is not repeated, and the smaller attempt limit is used. A removed class is still
+accepted during the transition, under its old rules.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
     RetrySafety.IDEMPOTENT,
     RetrySafety.DEDUPLICATED,
     RetrySafety.NOT_IDEMPOTENT,
-)  # from the most lenient
+)  # from the most lenient to the strictest
 DEDUP_SCOPE_ALL = "all"
 LIVE_SETTINGS = ("classes", "max_attempts")
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsUpdate:
-    """A change of settings in its two steps."""
+    """A change of settings, in two steps."""
 
-    transition: Settings  # while clients may still use the old classes
-    final: Settings  # once they use the new ones alone
+    transition: Settings  # in force while clients may still use the old classes
+    final: Settings  # in force once all clients use the new classes
 
 
 def restart_only_changes(old: Settings, new: Settings) -> tuple[str, ...]:
-    """The names of the settings that differ and take effect only with a restart."""
+    """Return the names of the settings that differ and take effect only after a restart."""
     return tuple(
         name
         for name in Settings.__slots__
@@ -39,7 +39,7 @@
 
 
 def plan_settings_update(old: Settings, new: Settings) -> SettingsUpdate:
-    """The two steps from the settings in force to new ones; only `LIVE_SETTINGS` change."""
+    """Return the two steps from the old settings to the new ones. Only `LIVE_SETTINGS` change."""
     final = replace(old, classes=new.classes, max_attempts=new.max_attempts)
     old_classes = {c.name: c for c in old.classes}
     new_names = {c.name for c in new.classes}
@@ -53,7 +53,7 @@
 
 
 def _with_stricter_retry_rule(old: JobClass, new: JobClass) -> JobClass:
-    """The new class, with the old repeat rule where that one is stricter."""
+    """Return the new class, with the retry rule of the old one if that is stricter."""
     if old.retry_safety is new.retry_safety is RetrySafety.DEDUPLICATED:
         return _with_stricter_deduplication(old, new)
     if RETRY_SAFETY_BY_STRICTNESS.index(old.retry_safety) <= RETRY_SAFETY_BY_STRICTNESS.index(
@@ -66,10 +66,11 @@
 
 
 def _with_stricter_deduplication(old: JobClass, new: JobClass) -> JobClass:
-    """The new class with a repeat allowed only where, and for as long as, both rules allow it."""
+    """Return the new class with repeats allowed only where, and for as long as, both versions allow them."""
     window_ms = min(old.dedup_window_ms, new.dedup_window_ms)
     if old.dedup_scope == new.dedup_scope or old.dedup_scope == DEDUP_SCOPE_ALL:
         return replace(new, dedup_window_ms=window_ms)
     if new.dedup_scope == DEDUP_SCOPE_ALL:
         return replace(new, dedup_scope=old.dedup_scope, dedup_window_ms=window_ms)
-    return replace(new, retry_safety=RetrySafety.NOT_IDEMPOTENT)  # a zone's workers are not a cell's
+    # A zone and a cell are different sets of workers, so no scope satisfies both versions.
+    return replace(new, retry_safety=RetrySafety.NOT_IDEMPOTENT)
