--- a/oxbowyard/discovery/__init__.py
+++ b/oxbowyard/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the watch of the endpoint list, and the registry of the endpoints that it names."""
+"""Service discovery: the watch of the endpoint list, and the registry of the listed endpoints."""
--- a/oxbowyard/discovery/client.py
+++ b/oxbowyard/discovery/client.py
@@ -1,7 +1,7 @@
 """The discovery client: keeps the registry up to date from the address that the configuration names.
 
-A `Watch` polls one address. The client decides which watch counts, applies its events to the registry, tells
-the decisions of them, and suspends sending while the list is too old for it.
+A `Watch` polls one address. The client decides which watch is in use, applies its events to the registry,
+passes them on to the dispatcher, and suspends sending while the list is too old.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class DiscoveryClient:
-    """The endpoint list from the address in force; every change goes to `update_endpoints`, in order."""
+    """Follows the endpoint list of one address. All changes are passed to `update_endpoints`, in order."""
 
     def __init__(
         self,
@@ -39,60 +39,58 @@
         on_address_settled: Callable[[], None] = lambda: None,
         schedule: PollSchedule | None = None,
     ) -> None:
-        """`on_address_settled` is called when the address that was named last has answered."""
+        """`on_address_settled` is called when the address that was set last has answered."""
         self._registry = registry
         self._update_endpoints = update_endpoints
         self._on_address_settled = on_address_settled
         self._schedule = schedule or PollSchedule(False, 1, Random(0))
         self._addresses: asyncio.Queue[str] = asyncio.Queue()
         self._addresses.put_nowait(address)
-        self._active: Watch | None = None  # whose events are applied
-        self._pending: Watch | None = None  # replaces the active one with its first answer
+        self._active: Watch | None = None  # the one whose events are applied
+        self._pending: Watch | None = None  # replaces the active one when it gets its first answer
         self._tasks: dict[Watch, asyncio.Task[None]] = {}
-        self._resume_after: int | None = None  # the revision that the first watch may go on from
-        self._expiry_timer: asyncio.TimerHandle | None = None  # when the list is too old to send by
-        self.latest_revision: int | None = None  # the one that the service sent last
-        self.on_answer: Callable[[], None] = lambda: None  # after each answer, also that nothing changed
+        self._resume_after: int | None = None  # the revision that the first watch may continue from
+        self._expiry_timer: asyncio.TimerHandle | None = None  # fires when the list is too old for sending
+        self.latest_revision: int | None = None  # the revision that the service sent last
+        self.on_answer: Callable[[], None] = lambda: None  # called after each answer, even if nothing changed
         self.wait_before_first_poll: Callable[[], Awaitable[None]] = (
             _no_delay  # awaited before the first poll
         )
-        self.ready = asyncio.Event()  # there is a list to serve from: the service's, or one from before
+        self.ready = asyncio.Event()  # set once there is a list, from the service or an earlier one
 
     def set_scheduler_count(self, schedulers: int) -> None:
-        """So many schedulers poll the same service from now on."""
+        """Set the number of schedulers that poll the same service."""
         self._schedule.set_scheduler_count(schedulers)
 
-    # ---- Lists from before ----
+    # ---- Earlier lists ----
 
     def restore(self, document: object) -> None:
-        """Serve from the list that the configuration names, which may be old; None: it names none."""
+        """Use the endpoint list of the configuration, which may be old. None if there is none in it."""
         if document is None:
             return
         try:
             event = parse_endpoint_list(document)
         except MalformedListError as error:
-            log.warning("endpoint list of the configuration not usable: %s", error)
+            log.warning("endpoint list in the configuration is unusable: %s", error)
             return
         self._update_endpoints(*self._registry.apply(event, is_restored=True))
-        if (
-            self._schedule.is_shared and event.endpoints
-        ):  # the full list costs it twice as much as what is newer
+        if self._schedule.is_shared and event.endpoints:  # a full list costs twice as much as its changes
             self._resume_after = event.revision
             self.ready.set()
 
     def adopt(self, document: object, online_since: float | None, may_resume: bool) -> bool:
-        """Serve from this full list until the service has sent one.
+        """Use this full list until the service has sent one.
 
-        `online_since`: clock time before which no worker of the list is taken to have started. `may_resume`:
-        the service may be asked for what is newer than the list. Returns False, and changes nothing, where
-        the service has answered already or the list has nothing to serve from.
+        `online_since`: clock time that is the earliest assumed start of any worker in the list. `may_resume`:
+        the first poll may request only the changes since the list's revision. Return False, and change
+        nothing, if the service has answered already or the list has no endpoints.
         """
         if self.latest_revision is not None:
             return False
         try:
             event = parse_endpoint_list(document)
         except MalformedListError as error:
-            log.warning("endpoint list from before not usable: %s", error)
+            log.warning("earlier endpoint list is unusable: %s", error)
             return False
         if not event.endpoints:
             return False
@@ -107,7 +105,7 @@
     # ---- The watches ----
 
     def change_address(self, address: str) -> None:
-        """Watch another address from now on; until it has answered, the one before stays in force."""
+        """Watch another address from now on. The previous one stays in use until the new one has answered."""
         self._addresses.put_nowait(address)
 
     async def run(self) -> None:
@@ -116,7 +114,7 @@
             await self.wait_before_first_poll()
             while True:
                 address = await self._addresses.get()
-                self._cancel(self._pending)  # overtaken before it answered
+                self._cancel(self._pending)  # replaced before it answered
                 self._pending = None
                 if self._active is not None and self._active.address == address:
                     self._on_address_settled()
@@ -127,7 +125,7 @@
         watch = Watch(address, self._schedule, self._apply, self._arm_expiry, self._resume_after)
         delay_s = self._first_poll_delay_s()
         self._pending = watch
-        self._resume_after = None  # another address may count its revisions anew
+        self._resume_after = None  # another address may number its revisions differently
         self._tasks[watch] = group.create_task(watch.run(delay_s))
 
     def _first_poll_delay_s(self) -> float:
@@ -145,7 +143,7 @@
         if activated:
             self._cancel(self._active)
             self._active, self._pending = watch, None
-        elif watch is not self._active:  # it answered in the moment in which it was cancelled
+        elif watch is not self._active:  # it answered while it was being cancelled
             return
         if event.endpoints or event.is_full:
             self._publish(event, may_be_overdue)
@@ -159,7 +157,7 @@
 
     def _publish(self, event: WatchEvent, may_be_overdue: bool) -> None:
         scope, infos = self._registry.apply(event, may_be_overdue=may_be_overdue)
-        # Weights change every second: only a full list is logged by itself, state changes have their lines.
+        # Weights change every second, so only a full list is logged at INFO. State changes are logged apart.
         level = logging.INFO if event.is_full else logging.DEBUG
         log.log(
             level,
@@ -173,15 +171,16 @@
     # ---- The list's expiry ----
 
     def _arm_expiry(self) -> None:
-        """A poll has failed: set the timer where that makes the list expire."""
+        """Start the expiry timer after a failed poll, if the list has an expiry time."""
         expires_at = self._schedule.list_expires_at
         if self._expiry_timer is None and expires_at < math.inf:
             self._expiry_timer = asyncio.get_running_loop().call_at(expires_at, self._suspend_sending)
 
     def _suspend_sending(self) -> None:
-        """Send nothing until the service has answered.
+        """Stop sending until the service has answered.
 
-        It can be reached, and has not sent its list in time: a drain that it has may bind by now.
+        The service was reachable but has not sent its list in time, so a drain that is unknown here may
+        already be binding.
         """
         log.error("endpoint list expired, nothing is sent until discovery answers")
         self._registry.suspend()
--- a/oxbowyard/discovery/endpoint_list.py
+++ b/oxbowyard/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The discovery service's JSON: the one place where its field names are mapped to the code's.
+"""The discovery service's JSON: the one place where its field names are mapped to those of the code.
 
-A poll's answer, a list kept in the configuration and a list from a peer or a disk have the same form.
+The answer to a poll, the list in the configuration, and a list from a peer or from disk have the same form.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 log = logging.getLogger("oxbowyard.discovery")
 
 READINESS_OF_STATE = {"ready": Readiness.READY, "draining": Readiness.DRAINING, "gone": Readiness.GONE}
-MALFORMED_ENTRY = (LookupError, TypeError, ValueError, OverflowError)  # the last for 1e999, which is JSON
+MALFORMED_ENTRY = (LookupError, TypeError, ValueError, OverflowError)  # OverflowError: 1e999 is valid JSON
 PORT_LIMIT = 65536
 DEFAULT_WEIGHT = 1.0
 
 
 class MalformedListError(ValueError):
-    """The document is not an endpoint list; the text says why."""
+    """The document is not an endpoint list; the message says why."""
 
 
 class ListedEndpoint(NamedTuple):
-    """One entry of an endpoint list. A named tuple: a large fleet's list has a thousand, each second."""
+    """One entry of an endpoint list. A named tuple for speed: a large fleet has a thousand every second."""
 
-    address: str  # HOST:PORT; empty where the entry does not tell it
+    address: str  # HOST:PORT; empty if the entry has no valid one
     info: WorkerInfo
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEvent:
-    """What one answer of the discovery service says."""
+    """The content of one answer of the discovery service."""
 
     revision: int
-    is_full: bool  # the whole list: an endpoint that it does not name is gone
+    is_full: bool  # the complete list: an endpoint that is not in it is gone
     endpoints: tuple[ListedEndpoint, ...]
 
 
 def parse_endpoint_list(document: object) -> WatchEvent:
-    """Read a decoded document. A malformed entry is skipped and logged.
+    """Parse a decoded document. A malformed entry is skipped and logged.
 
-    Raises MalformedListError where the document as a whole is not an endpoint list.
+    Raises MalformedListError if the document itself is not an endpoint list.
     """
     if not isinstance(document, dict) or not isinstance(document.get("targets"), list):
-        raise MalformedListError("no list of targets")
+        raise MalformedListError("not a JSON object with a list in 'targets'")
     revision = document.get("rev")
     if not isinstance(revision, int) or isinstance(revision, bool):
-        raise MalformedListError("no version")
+        raise MalformedListError(f"'rev': expected an integer, got {type(revision).__name__}")
     endpoints = []
     for row in document["targets"]:
         try:
@@ -62,13 +62,13 @@
     uid = row["uid"]
     readiness = READINESS_OF_STATE[row["state"]]
     if not (isinstance(uid, str) and uid):
-        raise ValueError("uid is not a text")
+        raise ValueError(f"'uid': expected a non-empty string, got {type(uid).__name__}")
     try:
         return ListedEndpoint(_parse_address(row, readiness), _parse_info(row, uid, readiness))
     except MALFORMED_ENTRY as error:
         if readiness is Readiness.READY:
             raise
-        # That nothing may be sent to it binds, whatever else of its entry can't be read.
+        # A state that forbids sending is binding even if the rest of the entry is malformed.
         log.warning(
             "endpoint list entry malformed, only its state is applied: uid=%s state=%s error=%r",
             uid,
@@ -81,12 +81,12 @@
 def _parse_address(row: dict[str, Any], readiness: Readiness) -> str:
     address = row["endpoint"]
     if not isinstance(address, str):
-        raise ValueError("endpoint is not a text")
+        raise ValueError(f"'endpoint': expected a string, got {type(address).__name__}")
     if not address and readiness is Readiness.GONE:
         return address
     host, _, port = address.rpartition(":")
     if not (host and 0 < int(port) < PORT_LIMIT):
-        raise ValueError(f"endpoint {address!r}")
+        raise ValueError(f"'endpoint': expected HOST:PORT, got {address!r}")
     return address
 
 
@@ -103,7 +103,7 @@
 
 
 def to_target(uid: str, address: str, readiness: Readiness, info: WorkerInfo) -> dict[str, Any]:
-    """One entry as the discovery service would send it."""
+    """Return an entry in the form in which the discovery service sends it."""
     return {
         "uid": uid,
         "endpoint": address,
--- a/oxbowyard/discovery/registry.py
+++ b/oxbowyard/discovery/registry.py
@@ -1,7 +1,7 @@
-"""The registry of endpoints: each one's state, its address, and since when it drains.
+"""The registry of endpoints: the state, the address and the start of the drain of each one.
 
-It is the one owner of that state. An endpoint's record is immutable and is replaced as a whole. Times are
-milliseconds of the clock that the registry is given.
+It is the only owner of that state. The record of an endpoint is immutable and is replaced on each change.
+Times are milliseconds of the registry's clock.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 log = logging.getLogger("oxbowyard.discovery")
 
-DRAIN_MARGIN_MS = 150.0  # kept off the drain grace: a first byte still travels to its endpoint
+DRAIN_MARGIN_MS = 150.0  # subtracted from the drain grace, for the transfer of the first byte
 
 
 class Endpoint(NamedTuple):
-    """One endpoint as the registry knows it. A named tuple: a large fleet renews a thousand each second."""
+    """An endpoint in the registry. A named tuple for speed: a large fleet updates a thousand every second."""
 
     uid: str
-    address: str  # HOST:PORT; empty where no entry has named it
-    readiness: Readiness  # as the discovery service sent it last
+    address: str  # HOST:PORT; empty if not known
+    readiness: Readiness  # the last state sent by the discovery service
     info: WorkerInfo
-    draining_since: float | None = None  # when it was notified as draining or gone, or cordoned
+    draining_since: float | None = None  # when it was reported as draining or gone, or was cordoned
 
     @property
     def is_listed(self) -> bool:
-        """Whether the discovery service names it, and not as gone."""
+        """Return whether the discovery service lists the endpoint in a state other than gone."""
         return self.readiness is not Readiness.GONE
 
 
 class Registry:
-    """Applies watch events, and says of each endpoint whether it may still be sent to.
+    """Applies watch events, and determines whether each endpoint may be sent to.
 
     A cordoned endpoint is in maintenance: it counts as draining, whatever the discovery service says, until
     it is uncordoned.
     """
 
     def __init__(self, clock: Callable[[], float], drain_grace_ms: float) -> None:
-        """`drain_grace_ms`: for how long a draining endpoint may still be sent to."""
+        """`drain_grace_ms`: how long a draining endpoint may still be sent to."""
         self._clock = clock
         self._grace_ms = max(drain_grace_ms - DRAIN_MARGIN_MS, 0.0)
         self.endpoints: dict[str, Endpoint] = {}
@@ -54,9 +54,10 @@
     def apply(
         self, event: WatchEvent, is_restored: bool = False, may_be_overdue: bool = False
     ) -> tuple[Scope, tuple[WorkerInfo, ...]]:
-        """Apply a watch event; returns what to pass on to the decisions.
+        """Apply a watch event and return the update for the dispatcher.
 
-        `is_restored`: the list is one kept from before. `may_be_overdue`: its changes may have counted as notified before.
+        `is_restored`: the list is an earlier one, from the configuration, a peer or disk. `may_be_overdue`:
+        its changes may have counted as notified before they were received.
         """
         if event.is_full:
             self._mark_unnamed_as_gone(event, may_be_overdue)
@@ -68,22 +69,22 @@
         )
 
     def effective_endpoints(self) -> tuple[WorkerInfo, ...]:
-        """All endpoints in the form for the decisions."""
+        """Return all endpoints in the form for the dispatcher."""
         return tuple(self._effective(endpoint.info) for endpoint in self.endpoints.values())
 
     def targets(self) -> list[dict[str, Any]]:
-        """The endpoints that are not gone, in the form in which the discovery service sends a list."""
+        """Return the endpoints that are not gone, in the form in which the discovery service sends a list."""
         return [to_target(e.uid, e.address, e.readiness, e.info) for e in self._listed()]
 
     @property
     def listed_count(self) -> int:
-        """How many endpoints the discovery service names, draining ones included."""
+        """Return how many endpoints the discovery service lists, including draining ones."""
         return len(self._listed())
 
     def address(self, uid: str) -> str | None:
-        """The address of an endpoint whose first byte may be sent now; None where it may not."""
+        """Return the address of an endpoint; None if no request may be sent to it now."""
         endpoint = self.endpoints.get(uid)
-        # The decisions learn of a cordon or a suspension at once: there is no grace.
+        # A cordon or a suspension applies without a grace period: the dispatcher is informed immediately.
         if endpoint is None or self._suspended or uid in self.cordoned:
             return None
         if endpoint.draining_since is not None and self._clock() - endpoint.draining_since >= self._grace_ms:
@@ -124,7 +125,7 @@
             return None
         if draining_since is not None:
             return draining_since
-        # How much of the grace is left of a change that a dead watch held back is not known: none is taken.
+        # If a dead watch delayed the change, the remaining grace is not known and assumed to be zero.
         return self._clock() - (self._grace_ms if may_be_overdue else 0.0)
 
     def _remove_expired(self) -> None:
@@ -137,36 +138,36 @@
         for uid in long_gone:
             del self.endpoints[uid]
 
-    # ---- Suspension: the list is too old to send by ----
+    # ---- Suspension while the list is too old ----
 
     @property
     def is_suspended(self) -> bool:
-        """Whether every endpoint counts as draining, because the list is too old to send by."""
+        """Return whether every endpoint counts as draining because the list is too old."""
         return self._suspended
 
     def suspend(self) -> None:
-        """Let no endpoint be sent to until `resume`."""
+        """Prevent sending to any endpoint until `resume` is called."""
         self._suspended = True
 
     def resume(self) -> None:
-        """The list is young enough again to send by."""
+        """Allow sending again: the list is recent enough."""
         self._suspended = False
 
     # ---- Maintenance ----
 
     @property
     def cordoned_count(self) -> int:
-        """How many listed endpoints are cordoned."""
+        """Return how many listed endpoints are cordoned."""
         return sum(endpoint.uid in self.cordoned for endpoint in self._listed())
 
     def _is_known(self, uid: str) -> bool:
-        """Whether the endpoint is listed, or was of late, or is cordoned."""
+        """Return whether the endpoint is listed, was listed recently, or is cordoned."""
         return uid in self.endpoints or uid in self.cordoned
 
     def cordon(self, uid: str) -> WorkerInfo | None:
-        """Cordon an endpoint; a second call changes nothing.
+        """Cordon an endpoint; a repeated call has no effect.
 
-        Returns what to pass on to the decisions; None where the endpoint is unknown.
+        Return the update for the dispatcher; None if the endpoint is unknown.
         """
         if not self._is_known(uid):
             return None
@@ -181,13 +182,13 @@
         return self._effective(endpoint.info)
 
     def cordon_unlisted(self, uid: str) -> None:
-        """Cordon an endpoint that is unknown as yet: it drains from its first listing."""
+        """Cordon an endpoint that may not be known yet: it drains as soon as it is listed."""
         self.cordoned.add(uid)
 
     def uncordon(self, uid: str) -> WorkerInfo | None:
-        """Use an endpoint again as the discovery service says; one call undoes all calls of `cordon`.
+        """Apply the state sent by the discovery service again; one call reverts all calls of `cordon`.
 
-        Returns what to pass on to the decisions; None where the endpoint is unknown.
+        Return the update for the dispatcher; None if the endpoint is unknown.
         """
         if not self._is_known(uid):
             return None
@@ -202,9 +203,9 @@
         return self._effective(endpoint.info)
 
     def _effective(self, info: WorkerInfo) -> WorkerInfo:
-        """The form for the decisions: a cordoned or suspended endpoint drains."""
-        held_back = self._suspended or info.name in self.cordoned
-        if held_back and info.readiness is Readiness.READY:
+        """Return the form for the dispatcher, in which a cordoned or suspended endpoint is draining."""
+        is_unavailable = self._suspended or info.name in self.cordoned
+        if is_unavailable and info.readiness is Readiness.READY:
             return replace(info, readiness=Readiness.DRAINING)
         return info
 
--- a/oxbowyard/discovery/watch.py
+++ b/oxbowyard/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch of one address of the discovery service: one long poll after the other, until it is cancelled."""
+"""The watch of one address of the discovery service: consecutive long polls until it is cancelled."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 log = logging.getLogger("oxbowyard.discovery")
 
 DISCOVERY_PATH = "/discovery/hosts"
-CATCH_UP_WAIT_MS = 1  # what was missed is asked for without a wait: only once it is known a watch begins
+CATCH_UP_WAIT_MS = 1  # missed changes are requested without a wait; only then a watch begins
 MAX_CONNECTIONS = 2
 STATUS_OK = 200
 
 
 class PollError(Exception):
-    """A poll brought no endpoint list; the schedule of the next one depends on why."""
+    """A poll did not return an endpoint list; `failure` affects the schedule of the next one."""
 
     def __init__(self, failure: PollFailure, cause: Exception | str) -> None:
         super().__init__(f"{failure.value}: {cause if isinstance(cause, str) else repr(cause)}")
@@ -30,7 +30,7 @@
 
 
 class Watch:
-    """The polls of one address, beginning with the full list, or with what is newer than a known revision."""
+    """Polls one address, starting with the full list or with the changes since a known revision."""
 
     def __init__(
         self,
@@ -40,10 +40,11 @@
         on_failure: Callable[[], None],
         after_revision: int | None = None,
     ) -> None:
-        """`on_event` is called with each answer, and whether its changes may have counted as notified before.
+        """Create a watch of an address.
 
-        `on_failure` is called after each poll that failed. `after_revision`: the revision of the list that is
-        being served; None asks for the full list.
+        `on_event` is called with each answer, and whether its changes may have counted as notified before
+        they were received. `on_failure` is called after each failed poll. `after_revision`: the revision of
+        the list in use; None requests the full list.
         """
         self.address = address
         self._schedule = schedule
@@ -53,10 +54,10 @@
         self._url = URL(f"http://{address}{DISCOVERY_PATH}")
         self._loop = asyncio.get_running_loop()
         self._is_failing = False
-        self._is_continuing = False  # the last poll was answered, and the next one continues from there
+        self._is_continuing = False  # the last poll was answered and the next one continues it
 
     async def run(self, delay_s: float) -> None:
-        """Poll until cancelled, beginning after so many seconds."""
+        """Poll until cancelled, after an initial delay."""
         await asyncio.sleep(delay_s)
         async with aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=MAX_CONNECTIONS),
@@ -69,15 +70,15 @@
                     await asyncio.sleep(retry_delay_s)
 
     async def _poll_once(self, session: aiohttp.ClientSession) -> float | None:
-        """Poll once; returns None if it was answered, otherwise the seconds until the next poll."""
-        began, is_continuation = self._loop.time(), self._is_continuing
+        """Poll once. Return None if the poll was answered, else the seconds until the next one."""
+        started_at, is_continuation = self._loop.time(), self._is_continuing
         try:
             self._handle_answer(await self._poll(session))
             return None
         except PollError as error:
             failure = error.failure
             self._log_failure(error)
-        except Exception:  # guards the watch: without it no drain would ever be notified again
+        except Exception:  # without a watch, drains would no longer be received
             log.exception(
                 "internal error while applying an endpoint list, polling for the full one: address=%s",
                 self.address,
@@ -85,7 +86,7 @@
             self._revision, failure = None, PollFailure.UNREACHABLE
         self._is_continuing = False
         now = self._loop.time()
-        retry_delay_s = self._schedule.record_failure(now, failure, now - began, is_continuation)
+        retry_delay_s = self._schedule.record_failure(now, failure, now - started_at, is_continuation)
         self._on_failure()
         return retry_delay_s
 
@@ -111,7 +112,7 @@
         try:
             async with asyncio.timeout(timeout_s), session.get(url, allow_redirects=False) as response:
                 return response.status, await response.read()
-        except aiohttp.ConnectionTimeoutError as error:  # which is a TimeoutError too
+        except aiohttp.ConnectionTimeoutError as error:  # a subclass of TimeoutError, so it comes first
             raise PollError(PollFailure.UNREACHABLE, error) from error
         except TimeoutError as error:
             raise PollError(PollFailure.TIMEOUT, error) from error
@@ -121,19 +122,22 @@
     def _parse(self, body: bytes) -> WatchEvent:
         try:
             event = parse_endpoint_list(orjson.loads(body))
-        except ValueError as error:  # MalformedListError, or no JSON
+        except ValueError as error:  # MalformedListError or invalid JSON
             raise PollError(PollFailure.UNREACHABLE, error) from error
         if self._revision is not None and event.revision < self._revision:
-            # A late answer, or the service counts anew. The full list is believed whatever its revision.
+            # A delayed answer, or the service renumbers its lists. A full list is accepted with any revision.
             self._revision = None
             older = MalformedListError("older than the current revision")
             raise PollError(PollFailure.UNREACHABLE, older)
         if self._revision is None and not event.is_full:
-            raise PollError(PollFailure.UNREACHABLE, MalformedListError("not the full list"))
+            raise PollError(
+                PollFailure.UNREACHABLE,
+                MalformedListError(f"expected a full list, got changes: rev={event.revision}"),
+            )
         return event
 
     def _log_failure(self, error: PollError) -> None:
-        if not self._is_failing:  # once an outage, not once a poll
+        if not self._is_failing:  # once per outage, not per poll
             log.warning(
                 "discovery unavailable, serving from the current endpoint list: address=%s reason=%s",
                 self.address,
