--- a/oxbowyard/peers/__init__.py
+++ b/oxbowyard/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What schedulers that know each other share: the size of their cluster, worker faults and drains."""
+"""State shared among the schedulers of a group: the cluster size, worker faults and drains."""
--- a/oxbowyard/peers/cluster_size.py
+++ b/oxbowyard/peers/cluster_size.py
@@ -1,20 +1,21 @@
-"""The number of schedulers to plan with, from a member list that may be wrong. Without I/O or clock.
-
-It takes the place of the configured number of schedulers: in the budget of workers that are warming up, in
-the pauses between calls to discovery, in the load that peers are assumed to cause. A number that is too small
-overloads a worker that is warming up; one that is too large costs a little time. So in doubt it is the larger
-number:
-
-- a suspect member counts, and a dead one goes on counting for `dead_retention_s` seconds;
-- where more than a quarter of the members died within that time it may be a network split, behind which they
-  go on working: they count for `split_retention_s` seconds. The deaths of one split are found apart by up to the
-  longest suspicion of the group, so `dead_retention_s` is never taken to be shorter than that;
-- a member that left does not count;
-- until this scheduler has met another one, and `SETTLE_S` after the last one joined, the configured number is
-  the least.
-
-So the size is never under the number of schedulers that this one has known to live within the last
-`dead_retention_s`. It may lack members that this scheduler has not heard of yet.
+"""The number of schedulers to assume, from a member list that may be wrong. Does no I/O and reads no clock.
+
+It replaces the configured number of schedulers: in the budget of workers that are warming up, in the delays
+between polls of discovery, and in the load that peers are assumed to cause. A number that is too small
+overloads a worker that is warming up; one that is too large costs a little time. So the larger number is used
+if in doubt:
+
+- a suspect member is counted, and a dead one is counted for another `dead_retention_s` seconds;
+- if more than a quarter of the members died within that time, the cause may be a network split, with the
+  members working on its other side: they are counted for `split_retention_s` seconds. The deaths of one split
+  are detected at times that differ by up to the longest suspicion of the group, so `dead_retention_s` is
+  never assumed to be shorter than that;
+- a member that left is not counted;
+- the configured number is the minimum until this scheduler has met another one, and until `SETTLE_S` after
+  the last one joined.
+
+So the size is never less than the number of schedulers known to have been alive within the last
+`dead_retention_s`. Members that this scheduler does not know yet may be missing.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SETTLE_S = 10.0  # after the last member joined until the member list is trusted
-SPLIT_SHARE = 0.25  # of the members that counted before: more deaths at once may be a split
+SETTLE_S = 10.0  # how long after the last join the member list counts as incomplete
+SPLIT_SHARE = 0.25  # of the members counted before; more deaths at once may be a network split
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedMember:
-    """What the member list says of one other scheduler."""
+    """The state of another scheduler in the member list."""
 
     name: str
     is_live: bool  # alive or suspect
@@ -36,28 +37,29 @@
 
 
 class ClusterSize:
-    """Follows the member list, all of which is passed to `update` again and again."""
+    """Tracks the size of the cluster. The complete member list is passed to each call of `update`."""
 
     def __init__(self, configured: int, dead_retention_s: float, split_retention_s: float) -> None:
         self._configured = max(configured, 1)
         self._dead_retention_s = dead_retention_s
         self._split_retention_s = split_retention_s
         self._live_names: set[str] = set()
-        self._died_at: dict[str, float] = {}  # dead members that may still count, by name
-        self._possibly_split: set[str] = set()  # those of them that may be behind a split
+        self._died_at: dict[str, float] = {}  # dead members that are still counted, by name
+        self._possibly_split: set[str] = set()  # dead members that may be on the other side of a split
         self._last_joined_at: float | None = None
         self.live = 1
         self.size = self._configured
 
     @property
     def counted_dead(self) -> int:
-        """The dead members that still count."""
+        """Return the number of dead members that are still counted."""
         return len(self._died_at)
 
     def update(self, now: float, members: Iterable[ObservedMember], longest_suspicion_s: float = 0.0) -> int:
-        """Take the member list as it is at `now` (seconds); returns the size, this scheduler included.
+        """Apply the member list as of `now` (seconds) and return the size, including this scheduler.
 
-        `longest_suspicion_s` bounds the time between the deaths of one split, as the group's health is now.
+        `longest_suspicion_s` limits the time between the deaths of one split, given the current health of the
+        group.
         """
         dead_retention_s = max(self._dead_retention_s, longest_suspicion_s)
         live, left = _live_and_left(members)
@@ -74,13 +76,13 @@
         return self.size
 
     def _record_deaths(self, now: float, live: set[str], left: set[str]) -> None:
-        for name in self._live_names - live - left:  # dead, or forgotten before it was seen dead
+        for name in self._live_names - live - left:  # dead, or removed before it was observed to be dead
             self._died_at[name] = now
         for name in (live | left) & self._died_at.keys():
             self._drop(name)
 
     def _find_splits(self, now: float, dead_retention_s: float) -> None:
-        """If so many died at once, all of them may be behind a split until they are dropped."""
+        """If many members died recently, mark them as possibly split until they are dropped."""
         recent = [name for name, died_at in self._died_at.items() if now - died_at < dead_retention_s]
         if len(recent) > SPLIT_SHARE * (len(self._live_names) + 1 + len(self._died_at)):
             self._possibly_split.update(recent)
--- a/oxbowyard/peers/component.py
+++ b/oxbowyard/peers/component.py
@@ -1,4 +1,4 @@
-"""Membership as a component of the program: what the group and this scheduler tell each other."""
+"""Membership as a component of the program: the exchange of state between this scheduler and its group."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 log = logging.getLogger("oxbowyard.peers")
 
 UPDATE_INTERVAL_S = 0.25
-BIND_RETRY_INTERVAL_S = 0.2  # while the process that this one replaces has the address
+BIND_RETRY_INTERVAL_S = 0.2  # while the process being replaced still uses the address
 MAX_SHOWN_CONFLICTS = 16
 
 
 class MembershipComponent:
-    """One scheduler's place in the group."""
+    """Makes this scheduler a member of the group."""
 
     name = "membership"
 
@@ -45,15 +45,15 @@
         self._facts = FactsPublisher(services)
         self._fault_sharing = FaultSharing(services, self._node)
         self._drains = DrainPropagation(self._node.handle, services.set_drained, settings.forget_s)
-        self._conflicts: dict[str, str] = {}  # names, with the address of the other process
+        self._conflicts: dict[str, str] = {}  # address of the other process with the same name, by name
         self._tasks: list[asyncio.Task[None]] = []
 
     # ---- Lifecycle ----
 
     async def open(self) -> None:
-        """Bind the sockets, or go on trying while the address is in use.
+        """Bind the sockets, or keep trying in the background while the address is in use.
 
-        Raises OSError if the address can't be bound for another reason.
+        Raises OSError if the address cannot be bound for another reason.
         """
         try:
             await self._join()
@@ -64,11 +64,11 @@
             self._spawn(self._join_later())
 
     def start(self) -> None:
-        """Begin to share what this scheduler knows."""
+        """Start sharing the state of this scheduler with the group."""
         self._spawn(self._run())
 
     async def hand_over(self) -> None:
-        """Leave the group, so that another process takes the place under this name."""
+        """Leave the group, so that another process can join under the same name."""
         await self._cancel_tasks()
         await self._node.close()
 
@@ -112,13 +112,13 @@
                 log.error("membership task failed: error=%r", error)
         self._tasks.clear()
 
-    # ---- What this scheduler tells ----
+    # ---- Outgoing state ----
 
     async def _run(self) -> None:
         while True:
             try:
                 self._update()
-            except Exception:  # one failed update is no reason to fall silent in the group
+            except Exception:  # a failed update must not end the updates to the group
                 log.exception("membership update failed")
             await asyncio.sleep(UPDATE_INTERVAL_S)
 
@@ -151,10 +151,10 @@
             self._services.set_scheduler_count(size)
 
     def on_drain_changed(self, worker: str, is_drained: bool) -> None:
-        """The operators drained a worker at this scheduler, or put it back."""
+        """Propagate that an operator drained a worker at this scheduler, or returned it to service."""
         self._drains.on_local_change(worker, is_drained, self._loop.time())
 
-    # ---- What this scheduler hears ----
+    # ---- Incoming state ----
 
     def _on_entry(self, entry: GossipEntry) -> None:
         is_drain = self._drains.receive(entry, self._loop.time())
@@ -168,12 +168,12 @@
         elif event.kind in (MemberEventKind.DIED, MemberEventKind.LEFT):
             self._conflicts.pop(event.name, None)
 
-    # ---- What the operators see ----
+    # ---- Admin API ----
 
     def view(self) -> Mapping[str, object]:
-        """The group as the admin API shows it."""
+        """Return the status of the group for the admin API."""
         now = self._loop.time()
-        self._update_cluster_size(now)  # what is shown is of one moment
+        self._update_cluster_size(now)  # so that all values are of the same moment
         status = GroupStatus(
             self._settings.group,
             self._services.configured_size,
--- a/oxbowyard/peers/drain_propagation.py
+++ b/oxbowyard/peers/drain_propagation.py
@@ -1,9 +1,8 @@
-"""Workers drained by hand, propagated to all schedulers. Without I/O or clock.
+"""Propagation of workers drained by operators to all schedulers. Does no I/O and reads no clock.
 
-Each worker has one register in the whole group, whose later write holds. A drain holds until it is undone.
-That it was undone is remembered for as long as dead members are: a scheduler that was cut off for longer may
-bring an old drain again. The worker is then drained until it is put back once more; it is never used too
-early.
+Each worker has one last-write-wins register in the group. A drain is in force until it is undone. The undo is
+retained for as long as dead members are, so a scheduler that was disconnected for longer may bring an old
+drain back. The worker is then drained until it is returned to service once more; it is never used too early.
 """
 
 from __future__ import annotations
@@ -14,23 +13,24 @@
 from ..membership.events import EntryWritten
 from ..membership.messages import GossipEntry
 
-DRAIN_PREFIX = "out:"  # of an entry's key; the worker's id follows
-UNLIMITED_LIFETIME_S = 1e9
-MAX_LOCAL_DRAINS = 1000  # of which the time is remembered
-YIELDING_LAMPORT_TIME = 0  # an entry that any other write replaces
+DRAIN_PREFIX = "out:"  # prefix of an entry's key, followed by the worker's id
+UNLIMITED_LIFETIME_S = 1e9  # longer than any process runs
+MAX_LOCAL_DRAINS = 1000  # number of drains whose time is stored
+YIELDING_LAMPORT_TIME = 0  # any other write replaces an entry with this time
 
 
 @dataclass(slots=True)
 class DrainPropagation:
-    """Turns this scheduler's drains into entries, and other schedulers' entries into drains."""
+    """Converts drains at this scheduler to entries, and entries of other schedulers to drains."""
 
     write_entry: Callable[[EntryWritten], None]
     set_drained: Callable[[str, bool], None]  # by worker id
     undrain_retention_s: float
-    _drained_at: dict[str, float] = field(default_factory=dict)  # drains asked for here, by worker id
+    # When each drain was requested at this scheduler, by worker id.
+    _drained_at: dict[str, float] = field(default_factory=dict)
 
     def on_local_change(self, worker: str, is_drained: bool, now: float) -> None:
-        """The operators drained a worker at this scheduler, or put it back."""
+        """Write that an operator drained a worker at this scheduler, or returned it to service."""
         self._drained_at.pop(worker, None)
         if is_drained:
             self._drained_at[worker] = now
@@ -39,15 +39,16 @@
         self._write(worker, is_drained)
 
     def announce_restored(self, workers: Iterable[str]) -> None:
-        """Announce the drains from before this process began; one that was undone meanwhile yields."""
+        """Write the drains from before this process started; they yield to an undo written meanwhile."""
         for worker in sorted(workers):
             self.write_entry(_entry(worker, True, UNLIMITED_LIFETIME_S, YIELDING_LAMPORT_TIME))
 
     def receive(self, entry: GossipEntry, now: float) -> bool:
-        """Take an entry of another scheduler; returns whether it is about a drain.
+        """Apply an entry of another scheduler, and return whether it is about a drain.
 
-        A drain asked for here before this scheduler had met the group has a low Lamport time. An undrain that
-        is older than that drain by its age does not hold, and the drain is written once more.
+        A drain requested here before this scheduler joined the group has a low Lamport time, so an older undo
+        may replace it. If the age of the undo shows that it is older, it is ignored and the drain is written
+        again.
         """
         if not entry.key.startswith(DRAIN_PREFIX) or not entry.is_shared:
             return False
--- a/oxbowyard/peers/facts.py
+++ b/oxbowyard/peers/facts.py
@@ -1,4 +1,4 @@
-"""The facts that a scheduler tells about itself in its member record, and how operators see them."""
+"""The facts that a scheduler publishes about itself in its member record, and their form in the admin API."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from .services import ProgramServices
 
-# Keys of a member record, and of its facts in the admin API.
+# Keys of the facts in a member record, and in the admin API.
 STATE = "state"
 OPEN_REQUESTS = "held"
 SLOTS = "slots"
@@ -16,16 +16,16 @@
 SHOWN_STATE = "does"
 SHOWN_VERSION = "version"
 
-STATES = ("joining", "serving", "draining", "left")  # a member record has the position in it
+STATES = ("joining", "serving", "draining", "left")  # a member record holds the index of the state
 UNKNOWN_STATE = "unknown"
 
-MIN_PUBLISH_INTERVAL_S = 5.0  # at least, between facts of which only the figures have changed
-SIGNIFICANT_SHARE = 0.25  # by which a figure has to change to be published
-SIGNIFICANT_DIFFERENCE = 1.0
+MIN_PUBLISH_INTERVAL_S = 5.0  # between facts of which only the numbers have changed
+SIGNIFICANT_SHARE = 0.25  # relative change of a number that is published
+SIGNIFICANT_DIFFERENCE = 1.0  # absolute change, which has to be exceeded as well
 
 
 class FactsPublisher:
-    """Decides when the facts are to be published, since each time they go to every member."""
+    """Decides when to publish the facts. They are published rarely because they are sent to every member."""
 
     def __init__(self, services: ProgramServices) -> None:
         self._services = services
@@ -33,11 +33,14 @@
         self._checked_at = -MIN_PUBLISH_INTERVAL_S
 
     def forget_published(self) -> None:
-        """The member begins again as another process, whose record has no facts yet."""
+        """Forget the published facts, because the member record of a new process has none."""
         self._published = {}
 
     def changed_facts(self, now: float) -> dict[str, float] | None:
-        """The facts to publish at `now` (seconds): at once for another state, rarely for other figures."""
+        """Return the facts to publish at `now` (seconds), or None.
+
+        A change of the state is published immediately, and changes of numbers at a limited rate.
+        """
         state = float(STATES.index(self._services.state()))
         is_same_state = state == self._published.get(STATE)
         if is_same_state and now - self._checked_at < MIN_PUBLISH_INTERVAL_S:
@@ -56,8 +59,8 @@
             STATE: state,
             OPEN_REQUESTS: float(services.open_request_count()),
             SLOTS: round(services.slots(), 1),
-            MAJOR_VERSION: _number(major),
-            MINOR_VERSION: _number(minor),
+            MAJOR_VERSION: _parse_number(major),
+            MINOR_VERSION: _parse_number(minor),
         }
 
     def _differ_significantly(self, facts: Mapping[str, float]) -> bool:
@@ -67,7 +70,7 @@
 
 
 def shown_facts(facts: Mapping[str, float]) -> dict[str, object]:
-    """A member's facts as the admin API shows them; those of later versions, or no numbers, are left out."""
+    """Return a member's facts for the admin API, without unknown ones and those that are not finite."""
     facts = {key: value for key, value in facts.items() if math.isfinite(value)}
     if not facts:
         return {}
@@ -82,5 +85,5 @@
     return abs(one - other) > max(SIGNIFICANT_SHARE * max(one, other), SIGNIFICANT_DIFFERENCE)
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     return float(text) if text.isdigit() else 0.0
--- a/oxbowyard/peers/fault_reports.py
+++ b/oxbowyard/peers/fault_reports.py
@@ -1,8 +1,8 @@
-"""Worker faults as entries among schedulers: which of one's own to report, and what the peers' reports mean.
+"""Worker faults as gossip entries: selects the own faults to report, and evaluates the reports of peers.
 
-A report may keep a worker from being used for a while; it never causes it to be used sooner. It says at most
-for how long to avoid the worker, and since when it has been warming up. Without I/O or clock: times here are
-in seconds, those of the decisions in milliseconds.
+A report may prevent the use of a worker for a while, but never causes it to be used sooner. It only says how
+long to avoid the worker, and since when it has been warming up. This module does no I/O and reads no clock.
+Times are in seconds, but those of the dispatcher are in milliseconds.
 """
 
 from __future__ import annotations
@@ -14,43 +14,43 @@
 from ..decision.facade import WorkerFault
 from ..membership.messages import GossipEntry
 
-EJECTED_PREFIX = "bar:"  # of an entry's key; the worker's id follows
+EJECTED_PREFIX = "bar:"  # prefix of an entry's key, followed by the worker's id
 WARMING_UP_PREFIX = "cold:"
 KEY_PREFIXES = (EJECTED_PREFIX, WARMING_UP_PREFIX)
 
 MAX_REPORTED_FAULTS = 64
-MAX_REPORTED_SHARE = 0.25  # of the workers: with more, this scheduler is rather at fault itself
-MIN_LIFETIME_S = 0.1  # a fault that is over sooner is not reported
-MIN_EXTENSION_S = 0.3  # by which a fault has to end later to be reported again
-MIN_START_DIFFERENCE_MS = 1000.0  # by which two schedulers' starts of one worker differ at least
-MAX_LIFETIME_S = 30.0  # of a peer's report, whatever it says
+MAX_REPORTED_SHARE = 0.25  # of the workers; with more faults the cause is probably this scheduler
+MIN_LIFETIME_S = 0.1  # a fault that ends sooner is not reported
+MIN_EXTENSION_S = 0.3  # a fault is reported again if its end moves by more than this
+MIN_START_DIFFERENCE_MS = 1000.0  # start times of a worker that differ by less count as equal
+MAX_LIFETIME_S = 30.0  # upper limit for the lifetime in a peer's report
 MS_PER_S = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class FaultReport:
-    """An entry to write."""
+    """A fault report to write as an entry."""
 
     key: str
-    value: float  # of a worker that is warming up: for how long already, in seconds
+    value: float  # for a worker that is warming up: for how long it has been, in seconds
     lifetime_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class _ReceivedReport:
     entry: GossipEntry
-    began_at: float
+    created_at: float
 
     def remaining_s(self, now: float) -> float:
-        return min(self.entry.lifetime_s, MAX_LIFETIME_S) - (now - self.began_at)
+        return min(self.entry.lifetime_s, MAX_LIFETIME_S) - (now - self.created_at)
 
 
 class FaultReports:
-    """The reports that one scheduler has made and received. `ramp_s`: how long a worker warms up."""
+    """Holds the reports that this scheduler has sent and received. `ramp_s`: how long a worker warms up."""
 
     def __init__(self, ramp_s: float) -> None:
         self._ramp_s = ramp_s
-        self._reported_until: dict[str, float] = {}  # by key
+        self._reported_until: dict[str, float] = {}  # end of the reported fault, by key
         self._received: dict[tuple[str, str], _ReceivedReport] = {}  # by author and key
 
     # ---- Own faults ----
@@ -58,9 +58,10 @@
     def new_reports(
         self, now: float, own_faults: list[WorkerFault], worker_count: int, clock_ms: float
     ) -> list[FaultReport]:
-        """What is to be reported of this scheduler's own faults; `clock_ms` is the decisions' time.
+        """Return the new reports for this scheduler's own faults. `clock_ms`: the dispatcher's time.
 
-        A start that a peer reported is left out: each would report the other's report for ever.
+        A start that a peer reported is left out: otherwise two schedulers would repeat each other's report
+        indefinitely.
         """
         self._reported_until = {key: until for key, until in self._reported_until.items() if until > now}
         if len(own_faults) > max(min(MAX_REPORTED_FAULTS, worker_count * MAX_REPORTED_SHARE), 1):
@@ -82,7 +83,7 @@
         return self._report_if_new(WARMING_UP_PREFIX + fault.worker, age_s, self._ramp_s - age_s, now)
 
     def _report_if_new(self, key: str, value: float, lifetime_s: float, now: float) -> list[FaultReport]:
-        """The report, unless it is over soon or was made already with about the same end."""
+        """Return the report, unless the fault ends soon or was already reported with about the same end."""
         is_reported = self._reported_until.get(key, 0.0) + MIN_EXTENSION_S > now + lifetime_s
         if lifetime_s < MIN_LIFETIME_S or is_reported:
             return []
@@ -92,7 +93,7 @@
     # ---- Peers' faults ----
 
     def receive(self, entry: GossipEntry, now: float) -> bool:
-        """Take a peer's entry; returns whether it is a fault report."""
+        """Store a peer's entry if it is a fault report, and return whether it is one."""
         if not entry.key.startswith(KEY_PREFIXES) or entry.is_shared:
             return False
         self._received[entry.author, entry.key] = _ReceivedReport(entry, now - entry.age_s)
@@ -101,10 +102,10 @@
     def peer_faults(
         self, now: float, clock_ms: float, own_faults: Iterable[WorkerFault] = ()
     ) -> tuple[WorkerFault, ...]:
-        """What the peers' reports come to at this time, one fault for each worker, sorted by its id.
+        """Return the faults that the peers report at this time, one per worker, sorted by the worker's id.
 
-        A start that hardly differs from what `own_faults` say is left out: reported back and forth, it
-        would come later each time.
+        A start that hardly differs from the one in `own_faults` is left out: otherwise it would become later
+        each time it is reported back and forth.
         """
         self._drop_expired(now)
         own_starts = {fault.worker: fault.cold_since_ms for fault in own_faults if fault.cold_since_ms}
@@ -117,7 +118,7 @@
                 avoid_ms[worker] = max(avoid_ms.get(worker, 0.0), report.remaining_s(now) * MS_PER_S)
                 continue
             worker = key.removeprefix(WARMING_UP_PREFIX)
-            start = clock_ms - (now - report.began_at + report.entry.value) * MS_PER_S
+            start = clock_ms - (now - report.created_at + report.entry.value) * MS_PER_S
             if start - own_starts.get(worker, -math.inf) > MIN_START_DIFFERENCE_MS:
                 starts[worker] = max(starts.get(worker, 0.0), start)
         return tuple(
@@ -126,6 +127,6 @@
         )
 
     def _drop_expired(self, now: float) -> None:
-        expired = [place for place, report in self._received.items() if report.remaining_s(now) <= 0]
-        for place in expired:
-            del self._received[place]
+        expired = [key for key, report in self._received.items() if report.remaining_s(now) <= 0]
+        for key in expired:
+            del self._received[key]
--- a/oxbowyard/peers/fault_sharing.py
+++ b/oxbowyard/peers/fault_sharing.py
@@ -1,4 +1,4 @@
-"""Sharing of worker faults: this scheduler's own go to the peers, the peers' go to the decisions."""
+"""Sharing of worker faults: reports own faults to the peers, and passes theirs on to the dispatcher."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultSharing:
-    """Carries fault reports between one scheduler's decisions and the group."""
+    """Exchanges fault reports between this scheduler's dispatcher and the group."""
 
     def __init__(self, services: ProgramServices, node: Node) -> None:
         self._services = services
@@ -25,11 +25,11 @@
 
     @property
     def avoided_workers(self) -> list[str]:
-        """The workers about which the decisions have a peer's report."""
+        """Return the workers for which a peer's report is applied."""
         return [fault.worker for fault in self._applied]
 
     def share(self, now: float) -> None:
-        """Report this scheduler's own new faults, and apply the peers' as they are at `now` (seconds)."""
+        """Report new faults of this scheduler, and apply those of the peers as of `now` (seconds)."""
         services, clock_ms = self._services, self._services.clock_ms()
         own_faults = services.own_faults()
         worker_count = services.worker_count()
@@ -39,7 +39,7 @@
         self._apply(own_faults, now, clock_ms)
 
     def receive(self, entry: GossipEntry) -> None:
-        """Take a peer's entry. Those that came in one message are applied together."""
+        """Store a peer's entry. Entries that arrive in one message are applied together."""
         is_report = self._reports.receive(entry, self._loop.time())
         if is_report and not self._is_apply_scheduled:
             self._is_apply_scheduled = True
--- a/oxbowyard/peers/services.py
+++ b/oxbowyard/peers/services.py
@@ -1,4 +1,4 @@
-"""What the program provides to the membership component."""
+"""The interface of the program to the membership component."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgramServices:
-    """Figures and calls of the program. The component knows no other part of it."""
+    """Values and callbacks of the program. The component uses no other part of it."""
 
     name: str
     zone: str
-    configured_size: int  # schedulers, as the settings say
-    ramp_s: float  # for how long a worker warms up
+    configured_size: int  # number of schedulers in the settings
+    ramp_s: float  # how long a worker warms up
     version: str
     random: Random
-    clock_ms: Callable[[], float]  # the decisions' clock
+    clock_ms: Callable[[], float]  # the dispatcher's clock
     state: Callable[[], str]  # one of `facts.STATES`
     open_request_count: Callable[[], int]
-    slots: Callable[[], float]  # jobs that the listed workers can run at once
+    slots: Callable[[], float]  # number of jobs that the listed workers can run concurrently
     worker_count: Callable[[], int]
     own_faults: Callable[[], list[WorkerFault]]
     apply_peer_faults: Callable[[tuple[WorkerFault, ...]], None]
--- a/oxbowyard/peers/status.py
+++ b/oxbowyard/peers/status.py
@@ -1,4 +1,4 @@
-"""The group as the admin API shows it (GET /control/members). The keys are its own and stay as they are."""
+"""The status of the group in the admin API (GET /control/members). The keys are part of that API."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True, frozen=True)
 class GroupStatus:
-    """What is shown beside the node's own state."""
+    """The values shown in addition to the node's own state."""
 
     group: str
     configured_size: int
     cluster_size: ClusterSize
-    conflicts: Mapping[str, str]  # names, with the address of the other process
+    conflicts: Mapping[str, str]  # address of the other process with the same name, by name
     avoided_workers: Sequence[str]
 
 
 def status_document(node: Node, status: GroupStatus, now: float) -> dict[str, object]:
-    """The document; times in it are seconds before `now`."""
+    """Return the status document; times in it are seconds before `now`."""
     protocol = node.protocol
     members = sorted(protocol.members, key=lambda member: member.record.name)
     return {
