--- a/oxbowyard/backends/answer_lines.py
+++ b/oxbowyard/backends/answer_lines.py
@@ -15,7 +15,7 @@
 
 MAX_LINES = 10_000  # per answer; a progress line every second for an hour is less than half of this
 MAX_LOGGED_LINES = 3  # malformed lines logged per answer
-BACKEND_STATUSES = (408, 425, 429)  # 4xx caused by the backend; the others are caused by the request
+BACKEND_ERROR_STATUSES = (408, 425, 429)  # 4xx caused by the backend; the others are caused by the request
 FINAL_STATES = {"done": Result.OK, "failed": Result.ERROR, "returned": Result.FULL, "lost": Result.RESET}
 
 
@@ -25,7 +25,7 @@
         return None
     if status in (503, 504) and declined == "1":
         return AttemptOutcome(Result.FULL, load=load, reason=f"declined with {status}")
-    is_about_request = 400 <= status < 500 and status not in BACKEND_STATUSES
+    is_about_request = 400 <= status < 500 and status not in BACKEND_ERROR_STATUSES
     result = Result.REJECTED if is_about_request else Result.ERROR
     return AttemptOutcome(result, load=load, reason=f"status {status}")
 
--- a/oxbowyard/discovery/endpoint_list.py
+++ b/oxbowyard/discovery/endpoint_list.py
@@ -14,7 +14,7 @@
 log = logging.getLogger("oxbowyard.discovery")
 
 READINESS_OF_STATE = {"ready": Readiness.READY, "draining": Readiness.DRAINING, "gone": Readiness.GONE}
-MALFORMED_ENTRY = (LookupError, TypeError, ValueError, OverflowError)  # OverflowError: 1e999 is valid JSON
+ENTRY_PARSE_ERRORS = (LookupError, TypeError, ValueError, OverflowError)  # OverflowError: 1e999 is valid JSON
 PORT_LIMIT = 65536
 DEFAULT_WEIGHT = 1.0
 
@@ -53,7 +53,7 @@
     for row in document["targets"]:
         try:
             endpoints.append(_parse_entry(row))
-        except MALFORMED_ENTRY as error:
+        except ENTRY_PARSE_ERRORS as error:
             log.warning("malformed endpoint list entry skipped: %r", error)
     return WatchEvent(revision, bool(document.get("all")), tuple(endpoints))
 
@@ -65,7 +65,7 @@
         raise ValueError(f"'uid': expected a non-empty string, got {type(uid).__name__}")
     try:
         return ListedEndpoint(_parse_address(row, readiness), _parse_info(row, uid, readiness))
-    except MALFORMED_ENTRY as error:
+    except ENTRY_PARSE_ERRORS as error:
         if readiness is Readiness.READY:
             raise
         # A state that forbids sending is binding even if the rest of the entry is malformed.
--- a/oxbowyard/peers/documents.py
+++ b/oxbowyard/peers/documents.py
@@ -22,10 +22,10 @@
         member = self._node.protocol.members.get(name)
         return member.record.address if member is not None else ""
 
-    def ask(self, address: str, what: str, take: Callable[[bytes], None]) -> None:
-        """Request a document from the member at an address; `take` is called if the member answers."""
-        self._node.pull(address, what, take)
+    def ask(self, address: str, topic: str, on_body: Callable[[bytes], None]) -> None:
+        """Request a document from the member at an address; `on_body` is called if the member answers."""
+        self._node.pull(address, topic, on_body)
 
-    def offer(self, what: str, give: Callable[[], bytes | None]) -> None:
-        """Serve a document from now on. `give` is called for each request; None: do not answer it."""
-        self._node.offer(what, give)
+    def offer(self, topic: str, make_body: Callable[[], bytes | None]) -> None:
+        """Serve a document from now on. `make_body` is called for each request; None: do not answer it."""
+        self._node.offer(topic, make_body)
