--- a/benchmarks/waiting_flood.py
+++ b/benchmarks/waiting_flood.py
@@ -182,7 +182,7 @@
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--plot", type=Path)
     options = parser.parse_args()
-    bound = AGEING.bound_s(quiet=True)
+    bound = AGEING.max_release_wait_s(quiet=True)
     found = {}
     for aged in (True, False):
         tally, fleet, start, last = asyncio.run(run(aged, options.seconds))
--- a/oxbowyard/clients/job_documents.py
+++ b/oxbowyard/clients/job_documents.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from ..waiting.job import JobRejectedError, JobState, RejectionCode
-from ..waiting.journal import RecalledJob
+from ..waiting.journal import JobRecord
 from .errors import BadRequestError
 from .responses import KeepAliveResponse
 
@@ -110,10 +110,10 @@
     next: int | None
 
 
-def view_of(recalled: RecalledJob, position: int | None = None) -> JobView:
+def view_of(recalled: JobRecord, position: int | None = None) -> JobView:
     """What a client is shown of a job with its result; `position` is its place in its class's queue."""
     job, result = recalled.job, recalled.result
-    view = JobView(job.id, job.job_class, job.state.value, position, job.submissions)
+    view = JobView(job.id, job.job_class, job.state.value, position, job.submission_count)
     if result is not None:
         view.end = result.outcome.value
         view.ran = result.run_state.value
--- a/oxbowyard/clients/job_routes.py
+++ b/oxbowyard/clients/job_routes.py
@@ -15,7 +15,7 @@
 from ..core.request import AnswerKind, RunState
 from ..waiting.job import Job, JobOutcome, JobRejectedError, JobResult, JobState, RejectionCode
 from ..waiting.job_queue import JobQueue
-from ..waiting.journal import RecalledJob
+from ..waiting.journal import JobRecord
 from .body_memory import BodyMemory
 from .client_connections import JOBS_PATH
 from .errors import MethodNotAllowedError, PathNotFoundError
@@ -121,7 +121,7 @@
         if existing is not None:
             return [view_of(recalled) for recalled in existing]
         jobs = self._queue.submit(submissions)
-        await self._queue.intake.durable()
+        await self._queue.intake.wait_until_durable()
         return [self._view(job) for job in jobs]
 
     # ---- Queries ----
@@ -162,7 +162,7 @@
         return await self._respond_durably(job_id, is_accepted)
 
     async def _respond_durably(self, job_id: str, is_accepted: bool) -> web.Response:
-        await self._queue.intake.durable()
+        await self._queue.intake.wait_until_durable()
         recalled = await self._recall(job_id)
         return json_response(200 if is_accepted else 409, view_of(recalled))
 
@@ -171,20 +171,20 @@
         if job is None:
             return json_response(409, view_of(await self._recall(job_id)))
         if job.durable and job.outcome is not None:
-            await self._queue.intake.durable()
+            await self._queue.intake.wait_until_durable()
         return json_response(200 if job.outcome is not None else 202, self._view(job))
 
     # ---- Lookup ----
 
-    async def _wait_for_end(self, job_id: str, query: Query) -> RecalledJob:
+    async def _wait_for_end(self, job_id: str, query: Query) -> JobRecord:
         wait_ms = parse_wait_ms(query)
         recalled = await self._recall(job_id)
         if recalled.result is None and self._queue.find(job_id) is not None:
-            return RecalledJob(recalled.job, await self._queue.wait(job_id, wait_ms / MS_PER_S))
+            return JobRecord(recalled.job, await self._queue.wait(job_id, wait_ms / MS_PER_S))
         return recalled
 
-    async def _recall(self, job_id: str) -> RecalledJob:
-        recalled = await self._queue.recall(job_id)
+    async def _recall(self, job_id: str) -> JobRecord:
+        recalled = await self._queue.find_record(job_id)
         if recalled is None:
             raise JobRejectedError(RejectionCode.UNKNOWN_JOB, "no such job, or its end is no longer kept")
         return recalled
@@ -192,7 +192,7 @@
     def _view(self, job: Job) -> JobView:
         has_position = job.state in (JobState.READY, JobState.AWAITING_IDLE)
         position = self._queue.position(job) if has_position else None
-        return view_of(RecalledJob(job, self._queue.result(job.id)), position)
+        return view_of(JobRecord(job, self._queue.result(job.id)), position)
 
 
 def _accepted(view: JobView) -> web.Response:
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -29,11 +29,11 @@
 def open_store(settings: DurableSettings, take_over: bool) -> DurableStore:
     """Open the store of `[durable]`; `take_over` also where another program has it. Raises
     ConfigurationError."""
-    from ..durable.durable_store import DurableStore, StoreNotOpenedError
+    from ..durable.durable_store import DurableStore, StoreOpenError
 
     try:
         return DurableStore(settings, take_over)
-    except StoreNotOpenedError as error:
+    except StoreOpenError as error:
         raise ConfigurationError(str(error)) from None
 
 
--- a/oxbowyard/durable/durable_store.py
+++ b/oxbowyard/durable/durable_store.py
@@ -8,14 +8,14 @@
 
 from ..store.database import Database
 from ..store.record import StoreError
-from ..store.writer import LOST, Health, PruneLimits, Writer
+from ..store.writer import LOST_STATES, PruneLimits, StoreHealth, Writer
 from ..waiting.job_queue import JobQueue
 from .journal import DurableJournal
 from .recovery import Recovery
 from .settings import DurableSettings
 
 
-class StoreNotOpenedError(Exception):
+class StoreOpenError(Exception):
     """The store cannot be used; the text is one line."""
 
 
@@ -25,14 +25,14 @@
     def __init__(
         self, settings: DurableSettings, take_over: bool = False, wall_clock: Callable[[], float] = time.time
     ) -> None:
-        """Open the store; `wall_clock` is Unix time in seconds. Raises StoreNotOpenedError."""
+        """Open the store; `wall_clock` is Unix time in seconds. Raises StoreOpenError."""
         self._settings = settings
         self._wall_clock = wall_clock
         try:
             database = Database(Path(settings.path), settings.max_store_bytes, take_over)
             self.last_number = database.last_number()
         except StoreError as error:
-            raise StoreNotOpenedError(f"store: {error}") from None
+            raise StoreOpenError(f"store: {error}") from None
         self._queue: JobQueue | None = None
         self._writer = Writer(database, self._on_health, self._prune_limits)
         run_id = f"{database.epoch}."
@@ -46,8 +46,8 @@
             max_deletions=settings.forget_at_once,
         )
 
-    def _on_health(self, health: Health) -> None:
-        if health in LOST and self._queue is not None:
+    def _on_health(self, health: StoreHealth) -> None:
+        if health in LOST_STATES and self._queue is not None:
             self._queue.intake.journal_failed(self.journal.failure_reason())
 
     def recovery(self, queue: JobQueue, deadlines_s: Mapping[str, float]) -> Recovery:
--- a/oxbowyard/durable/journal.py
+++ b/oxbowyard/durable/journal.py
@@ -10,7 +10,7 @@
 from ..core.request import Request, RunState
 from ..store.database import Database
 from ..store.record import JobAccepted, JobEnded, JobStateChanged, Lease, StoredJob, StoredState, StoreError
-from ..store.writer import LOST, Health, Writer
+from ..store.writer import LOST_STATES, StoreHealth, Writer
 from ..waiting.job import (
     Dependency,
     DependencyCondition,
@@ -23,18 +23,18 @@
     RejectionCode,
     StateChanged,
 )
+from ..waiting.journal import JobRecord
 from ..waiting.journal import LeaseTable as LeaseTableProtocol
-from ..waiting.journal import RecalledJob
 from .leases import LeaseTable
 from .recovered_jobs import GRANTED_STATES, indeterminate_reason
 
 T = TypeVar("T")
 QUERY_RETRY_AFTER_S = 1.0
 REJECTION_REASONS = {
-    Health.STALLED: "the store takes nothing: its disk is full or failing",
-    Health.BROKEN: "the store is broken",
-    Health.FENCED: "another scheduler has this store",
-    Health.CLOSED: "the store is closed",
+    StoreHealth.STALLED: "the store takes nothing: its disk is full or failing",
+    StoreHealth.BROKEN: "the store is broken",
+    StoreHealth.FENCED: "another scheduler has this store",
+    StoreHealth.CLOSED: "the store is closed",
 }
 # A job in one of these after its grant has surely never run.
 NEVER_RAN_STATES = (JobState.SCHEDULED, JobState.READY, JobState.AWAITING_IDLE)
@@ -67,7 +67,7 @@
 
     def failure_reason(self) -> str:
         """Why nothing will be recorded any more; empty: it will."""
-        return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST else ""
+        return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST_STATES else ""
 
     # ---- To the store ----
 
@@ -121,13 +121,13 @@
         )
 
     def _put_state(self, job: Job, state: StoredState) -> None:
-        self._writer.put(JobStateChanged(job.number, state, job.submissions))
+        self._writer.put(JobStateChanged(job.number, state, job.submission_count))
 
     def record_grant(self, job: Job, worker: str, lease: str) -> None:
         """Record that a worker is about to have the job."""
         self._granted.add(job.number)
         granted = Lease(lease, worker, self._wall_clock())
-        self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submissions, granted))
+        self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submission_count, granted))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back after the commit of all that was recorded so far; never, if there will be none."""
@@ -135,19 +135,19 @@
 
     # ---- From the store ----
 
-    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[RecalledJob | None]:
+    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
         """For each submission the job with its key or its id. Raises JobRejectedError."""
 
         def find(database: Database) -> list[tuple[StoredJob, bool] | None]:
             return [_find_one(database, submission) for submission in submissions]
 
         found = await self._read(find)
-        return [recalled_job(*known) if known else None for known in found]
+        return [job_record(*known) if known else None for known in found]
 
-    async def recall(self, id_: str) -> RecalledJob | None:
+    async def find_record(self, id_: str) -> JobRecord | None:
         """A job by its id. Raises JobRejectedError."""
         stored = await self._read(lambda database: database.find(id_))
-        return recalled_job(stored, False) if stored else None
+        return job_record(stored, False) if stored else None
 
     async def _read(self, query: Callable[[Database], T]) -> T:
         try:
@@ -160,7 +160,7 @@
 def _find_one(database: Database, submission: JobSubmission) -> tuple[StoredJob, bool] | None:
     """The stored job, and whether its idempotency key found it."""
     if submission.idempotency_key:
-        stored = database.by_idempotency_key(submission.tenant, submission.idempotency_key)
+        stored = database.find_by_idempotency_key(submission.tenant, submission.idempotency_key)
         if stored is not None:
             return stored, True
     stored = database.find(submission.id)
@@ -202,7 +202,7 @@
     return [Dependency(id_, DependencyCondition(condition)) for id_, condition in rows]
 
 
-def recalled_job(stored: StoredJob, by_idempotency_key: bool) -> RecalledJob:
+def job_record(stored: StoredJob, by_idempotency_key: bool) -> JobRecord:
     """A stored job as the queue tells of it."""
     job = _job(stored)
     ended = stored.ended
@@ -211,15 +211,15 @@
             job.state = JobState.INDETERMINATE
             job.run_state = RunState.MAY_BE_RUNNING
             job.reason = indeterminate_reason(stored.lease)
-        return RecalledJob(job, None, by_idempotency_key)
+        return JobRecord(job, None, by_idempotency_key)
     job.state = JobState.ENDED
     job.outcome = JobOutcome(ended.outcome)
-    job.run_state = RunState(ended.ran)
+    job.run_state = RunState(ended.run_state)
     job.reason = ended.reason
     result = JobResult(
         job.outcome, job.run_state, ended.result, ended.reason, ended.retry_after_s, ended.resolved_by
     )
-    return RecalledJob(job, result, by_idempotency_key)
+    return JobRecord(job, result, by_idempotency_key)
 
 
 def _job(stored: StoredJob) -> Job:
@@ -240,5 +240,5 @@
         fingerprint=accepted.fingerprint,
         request=None,
         durable=True,
-        submissions=stored.submissions,
+        submission_count=stored.submission_count,
     )
--- a/oxbowyard/durable/recovered_jobs.py
+++ b/oxbowyard/durable/recovered_jobs.py
@@ -19,14 +19,14 @@
 GRANTED_STATES = (StoredState.GRANTED, StoredState.STARTED, StoredState.INDETERMINATE)
 
 
-class OpenOrUnknown(Enum):
+class UnresolvedDependency(Enum):
     """A dependency that has no end."""
 
     OPEN = "open"
     UNKNOWN = "unknown"
 
 
-FindEnd = Callable[[str], JobEnded | OpenOrUnknown]
+FindOutcome = Callable[[str], JobEnded | UnresolvedDependency]
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,7 @@
 
 
 def recovered_state(
-    stored: StoredJob, dependencies: Sequence[Dependency], find_end: FindEnd, now: float
+    stored: StoredJob, dependencies: Sequence[Dependency], find_outcome: FindOutcome, now: float
 ) -> RecoveredState:
     """The state of a stored job; `now` is Unix time in seconds.
 
@@ -55,16 +55,16 @@
         return RecoveredState(max_wait_s, 0.0, indeterminate_reason(stored.lease))
     still_open = []
     for dependency in dependencies:
-        end = find_end(dependency.id)
-        if end is OpenOrUnknown.OPEN:
+        end = find_outcome(dependency.id)
+        if end is UnresolvedDependency.OPEN:
             still_open.append(dependency)
-        elif isinstance(end, OpenOrUnknown) or not _is_satisfied_by(end, dependency):
+        elif isinstance(end, UnresolvedDependency) or not _is_satisfied_by(end, dependency):
             return RecoveredState(max_wait_s, delay_s, failed_dependency=dependency.id)
     return RecoveredState(max_wait_s, delay_s, dependencies=tuple(still_open))
 
 
 def _is_satisfied_by(end: JobEnded, dependency: Dependency) -> bool:
-    return is_satisfied(JobOutcome(end.outcome), RunState(end.ran), dependency.condition)
+    return is_satisfied(JobOutcome(end.outcome), RunState(end.run_state), dependency.condition)
 
 
 def indeterminate_reason(lease: Lease | None) -> str:
--- a/oxbowyard/durable/recovery.py
+++ b/oxbowyard/durable/recovery.py
@@ -11,11 +11,11 @@
 
 from ..store.database import Database
 from ..store.record import FINAL_FAILURES, JobEnded, StoredJob, StoreError
-from ..store.writer import LOST, Writer
+from ..store.writer import LOST_STATES, Writer
 from ..waiting.job import JobSubmission
 from ..waiting.job_queue import JobQueue
 from .journal import decode_dependencies, decode_request
-from .recovered_jobs import OpenOrUnknown, RecoveredState, recovered_state
+from .recovered_jobs import RecoveredState, UnresolvedDependency, recovered_state
 
 log = logging.getLogger("oxbowyard.durable")
 
@@ -97,7 +97,7 @@
         now = self._wall_clock()
 
         def read(database: Database) -> Page:
-            jobs = database.open_jobs(after, self._page_size)
+            jobs = database.unfinished_jobs(after, self._page_size)
             earlier = [stored for stored in jobs if stored.accepted.number <= last]
             return [(stored, _recovered_state(database, stored, now)) for stored in earlier]
 
@@ -109,7 +109,7 @@
             try:
                 return await self._writer.read(query)
             except StoreError as error:
-                if error.failure in FINAL_FAILURES or self._writer.health in LOST:
+                if error.failure in FINAL_FAILURES or self._writer.health in LOST_STATES:
                     raise
                 log.warning("recovery of earlier jobs delayed: %s", error)
             await asyncio.sleep(READ_RETRY_INTERVAL_S)
@@ -128,7 +128,7 @@
         failure = f"{failed} has ended, or is no longer known" if failed else ""
         submission = _submission(stored, state, deadline_s)
         reason = state.indeterminate_reason
-        self._queue.restore(submission, accepted.number, stored.submissions, lease, reason, failure)
+        self._queue.restore(submission, accepted.number, stored.submission_count, lease, reason, failure)
         if failed:
             self.counts.dependency_failed += 1
         elif reason:
@@ -160,10 +160,10 @@
 
 
 def _recovered_state(database: Database, stored: StoredJob, now: float) -> RecoveredState:
-    def find_end(id_: str) -> JobEnded | OpenOrUnknown:
+    def find_outcome(id_: str) -> JobEnded | UnresolvedDependency:
         found = database.find(id_)
         if found is None:
-            return OpenOrUnknown.UNKNOWN
-        return found.ended or OpenOrUnknown.OPEN
+            return UnresolvedDependency.UNKNOWN
+        return found.ended or UnresolvedDependency.OPEN
 
-    return recovered_state(stored, decode_dependencies(stored), find_end, now)
+    return recovered_state(stored, decode_dependencies(stored), find_outcome, now)
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -53,7 +53,7 @@
         self._functions = functions
         self._submitting: set[asyncio.Task[None]] = set()
         self._submitters: dict[Job, list[_Submitter]] = {}  # of jobs that are being stored
-        queue.adopters.append(self.adopt)
+        queue.recovery_handlers.append(self.adopt)
         queue.intake.journal_lost_callbacks.append(self._end_waits_for_stored_jobs)
 
     def is_durable(self, submission: Submission) -> bool:
@@ -124,7 +124,7 @@
                 self._table.remove(job)
                 return existing[0].job.id
         handle = self._submit(job, request, options)
-        await self._queue.intake.durable()
+        await self._queue.intake.wait_until_durable()
         return handle
 
     def _submit(self, job: Job, request: Request, options: WaitOptions) -> str:
--- a/oxbowyard/store/backup.py
+++ b/oxbowyard/store/backup.py
@@ -6,7 +6,7 @@
 import sqlite3
 from pathlib import Path
 
-from .database import BUSY_TIMEOUT_MS, CHECKPOINT_PAGES, connect, scalar
+from .database import BUSY_TIMEOUT_MS, CHECKPOINT_PAGES, connect, fetch_scalar
 from .errors import store_errors
 from .lock import StoreLock, lock_path
 from .record import StoreError, StoreFailure
@@ -43,12 +43,12 @@
     with store_errors():
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
         try:
-            if scalar(db, "PRAGMA application_id") != APPLICATION_ID:
+            if fetch_scalar(db, "PRAGMA application_id") != APPLICATION_ID:
                 raise StoreError(StoreFailure.FOREIGN, f"{path.name} is not a store of this program")
             found = db.execute("PRAGMA integrity_check(1)").fetchone()[0]
             if found != "ok":
                 raise StoreError(StoreFailure.DAMAGED, f"{path.name}: {found}")
-            return scalar(db, COUNT_JOBS)
+            return fetch_scalar(db, COUNT_JOBS)
         finally:
             db.close()
 
--- a/oxbowyard/store/database.py
+++ b/oxbowyard/store/database.py
@@ -73,9 +73,9 @@
         return db
 
     def _prepare(self, db: Any) -> None:
-        application_id = scalar(db, "PRAGMA application_id")
-        version = scalar(db, "PRAGMA user_version")
-        is_new = not scalar(db, "SELECT count(*) FROM sqlite_master")
+        application_id = fetch_scalar(db, "PRAGMA application_id")
+        version = fetch_scalar(db, "PRAGMA user_version")
+        is_new = not fetch_scalar(db, "SELECT count(*) FROM sqlite_master")
         if not is_new and application_id != schema.APPLICATION_ID:
             raise StoreError(StoreFailure.FOREIGN, f"{self.path.name} is not a store of this program")
         if version > schema.SCHEMA_VERSION:
@@ -85,7 +85,7 @@
         db.execute("PRAGMA synchronous = FULL")  # a commit is on disk when it returns
         db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}")
         if self._max_bytes:
-            page_bytes = scalar(db, "PRAGMA page_size")
+            page_bytes = fetch_scalar(db, "PRAGMA page_size")
             db.execute(f"PRAGMA max_page_count = {max(self._max_bytes // page_bytes, MIN_PAGES)}")
         if is_new:
             self._create(db)
@@ -119,8 +119,8 @@
 
     def _raise_epoch(self) -> int:
         with store_errors(), _transaction(self._db):
-            self._db.execute(schema.RAISE_EPOCH)
-            return scalar(self._db, schema.SELECT_EPOCH)
+            self._db.execute(schema.INCREMENT_EPOCH)
+            return fetch_scalar(self._db, schema.SELECT_EPOCH)
 
     def reopen(self) -> None:
         """After a disk error: read what is on disk, since what is in memory may not be there."""
@@ -147,7 +147,7 @@
     def _fenced_transaction(self) -> Iterator[None]:
         """A transaction that fails if a successor has opened the store. Raises StoreError."""
         with store_errors(), _transaction(self._db):
-            if scalar(self._db, schema.SELECT_EPOCH) != self.epoch:
+            if fetch_scalar(self._db, schema.SELECT_EPOCH) != self.epoch:
                 raise StoreError(StoreFailure.FENCED, "a successor has opened the store")
             yield
 
@@ -156,11 +156,11 @@
             case JobAccepted():
                 self._db.execute(schema.INSERT_JOB, schema.accepted_row(change))
             case JobStateChanged(lease=None, state=StoredState.STARTED | StoredState.INDETERMINATE):
-                values = (change.state.value, change.submissions, change.number)
+                values = (change.state.value, change.submission_count, change.number)
                 self._db.execute(schema.UPDATE_STATE_KEEP_LEASE, values)
             case JobStateChanged(lease=lease):
                 held = (lease.token, lease.worker, lease.granted_at) if lease else (None, None, None)
-                state = (change.state.value, change.submissions)
+                state = (change.state.value, change.submission_count)
                 self._db.execute(schema.UPDATE_STATE, (*state, *held, change.number))
             case JobEnded():
                 self._end(change)
@@ -168,7 +168,7 @@
     def _end(self, change: JobEnded) -> None:
         values = (
             change.outcome,
-            change.ran,
+            change.run_state,
             change.reason,
             change.result,
             change.retry_after_s,
@@ -184,7 +184,7 @@
         Raises StoreError.
         """
         with self._fenced_transaction():
-            excess = scalar(self._db, schema.COUNT_ENDED) - max_results
+            excess = fetch_scalar(self._db, schema.COUNT_ENDED) - max_results
             deleted = self._db.execute(schema.DELETE_OLD_RESULTS, (ended_before, max_deletions)).rowcount
             remaining = min(excess - deleted, max_deletions - deleted)
             if remaining > 0:
@@ -200,7 +200,7 @@
         """A job by its id. Raises StoreError, as do the other queries."""
         return self._one(schema.SELECT_BY_ID, (id_,))
 
-    def by_idempotency_key(self, tenant: str, key: str) -> StoredJob | None:
+    def find_by_idempotency_key(self, tenant: str, key: str) -> StoredJob | None:
         """A job by its idempotency key."""
         return self._one(schema.SELECT_BY_IDEMPOTENCY_KEY, (tenant, key))
 
@@ -209,7 +209,7 @@
             row = self._db.execute(query, values).fetchone()
         return schema.stored_job(row) if row else None
 
-    def open_jobs(self, after: int, limit: int) -> list[StoredJob]:
+    def unfinished_jobs(self, after: int, limit: int) -> list[StoredJob]:
         """Jobs without a final result, in the order of acceptance, with numbers above `after`."""
         with store_errors():
             rows = self._db.execute(schema.SELECT_OPEN, (after, limit))
@@ -218,15 +218,15 @@
     def last_number(self) -> int:
         """The highest number of a job; 0 if there is none."""
         with store_errors():
-            return scalar(self._db, schema.LAST_NUMBER)
+            return fetch_scalar(self._db, schema.LAST_NUMBER)
 
-    def counts(self) -> dict[StoredState, int]:
+    def count_by_state(self) -> dict[StoredState, int]:
         """The number of jobs in each state."""
         with store_errors():
             return {StoredState(state): count for state, count in self._db.execute(schema.COUNT_BY_STATE)}
 
 
-def scalar(db: Any, query: str) -> int:
+def fetch_scalar(db: Any, query: str) -> int:
     """The one number that a query returns."""
     return int(db.execute(query).fetchone()[0])
 
--- a/oxbowyard/store/pending_read.py
+++ b/oxbowyard/store/pending_read.py
@@ -24,7 +24,7 @@
         """Wait for the answer; raises what the query raised, or the error of `fail`."""
         return await asyncio.wrap_future(self._answer)
 
-    def carry_out(self, database: Database) -> None:
+    def execute(self, database: Database) -> None:
         """Run the query, unless nobody waits for it any more."""
         if not self._answer.set_running_or_notify_cancel():
             return
--- a/oxbowyard/store/record.py
+++ b/oxbowyard/store/record.py
@@ -55,7 +55,7 @@
 
     number: int
     state: StoredState
-    submissions: int  # how often it was submitted to the core
+    submission_count: int  # how often it was submitted to the core
     lease: Lease | None = None
 
 
@@ -65,7 +65,7 @@
 
     number: int
     outcome: str
-    ran: str
+    run_state: str
     reason: str
     result: bytes
     retry_after_s: float
@@ -82,7 +82,7 @@
 
     accepted: JobAccepted
     state: StoredState
-    submissions: int
+    submission_count: int
     lease: Lease | None
     ended: JobEnded | None
 
--- a/oxbowyard/store/schema.py
+++ b/oxbowyard/store/schema.py
@@ -53,7 +53,7 @@
 COUNT_JOBS = "SELECT count(*) FROM jobs"
 LAST_NUMBER = "SELECT coalesce(max(number), 0) FROM jobs"
 SELECT_EPOCH = "SELECT value FROM meta WHERE key = 'epoch'"
-RAISE_EPOCH = "UPDATE meta SET value = value + 1 WHERE key = 'epoch'"
+INCREMENT_EPOCH = "UPDATE meta SET value = value + 1 WHERE key = 'epoch'"
 
 
 def accepted_row(job: JobAccepted) -> tuple[object, ...]:
--- a/oxbowyard/store/writer.py
+++ b/oxbowyard/store/writer.py
@@ -27,7 +27,7 @@
 Item = Change | Callable[[], None] | PendingRead[Any]
 
 
-class Health(Enum):
+class StoreHealth(Enum):
     """The state of a store in service."""
 
     SERVING = "serving"
@@ -37,7 +37,7 @@
     CLOSED = "closed"
 
 
-LOST = (Health.BROKEN, Health.FENCED, Health.CLOSED)
+LOST_STATES = (StoreHealth.BROKEN, StoreHealth.FENCED, StoreHealth.CLOSED)
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,7 +55,7 @@
     def __init__(
         self,
         database: Database,
-        on_health: Callable[[Health], None] = lambda health: None,
+        on_health: Callable[[StoreHealth], None] = lambda health: None,
         prune_limits: Callable[[], PruneLimits] | None = None,
     ) -> None:
         self._database = database
@@ -69,7 +69,7 @@
         self._ended = False  # the thread takes nothing more from the queue
         self._failures = 0
         self._next_prune_at = time.monotonic() + PRUNE_INTERVAL_S
-        self.health = Health.SERVING
+        self.health = StoreHealth.SERVING
         self.commits = 0
         self.committed_changes = 0
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
@@ -79,12 +79,12 @@
 
     def put(self, change: Change) -> None:
         """Queue a change to be committed, in order."""
-        if self.health not in LOST:
+        if self.health not in LOST_STATES:
             self._push(change)
 
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back on the loop once all that was put so far is on disk; never, if it will not be."""
-        if self.health not in LOST:
+        if self.health not in LOST_STATES:
             self._push(callback)
 
     async def read(self, query: Callable[[Database], T]) -> T:
@@ -120,7 +120,7 @@
             BaseException
         ) as error:  # without its thread a store that says "serving" would hang its callers
             log.exception("internal error in the store's thread")
-            self._set_health(Health.BROKEN, StoreError(StoreFailure.FAILED, repr(error)))
+            self._set_health(StoreHealth.BROKEN, StoreError(StoreFailure.FAILED, repr(error)))
         finally:
             self._end()
 
@@ -145,7 +145,7 @@
             return False
         for item in self._batch:
             if isinstance(item, PendingRead):
-                item.carry_out(self._database)
+                item.execute(self._database)
         callbacks = [item for item in self._batch if callable(item)]
         self._batch = []
         if callbacks:
@@ -183,7 +183,9 @@
         """Whether the store is lost with this error; its health says so then."""
         if error.failure not in FINAL_FAILURES:
             return False
-        self._set_health(Health.FENCED if error.failure is StoreFailure.FENCED else Health.BROKEN, error)
+        self._set_health(
+            StoreHealth.FENCED if error.failure is StoreFailure.FENCED else StoreHealth.BROKEN, error
+        )
         return True
 
     def _may_retry(self, error: StoreError) -> bool:
@@ -192,9 +194,9 @@
             return False
         self._failures += error.failure is not StoreFailure.FULL
         if self._failures > MAX_CONSECUTIVE_FAILURES or self._closing:
-            self._set_health(Health.BROKEN, error)
+            self._set_health(StoreHealth.BROKEN, error)
             return False
-        self._set_health(Health.STALLED, error)
+        self._set_health(StoreHealth.STALLED, error)
         with self._wakeup:  # what is queued meanwhile cuts nothing short
             self._wakeup.wait_for(lambda: self._closing, RETRY_INTERVAL_S)
         if error.failure is StoreFailure.FULL:
@@ -207,10 +209,10 @@
 
     def _record_recovery(self) -> None:
         self._failures = 0
-        if self.health is Health.STALLED:
-            self._set_health(Health.SERVING, None)
+        if self.health is StoreHealth.STALLED:
+            self._set_health(StoreHealth.SERVING, None)
 
-    def _set_health(self, health: Health, error: StoreError | None) -> None:
+    def _set_health(self, health: StoreHealth, error: StoreError | None) -> None:
         if health is self.health:
             return
         self.health = health
@@ -236,9 +238,9 @@
             self._ended = True
             remaining = [*self._batch, *self._queue]
             self._queue.clear()
-        if self.health not in LOST:
-            self.health = Health.CLOSED
-            self._call_on_loop(self._on_health, Health.CLOSED)
+        if self.health not in LOST_STATES:
+            self.health = StoreHealth.CLOSED
+            self._call_on_loop(self._on_health, StoreHealth.CLOSED)
         for item in remaining:
             if isinstance(item, PendingRead):
                 item.fail(self._lost_error())
--- a/oxbowyard/waiting/acceptance.py
+++ b/oxbowyard/waiting/acceptance.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from .dependencies import topological_order
-from .held_jobs import check_submission, queue_full
+from .held_jobs import check_submissions, queue_full_error
 from .job import Job, JobOutcome, JobRejectedError, JobState, JobSubmission, RejectionCode, StateChanged
 from .policy_state import PolicyState, end_job, mark_indeterminate, set_timer, unblock
 
@@ -37,8 +37,8 @@
     """Accept all jobs or none. Raises JobRejectedError."""
     if state.is_stopping:
         text = "this scheduler takes no more jobs"
-        raise queue_full(state.settings, RejectionCode.STOPPING, text)
-    check_submission(submissions, state.settings, state.classes, state.jobs, state.held)
+        raise queue_full_error(state.settings, RejectionCode.STOPPING, text)
+    check_submissions(submissions, state.settings, state.classes, state.jobs, state.held)
     accepted = {}
     for submission, depth in topological_order(submissions, state.jobs.get, state.settings):
         state.last_number += 1
@@ -49,7 +49,12 @@
 
 
 def restore_job(
-    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, failure: str
+    state: PolicyState,
+    now: float,
+    submission: JobSubmission,
+    number: int,
+    submission_count: int,
+    failure: str,
 ) -> Job:
     """Take back a job that never began, with the wait and delay that are left to it.
 
@@ -57,7 +62,7 @@
     it was accepted. Without any wait left it ends as expired.
     """
     job = _add_job(state, now, submission, number, 0)
-    job.submissions = submissions
+    job.submission_count = submission_count
     if failure:
         end_job(state, job, now, JobOutcome.DEPENDENCY_FAILED, failure)
     elif job.wait_deadline_ms <= now:
@@ -69,11 +74,11 @@
 
 
 def restore_indeterminate_job(
-    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, reason: str
+    state: PolicyState, now: float, submission: JobSubmission, number: int, submission_count: int, reason: str
 ) -> Job:
     """Take back a job that may have run, and whose end nobody reported."""
     job = _add_job(state, now, submission, number, 0)
-    job.submissions = submissions
+    job.submission_count = submission_count
     mark_indeterminate(state, job, reason)
     return job
 
@@ -86,7 +91,7 @@
 
 
 def _add_job(state: PolicyState, now: float, submission: JobSubmission, number: int, depth: int) -> Job:
-    class_settings = state.settings.of(submission.job_class)
+    class_settings = state.settings.for_class(submission.job_class)
     job = Job(
         submission.id,
         submission.job_class,
--- a/oxbowyard/waiting/core_submissions.py
+++ b/oxbowyard/waiting/core_submissions.py
@@ -113,7 +113,7 @@
         """Whether a request of a job is with the core."""
         return any(submission.task is not None for submission in self._submissions.values())
 
-    def is_lease_of(self, job_id: str, lease: str) -> bool:
+    def is_current_lease(self, job_id: str, lease: str) -> bool:
         """Whether this is the last lease of the job."""
         known = self._leases.get(job_id, "")
         return bool(lease) and secrets.compare_digest(known.encode(), lease.encode())
@@ -122,7 +122,7 @@
         """The lease of a job of an earlier run."""
         self._leases[job_id] = lease
 
-    def forget(self, job_id: str) -> None:
+    def discard_lease(self, job_id: str) -> None:
         """The job has ended."""
         self._leases.pop(job_id, None)
         self._granted_to.pop(job_id, None)
@@ -137,9 +137,9 @@
             return
         submission.submitted_at_ms = self._clock()
         self.counts.released += 1
-        self.counts.resubmitted += job.submissions > 1
-        if job.submissions > 1:  # a new request, as from a client that retries: it surely never ran
-            submission.request_id = f"{job.id}~{self._journal.run_id}{job.submissions}"
+        self.counts.resubmitted += job.submission_count > 1
+        if job.submission_count > 1:  # a new request, as from a client that retries: it surely never ran
+            submission.request_id = f"{job.id}~{self._journal.run_id}{job.submission_count}"
         request = self._request(job, job_class, submission.request_id)
         submission.task = self._loop.create_task(self._scheduler.serve(request))
         submission.task.add_done_callback(partial(self._on_answer, job))
@@ -158,7 +158,7 @@
             job_class=job_class,
             backend_class=job.job_class if job_class != job.job_class else "",
             timeout_s=min(request.timeout_s, class_deadline_s),
-            is_retry=job.submissions > 1,
+            is_retry=job.submission_count > 1,
             lease=lease,
             record_lease=partial(self._record_lease, job, lease) if needs_lease else None,
             on_running=partial(self._on_running, job, request.on_running),
@@ -229,7 +229,7 @@
         self._policy.job_ended(now, job, outcome, answer.run_state, answer.reason, result_bytes)
 
     def _apply_rejection(self, job: Job, answer: Answer, now: float) -> None:
-        may_retry = self._settings.of(job.job_class).queueing
+        may_retry = self._settings.for_class(job.job_class).queueing
         self.answers[job.id] = WorkerAnswer(retry_after_s=answer.retry_after_s)  # in case it ends by this
         self._policy.job_rejected(now, job, answer.retry_after_s * 1000, may_retry)
         if job.outcome is None:
--- a/oxbowyard/waiting/held_jobs.py
+++ b/oxbowyard/waiting/held_jobs.py
@@ -44,7 +44,7 @@
         self.ended_bytes += result_bytes
 
 
-def check_submission(
+def check_submissions(
     submissions: Sequence[JobSubmission],
     settings: WaitingSettings,
     classes: Collection[str],
@@ -64,7 +64,7 @@
     _check_capacity(submissions, settings, held)
 
 
-def queue_full(settings: WaitingSettings, code: RejectionCode, text: str) -> JobRejectedError:
+def queue_full_error(settings: WaitingSettings, code: RejectionCode, text: str) -> JobRejectedError:
     """The error of a limit that a retry may find free."""
     return JobRejectedError(code, text, settings.full_retry_after_s)
 
@@ -86,19 +86,19 @@
 def _check_capacity(submissions: Sequence[JobSubmission], settings: WaitingSettings, held: HeldJobs) -> None:
     if held.jobs + len(submissions) > settings.max_jobs:
         text = f"{settings.max_jobs} jobs wait already"
-        raise queue_full(settings, RejectionCode.QUEUE_FULL, text)
+        raise queue_full_error(settings, RejectionCode.QUEUE_FULL, text)
     if held.bytes + sum(s.payload_bytes for s in submissions) > settings.max_held_bytes:
         text = "the payloads of those that wait hold all the memory they may"
-        raise queue_full(settings, RejectionCode.BYTES_FULL, text)
+        raise queue_full_error(settings, RejectionCode.BYTES_FULL, text)
     for name, count in _counted(s.job_class for s in submissions).items():
-        max_jobs = settings.of(name).max_jobs or settings.max_jobs_per_class
+        max_jobs = settings.for_class(name).max_jobs or settings.max_jobs_per_class
         if held.by_class[name] + count > max_jobs:
             text = f"{max_jobs} jobs of class {name} wait already"
-            raise queue_full(settings, RejectionCode.CLASS_FULL, text)
+            raise queue_full_error(settings, RejectionCode.CLASS_FULL, text)
     for name, count in _counted(s.tenant for s in submissions).items():
         if name and held.by_tenant[name] + count > settings.max_jobs_per_tenant:
             text = f"{settings.max_jobs_per_tenant} jobs of {name} wait already"
-            raise queue_full(settings, RejectionCode.TENANT_FULL, text)
+            raise queue_full_error(settings, RejectionCode.TENANT_FULL, text)
 
 
 def _counted(names: Iterable[str]) -> dict[str, int]:
--- a/oxbowyard/waiting/job.py
+++ b/oxbowyard/waiting/job.py
@@ -139,7 +139,7 @@
     ready_at_ms: float = -1.0  # the first time; -1: not yet
     release_due_ms: float = 0.0  # its place in the order of release
     timer_at_ms: float = -1.0  # when its timer fires; -1: it has none
-    submissions: int = 0  # to the core
+    submission_count: int = 0  # to the core
     outcome: JobOutcome | None = None
     run_state: RunState = RunState.NEVER_RAN
     reason: str = ""
--- a/oxbowyard/waiting/job_intake.py
+++ b/oxbowyard/waiting/job_intake.py
@@ -8,7 +8,7 @@
 from ..core.request import Request
 from .job import Job, JobRejectedError, JobSubmission, RejectionCode, WaitOptions
 from .job_ids import JobIds
-from .journal import JobJournal, RecalledJob
+from .journal import JobJournal, JobRecord
 from .policy import WaitingPolicy
 from .policy_driver import PolicyDriver
 from .result_watchers import OnEnd, ResultWatchers
@@ -47,7 +47,7 @@
         self.rejected = 0
 
     def submit(self, jobs: Sequence[tuple[Request, WaitOptions]], on_end: OnEnd | None = None) -> list[Job]:
-        """Accept all jobs or none. Acknowledge them after `durable`. Raises JobRejectedError.
+        """Accept all jobs or none. Acknowledge them after `wait_until_durable`. Raises JobRejectedError.
 
         A request's timeout is for running, its class's deadline at most. `on_end` is called once for each
         job, but not for repeated submissions.
@@ -66,7 +66,7 @@
             if on_end is not None and job.outcome is None and not self._watchers.has_callback(job.id):
                 self._watchers.set_callback(job.id, on_end)
         self.accepted += len(accepted)
-        self._driver.begin_work()
+        self._driver.mark_busy()
         self._driver.drive(now)
         return accepted
 
@@ -107,7 +107,7 @@
                     text = f"{dependency.id} is not known, or not yet"
                     raise JobRejectedError(RejectionCode.RECOVERING, text, retry_after_s)
 
-    async def find_existing(self, jobs: Sequence[tuple[Request, WaitOptions]]) -> list[RecalledJob] | None:
+    async def find_existing(self, jobs: Sequence[tuple[Request, WaitOptions]]) -> list[JobRecord] | None:
         """The jobs that the journal knows, and memory does not, for a repeated submission; None if it is new.
 
         Call it before `submit`. Raises JobRejectedError for an id that exists, or a key with other content.
@@ -136,7 +136,7 @@
         """Whether the journal may know the job: ids that this run has given are new."""
         return bool(options.idempotency_key) or not self._ids.is_of_this_run(request.id)
 
-    async def durable(self) -> None:
+    async def wait_until_durable(self) -> None:
         """Wait until what was submitted so far is as durable as this scheduler can make it.
 
         Raises JobRejectedError if the journal fails meanwhile: then nobody knows whether it is recorded.
--- a/oxbowyard/waiting/job_queue.py
+++ b/oxbowyard/waiting/job_queue.py
@@ -32,7 +32,7 @@
 )
 from .job_ids import JobIds
 from .job_intake import JobIntake
-from .journal import InMemoryJournal, JobJournal, RecalledJob
+from .journal import InMemoryJournal, JobJournal, JobRecord
 from .policy import WaitingPolicy
 from .policy_driver import PolicyDriver
 from .result_watchers import OnEnd, ResultWatchers
@@ -45,7 +45,7 @@
 AGED_OBJECTIVE_DEADLINES = 6.0
 
 # Takes a recovered request and returns it with the front's callback, if it came by that front.
-Adopter = Callable[[Request], tuple[Request, OnEnd] | None]
+RecoveryHandler = Callable[[Request], tuple[Request, OnEnd] | None]
 
 
 class JobQueue:
@@ -87,7 +87,7 @@
         self.intake = JobIntake(
             settings, self._policy, self._journal, self._driver, self._watchers, self.ids, clock, wall_clock
         )
-        self.adopters: list[Adopter] = []
+        self.recovery_handlers: list[RecoveryHandler] = []
 
     # ---- Submission ----
 
@@ -127,12 +127,12 @@
         """How a job ended; None while it has not, or once that is purged."""
         return self._driver.results.get(id_)
 
-    async def recall(self, id_: str) -> RecalledJob | None:
+    async def find_record(self, id_: str) -> JobRecord | None:
         """A job by its id, from memory or the journal."""
         job = self._policy.find(id_)
         if job is not None:
-            return RecalledJob(job, self._driver.results.get(id_))
-        return await self._journal.recall(id_)
+            return JobRecord(job, self._driver.results.get(id_))
+        return await self._journal.find_record(id_)
 
     def position(self, job: Job) -> int:
         """How many jobs of its class are before it, as of now."""
@@ -198,7 +198,7 @@
 
         False, and nothing has changed, if the job is not indeterminate or the lease is not its last one.
         """
-        if not self._submissions.is_lease_of(id_, lease):
+        if not self._submissions.is_current_lease(id_, lease):
             return False
         return self._resolve(id_, "", outcome, body, reason)
 
@@ -228,7 +228,7 @@
         self,
         submission: JobSubmission,
         number: int,
-        submissions: int,
+        submission_count: int,
         lease: str,
         indeterminate: str = "",
         dependency_failure: str = "",
@@ -240,16 +240,16 @@
         now = self._clock()
         if self._policy.find(submission.id) is not None:
             return
-        self._driver.begin_work()
-        submission = self._adopt(submission)
+        self._driver.mark_busy()
+        submission = self._attach_to_front(submission)
         if indeterminate:
             self._submissions.restore_lease(submission.id, lease)
-        self._policy.restore(now, submission, number, submissions, dependency_failure, indeterminate)
+        self._policy.restore(now, submission, number, submission_count, dependency_failure, indeterminate)
         self._driver.drive(now)
 
-    def _adopt(self, submission: JobSubmission) -> JobSubmission:
+    def _attach_to_front(self, submission: JobSubmission) -> JobSubmission:
         """Give the job back to the front that it came by."""
-        for adopt in self.adopters:
+        for adopt in self.recovery_handlers:
             assert submission.request is not None
             found = adopt(submission.request)
             if found is not None:
@@ -267,8 +267,8 @@
         self._submissions.is_stopping = True
         self._policy.stop(now, keep_durable=self._journal.is_durable)
         if self._journal.is_durable:
-            for id_ in self._watchers.watched_jobs():
-                self._watchers.release(id_)
+            for id_ in self._watchers.watched_job_ids():
+                self._watchers.release_waiters(id_)
         self._driver.drive(now)
 
     async def wait_until_idle(self) -> None:
@@ -302,7 +302,7 @@
             ),
         )
         for job_class in named
-        if settings.of(job_class.name).queueing
+        if settings.for_class(job_class.name).queueing
     ]
     return (*named, *aged)
 
--- a/oxbowyard/waiting/journal.py
+++ b/oxbowyard/waiting/journal.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RecalledJob:
+class JobRecord:
     """A job as the journal knows it."""
 
     job: Job
@@ -62,10 +62,10 @@
     def when_durable(self, callback: Callable[[], None]) -> None:
         """Call back once all that was recorded so far is as durable as this journal makes it."""
 
-    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[RecalledJob | None]:
+    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
         """For each submission the known job with its idempotency key, or its id."""
 
-    async def recall(self, id_: str) -> RecalledJob | None:
+    async def find_record(self, id_: str) -> JobRecord | None:
         """A job that is not in memory any more, or not yet."""
 
 
@@ -97,10 +97,10 @@
         """Call back at once."""
         callback()
 
-    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[RecalledJob | None]:
+    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
         """No job is known."""
         return [None] * len(submissions)
 
-    async def recall(self, id_: str) -> RecalledJob | None:
+    async def find_record(self, id_: str) -> JobRecord | None:
         """No job is known."""
         return None
--- a/oxbowyard/waiting/policy.py
+++ b/oxbowyard/waiting/policy.py
@@ -71,7 +71,7 @@
     def next_tick_ms(self, now: float) -> float | None:
         """When to call `tick`; None if there is no need."""
         state = self._state
-        if state.has_more_work or state.ended_dependencies or state.shutting_down is not None:
+        if state.has_more_work or state.ended_dependencies or state.jobs_to_shut_down is not None:
             return now
         times = []
         if state.timers:
@@ -104,7 +104,7 @@
         now: float,
         submission: JobSubmission,
         number: int,
-        submissions: int,
+        submission_count: int,
         failure: str = "",
         indeterminate: str = "",
     ) -> Job:
@@ -113,8 +113,10 @@
         See `acceptance.restore_job` and `acceptance.restore_indeterminate_job`.
         """
         if indeterminate:
-            return restore_indeterminate_job(self._state, now, submission, number, submissions, indeterminate)
-        return restore_job(self._state, now, submission, number, submissions, failure)
+            return restore_indeterminate_job(
+                self._state, now, submission, number, submission_count, indeterminate
+            )
+        return restore_job(self._state, now, submission, number, submission_count, failure)
 
     # ---- Events ----
 
@@ -135,7 +137,7 @@
         state = self._state
         state.is_stopping = True
         jobs = list(state.jobs.values())
-        state.shutting_down = iter([job for job in jobs if not (keep_durable and job.durable)])
+        state.jobs_to_shut_down = iter([job for job in jobs if not (keep_durable and job.durable)])
         self._run_due_work(now, STEPS_PER_CALL)
 
     def job_started(self, now: float, job: Job, delay_ms: float) -> None:
--- a/oxbowyard/waiting/policy_driver.py
+++ b/oxbowyard/waiting/policy_driver.py
@@ -52,7 +52,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    def begin_work(self) -> None:
+    def mark_busy(self) -> None:
         """Jobs were accepted or restored."""
         self._idle.clear()
 
@@ -102,7 +102,7 @@
         elif result is not None:
             self._conclude(job, result)
         elif change.state is JobState.INDETERMINATE:
-            self._watchers.release(job.id)
+            self._watchers.release_waiters(job.id)
         elif change.state is JobState.PURGED:
             self.results.pop(job.id, None)
 
@@ -119,7 +119,7 @@
         """A job has its one end: whoever waits for it is told."""
         if job.state is not JobState.PURGED:
             self.results[job.id] = result
-        self.submissions.forget(job.id)
+        self.submissions.discard_lease(job.id)
         self.outcomes[result.outcome] += 1
         if result.outcome is not JobOutcome.SERVED:
             outcome = result.outcome.value
--- a/oxbowyard/waiting/policy_state.py
+++ b/oxbowyard/waiting/policy_state.py
@@ -59,7 +59,7 @@
         self.awaiting_idle = ReleaseQueues()
         self.ended_dependencies: deque[EndedDependency] = deque()
         self.retained: deque[RetainedResult] = deque()
-        self.shutting_down: Iterator[Job] | None = None  # jobs that the shutdown still has to end
+        self.jobs_to_shut_down: Iterator[Job] | None = None  # jobs that the shutdown still has to end
         self.is_stopping = False
         self.has_more_work = False  # the last call ran out of steps
         self.last_number = 0  # of the job that was accepted last
@@ -114,7 +114,7 @@
     if job.wait_for_idle:
         latest = job.wait_deadline_ms - state.age_limit_ms
         return max(min(now + state.idle_limit_ms, latest), now)
-    return release_due_ms(job, state.priorities.of(job), state.age_limit_ms)
+    return release_due_ms(job, state.priorities.of_job(job), state.age_limit_ms)
 
 
 def fire_timer(state: PolicyState, job: Job, now: float) -> None:
--- a/oxbowyard/waiting/release.py
+++ b/oxbowyard/waiting/release.py
@@ -24,7 +24,7 @@
     queues = state.awaiting_idle if job.state is JobState.AWAITING_IDLE else state.ready
     queues.remove(job)
     set_timer(state, job, NO_TIMER_MS)
-    job.submissions += 1
+    job.submission_count += 1
     state.rate.window(job.job_class).submitted += 1
     job_class = job.job_class + AGED_CLASS_SUFFIX if _is_aged(state, job, now) else job.job_class
     set_state(state, job, JobState.SUBMITTED)
@@ -33,7 +33,7 @@
 
 def _is_aged(state: PolicyState, job: Job, now: float) -> bool:
     """Whether the job has waited so long that it may queue at a worker, if its class allows that."""
-    if job.state is not JobState.READY or not state.settings.of(job.job_class).queueing:
+    if job.state is not JobState.READY or not state.settings.for_class(job.job_class).queueing:
         return False
     return job.wait_for_idle or now - job.ready_at_ms >= state.age_limit_ms
 
--- a/oxbowyard/waiting/release_queues.py
+++ b/oxbowyard/waiting/release_queues.py
@@ -39,7 +39,7 @@
         largest = max(per_work.values(), default=0.0) or 1.0
         self._priorities = {name: value / largest for name, value in per_work.items()}
 
-    def of(self, job: Job) -> float:
+    def of_job(self, job: Job) -> float:
         """A job's priority: what its client named, or its class's."""
         return self._priorities.get(job.job_class, 0.0) if job.priority is None else job.priority
 
--- a/oxbowyard/waiting/result_watchers.py
+++ b/oxbowyard/waiting/result_watchers.py
@@ -70,12 +70,12 @@
         if callback is not None:
             callback(result)
 
-    def release(self, job_id: str) -> None:
+    def release_waiters(self, job_id: str) -> None:
         """There is no result yet, and it may be long in coming: whoever waits is told so."""
         for future in self._futures.get(job_id, ()):
             if not future.done():
                 future.set_result(None)
 
-    def watched_jobs(self) -> Iterable[str]:
+    def watched_job_ids(self) -> Iterable[str]:
         """The ids of jobs that somebody waits for."""
         return list(self._futures)
--- a/oxbowyard/waiting/retention.py
+++ b/oxbowyard/waiting/retention.py
@@ -69,11 +69,11 @@
 
 def end_for_shutdown(state: PolicyState, now: float, steps: int) -> int:
     """End the waiting jobs of a program that stops."""
-    while steps > 0 and state.shutting_down is not None:
-        job = next(state.shutting_down, None)
+    while steps > 0 and state.jobs_to_shut_down is not None:
+        job = next(state.jobs_to_shut_down, None)
         steps -= 1
         if job is None:
-            state.shutting_down = None
+            state.jobs_to_shut_down = None
         elif job.is_waiting:
             end_job(state, job, now, JobOutcome.SHUT_DOWN, "this scheduler stops")
     return steps
--- a/oxbowyard/waiting/settings.py
+++ b/oxbowyard/waiting/settings.py
@@ -85,11 +85,11 @@
         if self.retry_first_s > self.retry_most_s:
             raise ValueError("retry_first_s must not be over retry_most_s")
 
-    def of(self, job_class: str) -> ClassSettings:
+    def for_class(self, job_class: str) -> ClassSettings:
         """A class's own settings, or what holds for those without."""
         return self.classes.get(job_class, DEFAULT)
 
-    def bound_s(self, quiet: bool = False) -> float:
+    def max_release_wait_s(self, quiet: bool = False) -> float:
         """The longest that a ready job waits to be submitted while a worker is listed for its class."""
         due_within = self.quiet_limit_s if quiet else self.age_limit_s
         return due_within + self.age_limit_s + self.max_jobs / self.aged_per_s
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -21,9 +21,9 @@
     lease_recorded,
 )
 from oxbowyard.decision.facade import Result
-from oxbowyard.durable.durable_store import DurableStore, StoreNotOpenedError
+from oxbowyard.durable.durable_store import DurableStore, StoreOpenError
 from oxbowyard.durable.leases import LeaseTable
-from oxbowyard.durable.recovered_jobs import OpenOrUnknown, recovered_state
+from oxbowyard.durable.recovered_jobs import UnresolvedDependency, recovered_state
 from oxbowyard.durable.settings import DurableSettings
 from oxbowyard.store.database import Database
 from oxbowyard.store.record import (
@@ -72,7 +72,7 @@
     async def submit(self, id_: str, job_class: str = "once", **wait: Any) -> None:
         """As a front does: acknowledged once it is on disk."""
         self.stage.submit(id_, job_class, durable=True, **wait)
-        await self.room.intake.durable()
+        await self.room.intake.wait_until_durable()
 
     async def until(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(10):
@@ -84,7 +84,7 @@
         return (job.outcome or job.state) if job else None
 
     async def final(self, id_: str) -> JobOutcome | None:
-        known = await self.room.recall(id_)
+        known = await self.room.find_record(id_)
         return known.result.outcome if known and known.result else None
 
 
@@ -151,7 +151,7 @@
 
         last = Kept_(path, served)
         await last.recovery.run()
-        known = await last.room.recall("done")
+        known = await last.room.find_record("done")
         assert known is not None and known.result is not None
         assert (known.result.outcome, known.result.body, known.result.resolved_by) == (
             JobOutcome.SERVED,
@@ -261,7 +261,7 @@
             await asyncio.sleep(0.05)
         assert kept.state("silent") is JobState.STARTED and kept.state("talks") is JobState.STARTED
         await kept.until(lambda: kept.state("silent") is JobState.INDETERMINATE)
-        known = await kept.room.recall("silent")
+        known = await kept.room.find_record("silent")
         assert known is not None and "it was with w" in known.job.reason
         await kept.until(lambda: kept.state("preview") is JobOutcome.SERVED)
         await kept.until(lambda: kept.state("talks") is JobOutcome.SERVED)
@@ -298,7 +298,7 @@
         back = asyncio.create_task(new.recovery.run())
         await new.until(lambda: new.room.held.jobs == 20)
         await asyncio.sleep(0.05)
-        assert new.state("j30") is None and (await new.room.recall("j30")) is not None
+        assert new.state("j30") is None and (await new.room.find_record("j30")) is not None
         await back  # as the first ones end, the rest comes
         await new.until(lambda: all(new.state(f"j{i}") is JobOutcome.SERVED for i in range(10, 40)))
         await new.durable_store.close()
@@ -361,7 +361,7 @@
         with pytest.raises(JobRejectedError, match="the store is broken"):  # from now on at once
             await kept.submit("b")
         with pytest.raises(JobRejectedError, match="not known"):
-            await kept.room.intake.durable()
+            await kept.room.intake.wait_until_durable()
         assert kept.sent == [] and kept.state("a") is JobState.SUBMITTED  # never sent: its grant is nowhere
         kept.stage.submit("plain", "free")  # what needs no store goes on
         await kept.until(lambda: "plain" in kept.sent)
@@ -394,7 +394,7 @@
         new.recovery._deadlines_s = {"once": 5.0}
         await new.recovery.run()
         assert new.state("a") is None and new.recovery.counts.unknown_class == 1
-        assert (await new.room.recall("a")) is not None
+        assert (await new.room.find_record("a")) is not None
         await new.durable_store.close()
 
     play(scene)
@@ -404,10 +404,10 @@
     async def scene() -> None:
         path = tmp_path / "jobs.db"
         keeping = DurableStore(DurableSettings(str(path)))
-        with pytest.raises(StoreNotOpenedError, match="store: locked: another program"):
+        with pytest.raises(StoreOpenError, match="store: locked: another program"):
             DurableStore(DurableSettings(str(path)))
         await keeping.close()
-        with pytest.raises(StoreNotOpenedError, match="store: read only"):
+        with pytest.raises(StoreOpenError, match="store: read only"):
             DurableStore(DurableSettings(str(tmp_path / "none" / "jobs.db")))
 
     play(scene)
@@ -421,8 +421,8 @@
     return StoredJob(accepted, state, 1, lease, None)
 
 
-def unknown(id_: str) -> OpenOrUnknown:
-    return OpenOrUnknown.UNKNOWN
+def unknown(id_: str) -> UnresolvedDependency:
+    return UnresolvedDependency.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -435,11 +435,11 @@
 
 
 def test_dependencies_that_ended_while_nobody_ran() -> None:
-    ends: dict[str, JobEnded | OpenOrUnknown] = {
+    ends: dict[str, JobEnded | UnresolvedDependency] = {
         "served": JobEnded(2, "served", "yes", "", b"", 0.0, 1.0),
         "failed": JobEnded(3, "failed", "maybe", "", b"", 0.0, 1.0),
         "open": JobEnded(4, "cancelled", "open", "", b"", 0.0, 1.0),
-        "going on": OpenOrUnknown.OPEN,
+        "going on": UnresolvedDependency.OPEN,
     }
 
     def after(*dependencies: Dependency) -> tuple[tuple[str, ...], str]:
--- a/tests/test_gearman_durable.py
+++ b/tests/test_gearman_durable.py
@@ -164,7 +164,7 @@
         second = front.submit(BACKGROUND, "repeatable")
         await until(lambda: second.got(PacketType.JOB_CREATED))
         handle = second.received[0][12:].decode()
-        assert await front.kept.room.recall(handle) is not None
+        assert await front.kept.room.find_record(handle) is not None
         assert (await front.kept.durable_store._writer.read(lambda db: db.find(handle))) is not None
         front.jobs.remove_client(first)
         front.kept.room.cancel(handle)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -33,8 +33,8 @@
 def test_the_deployed_file_is_one_and_says_what_holds_anyway() -> None:
     found = load(ROOT / "deploy/operator.toml", CLASSES)
     assert found.waiting is not None and found.gearman is not None
-    assert found.waiting.of("gearman:render_preview").queueing
-    assert not found.waiting.of("gearman:file_specimen").queueing
+    assert found.waiting.for_class("gearman:render_preview").queueing
+    assert not found.waiting.for_class("gearman:file_specimen").queueing
     defaults = WaitingSettings(classes=found.waiting.classes)
     assert found.waiting == defaults, "the file shows the defaults"
 
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -51,7 +51,9 @@
     return call
 
 
-@pytest.mark.parametrize(("query", "at"), [("last_number", 1), *(("open_jobs", n) for n in range(1, 6))])
+@pytest.mark.parametrize(
+    ("query", "at"), [("last_number", 1), *(("unfinished_jobs", n) for n in range(1, 6))]
+)
 @pytest.mark.parametrize("failure", [StoreFailure.FAILED, StoreFailure.LOCKED])
 def test_a_read_that_fails_once_loses_no_job(
     failure: StoreFailure, query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -71,7 +73,9 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("query", "at"), [("last_number", 1), ("open_jobs", 1), ("open_jobs", 2)])
+@pytest.mark.parametrize(
+    ("query", "at"), [("last_number", 1), ("unfinished_jobs", 1), ("unfinished_jobs", 2)]
+)
 def test_a_store_that_is_damaged_is_not_taken_as_read(
     query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,7 +27,7 @@
     StoreError,
     StoreFailure,
 )
-from oxbowyard.store.writer import Health, Writer
+from oxbowyard.store.writer import StoreHealth, Writer
 
 FAULTS = {
     "full": (sqlite3.SQLITE_FULL, StoreFailure.FULL),
@@ -113,11 +113,11 @@
     first, second = db.find("j1"), db.find("j2")
     assert first is not None and second is not None
     assert (first.state, first.lease, first.accepted.payload) == (StoredState.INDETERMINATE, lease, b"\0\xff")
-    assert first.accepted.wait_for_idle is True and db.by_idempotency_key("", "k") == first
+    assert first.accepted.wait_for_idle is True and db.find_by_idempotency_key("", "k") == first
     assert second.ended == ended(2, by="Aiko") and second.accepted.payload == b""
-    assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j1", "j3"]
-    assert db.open_jobs(1, 9)[0].accepted.id == "j3" and db.last_number() == 3
-    assert db.counts() == {StoredState.INDETERMINATE: 1, StoredState.ENDED: 1, StoredState.WAITING: 1}
+    assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j1", "j3"]
+    assert db.unfinished_jobs(1, 9)[0].accepted.id == "j3" and db.last_number() == 3
+    assert db.count_by_state() == {StoredState.INDETERMINATE: 1, StoredState.ENDED: 1, StoredState.WAITING: 1}
     db.close()
 
 
@@ -137,9 +137,9 @@
         with pytest.raises(StoreError) as caught:
             db.apply(changes)
         assert caught.value.failure is trouble
-        assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j1"]
+        assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j1"]
         db.apply(changes)  # the disk is well again
-        assert [job.accepted.id for job in db.open_jobs(0, 9)] == ["j2"]
+        assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j2"]
         db.close()
         assert check(path) == 2
 
@@ -156,7 +156,7 @@
         old.apply([ended(1)])
     assert caught.value.failure is StoreFailure.FENCED
     new.apply([JobStateChanged(1, StoredState.INDETERMINATE, 1)])
-    assert new.counts() == {StoredState.INDETERMINATE: 1}
+    assert new.count_by_state() == {StoredState.INDETERMINATE: 1}
     with pytest.raises(StoreError, match="another program"):
         Database(path)  # it holds a lock of its own
     new.close()
@@ -223,7 +223,7 @@
         copy.with_name("jobs.db-wal").write_bytes(wal[:size] + b"\0" * 100)
         copy.with_name("jobs.db-shm").unlink(missing_ok=True)
         torn = Database(copy)
-        assert [job.accepted.id for job in torn.open_jobs(0, 9)] == ["j1"]
+        assert [job.accepted.id for job in torn.unfinished_jobs(0, 9)] == ["j1"]
         torn._db.close()  # without folding in
         torn._lock.release()
         copy.write_bytes(path.read_bytes())
@@ -236,7 +236,7 @@
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=3) == 3
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=30) == 2
     assert db.prune(ended_before=0.0, max_results=10, max_deletions=30) == 4
-    assert db.counts() == {StoredState.ENDED: 10, StoredState.WAITING: 1} and db.find("j9") is None
+    assert db.count_by_state() == {StoredState.ENDED: 10, StoredState.WAITING: 1} and db.find("j9") is None
     db.close()
 
 
@@ -253,7 +253,7 @@
     db.close()
     assert restore(copy, path) == 199
     db = Database(path)
-    assert db.counts() == {StoredState.WAITING: 199}
+    assert db.count_by_state() == {StoredState.WAITING: 199}
     db.close()
     copy.write_bytes(copy.read_bytes()[:8192] + b"\xff" * 20_000 + copy.read_bytes()[28_192:])
     with pytest.raises(StoreError) as caught:
@@ -303,11 +303,11 @@
 
 @pytest.mark.parametrize(
     ("name", "lasting", "last"),
-    [("full", False, Health.SERVING), ("fsync", False, Health.SERVING), ("damaged", False, Health.BROKEN),
-     ("fsync", True, Health.BROKEN)],
+    [("full", False, StoreHealth.SERVING), ("fsync", False, StoreHealth.SERVING),
+     ("damaged", False, StoreHealth.BROKEN), ("fsync", True, StoreHealth.BROKEN)],
 )  # fmt: skip
 def test_a_failing_disk_stalls_the_store_and_acknowledges_nothing(
-    name: str, lasting: bool, last: Health, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    name: str, lasting: bool, last: StoreHealth, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.02)
     opened: list[Failing] = []
@@ -318,17 +318,17 @@
         return opened[-1]
 
     async def scene() -> None:
-        states: list[Health] = []
+        states: list[StoreHealth] = []
         database = Database(tmp_path / "jobs.db", connect=open_)
         writer = Writer(database, states.append)
         told: list[str] = []
         opened[0].at = opened[0].writes + 2
         writer.put(taken(1))
         writer.when_durable(lambda: told.append("safe"))
-        await until(lambda: last in states if last is Health.BROKEN else "safe" in told)
-        assert bool(told) == (last is Health.SERVING)
-        if last is Health.SERVING:
-            assert states == [Health.STALLED, Health.SERVING]
+        await until(lambda: last in states if last is StoreHealth.BROKEN else "safe" in told)
+        assert bool(told) == (last is StoreHealth.SERVING)
+        if last is StoreHealth.SERVING:
+            assert states == [StoreHealth.STALLED, StoreHealth.SERVING]
             assert await writer.read(lambda db: db.last_number()) == 1
         await writer.close()
 
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -14,7 +14,7 @@
 from test_store_thread import Hook, HookedConnection, sqlite_error
 
 from oxbowyard.store.database import Database
-from oxbowyard.store.writer import LOST, Health, Writer
+from oxbowyard.store.writer import LOST_STATES, StoreHealth, Writer
 from oxbowyard.waiting.job import JobOutcome, JobRejectedError
 
 WAIT_S = 5.0
@@ -69,16 +69,16 @@
         if await in_time(acknowledge(kept, id_, delay_s)):
             acknowledged.append(id_)
     kept.room.cancel("b")
-    await in_time(kept.room.recall("c"))
-    await in_time(kept.room.recall("unknown"))
+    await in_time(kept.room.find_record("c"))
+    await in_time(kept.room.find_record("unknown"))
     await asyncio.sleep(0.05)  # old results are looked for
-    assert writer._thread.is_alive() or writer.health in LOST
+    assert writer._thread.is_alive() or writer.health in LOST_STATES
     if await in_time(acknowledge(kept, "last", 60.0)):
         acknowledged.append("last")
         if "a" in acknowledged:
-            await kept.until(lambda: kept.state("a") is JobOutcome.SERVED or writer.health in LOST)
+            await kept.until(lambda: kept.state("a") is JobOutcome.SERVED or writer.health in LOST_STATES)
     else:
-        assert writer.health is not Health.SERVING
+        assert writer.health is not StoreHealth.SERVING
     async with asyncio.timeout(WAIT_S):
         await kept.durable_store.close()
         await recovery
@@ -130,7 +130,7 @@
         kept = Kept_(tmp_path / "jobs.db", served)
         writer = install(kept, FailingCalls(1, sqlite3.SQLITE_FULL, lasting=True))
         waiting = asyncio.ensure_future(kept.submit("a", delay_s=60.0))
-        await kept.until(lambda: writer.health is Health.STALLED)
+        await kept.until(lambda: writer.health is StoreHealth.STALLED)
         with pytest.raises(JobRejectedError, match="full or failing"):
             await kept.submit("b", delay_s=60.0)
         await kept.durable_store.close()
--- a/tests/test_store_thread.py
+++ b/tests/test_store_thread.py
@@ -17,7 +17,7 @@
 
 from oxbowyard.store.database import Database, connect
 from oxbowyard.store.record import Change, StoredState, StoreError
-from oxbowyard.store.writer import Health, PruneLimits, Writer
+from oxbowyard.store.writer import PruneLimits, StoreHealth, Writer
 
 WAIT_S = 5.0  # nothing here takes that long, unless it hangs
 KEEP_ALL = PruneLimits(ended_before=0.0, max_results=1_000, max_deletions=100)
@@ -129,7 +129,7 @@
         hook.check = fail_once
         await until(lambda: failures)
         await committed(writer, taken(2))
-        assert await last_number(writer) == 2 and writer.health is Health.SERVING
+        assert await last_number(writer) == 2 and writer.health is StoreHealth.SERVING
         await writer.close()
 
     play(scene)
@@ -147,7 +147,7 @@
             raise error
 
     async def scene() -> None:
-        states: list[Health] = []
+        states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), states.append)
         hook.check = fail
         release = await hold(writer)
@@ -157,7 +157,7 @@
         release.set()
         with pytest.raises(StoreError, match="the store is broken"):
             await in_batch
-        await until(lambda: Health.BROKEN in states)
+        await until(lambda: StoreHealth.BROKEN in states)
         with pytest.raises(StoreError, match="the store is broken"):
             await last_number(writer)
         await writer.close()
@@ -197,7 +197,7 @@
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
         await writer.close()
-        writer.health = Health.SERVING  # as the caller still saw it
+        writer.health = StoreHealth.SERVING  # as the caller still saw it
         with pytest.raises(StoreError):
             await last_number(writer)
 
@@ -224,11 +224,11 @@
 
 def test_whoever_waits_as_the_store_closes_is_told(tmp_path: Path) -> None:
     async def scene() -> None:
-        states: list[Health] = []
+        states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db"), states.append)
         await committed(writer, taken(1))
         await writer.close()
-        await until(lambda: Health.CLOSED in states)
+        await until(lambda: StoreHealth.CLOSED in states)
 
     play(scene)
 
@@ -274,17 +274,17 @@
             raise sqlite_error(sqlite3.SQLITE_IOERR_FSYNC)
 
     async def scene() -> None:
-        states: list[Health] = []
+        states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), states.append)
         hook.check = fail
         writer.put(taken(1))
-        await until(lambda: Health.STALLED in states)
+        await until(lambda: StoreHealth.STALLED in states)
         for number in range(2, 40):
             writer.put(taken(number))
             await asyncio.sleep(0.005)
-        assert len(failed) == 1 and writer.health is Health.STALLED
+        assert len(failed) == 1 and writer.health is StoreHealth.STALLED
         await writer.close()  # at once, and without waiting for the disk
-        assert states[-1] is Health.BROKEN
+        assert states[-1] is StoreHealth.BROKEN
 
     play(scene)
 
@@ -299,7 +299,7 @@
             number += 1
             writer.put(taken(number))
             await committed(writer, ended(number))
-            counts = await writer.read(lambda database: database.counts())
+            counts = await writer.read(lambda database: database.count_by_state())
             if counts.get(StoredState.ENDED, 0) < number:
                 break
         else:
@@ -315,14 +315,14 @@
         limits = [KEEP_ALL]
         writer = Writer(Database(tmp_path / "jobs.db", max_bytes=64 * 4096), prune_limits=lambda: limits[0])
         number = 0
-        while writer.health is Health.SERVING:
+        while writer.health is StoreHealth.SERVING:
             number += 1
             writer.put(taken(number))
             writer.put(replace(ended(number), result=b"x" * 2000))
             await asyncio.sleep(0.001)
-        assert writer.health is Health.STALLED
+        assert writer.health is StoreHealth.STALLED
         limits[0] = KEEP_NONE
-        await until(lambda: writer.health is Health.SERVING)
+        await until(lambda: writer.health is StoreHealth.SERVING)
         await writer.close()
 
     play(scene)
@@ -331,7 +331,7 @@
 def test_a_fenced_store_deletes_nothing(tmp_path: Path) -> None:
     # Guards against a program that was presumed dead and deletes results of its successor.
     async def scene() -> None:
-        states: list[Health] = []
+        states: list[StoreHealth] = []
         path = tmp_path / "jobs.db"
         limits = [KEEP_ALL]
         writer = Writer(Database(path), states.append, prune_limits=lambda: limits[0])
@@ -339,7 +339,7 @@
         await committed(writer, ended(1))
         successor = Database(path, take_over=True)
         limits[0] = KEEP_NONE
-        await until(lambda: Health.FENCED in states)
+        await until(lambda: StoreHealth.FENCED in states)
         assert successor.find("j1") is not None
         await writer.close()
         successor.close()
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -78,11 +78,11 @@
         number = job.accepted.number
         changes.append(job.accepted)
         if job.lease is not None:
-            changes.append(JobStateChanged(number, StoredState.GRANTED, job.submissions, job.lease))
+            changes.append(JobStateChanged(number, StoredState.GRANTED, job.submission_count, job.lease))
         if job.ended is not None:
             changes.append(job.ended)
         elif job.state is not StoredState.GRANTED:
-            changes.append(JobStateChanged(number, job.state, job.submissions))
+            changes.append(JobStateChanged(number, job.state, job.submission_count))
     database.apply(changes)
 
 
--- a/tests/test_waiting_policy.py
+++ b/tests/test_waiting_policy.py
@@ -86,7 +86,7 @@
     def refuse(self, id_: str, told: float = 0.0) -> None:
         job = self.policy.find(id_)
         assert job is not None
-        again = self.settings.of(job.job_class).queueing
+        again = self.settings.for_class(job.job_class).queueing
         self.policy.job_rejected(self.now, job, told, again)
         self.drain()
 
@@ -161,7 +161,7 @@
     times = [at for at, _, _ in stage.released]
     assert len(times) == 6 and all(name == "light" + AGED_CLASS_SUFFIX for _, _, name in stage.released)
     assert all(b - a >= 500 - POLL_INTERVAL_MS for a, b in pairwise(times))
-    assert times[-1] - 1000 <= stage.settings.bound_s() * 1000
+    assert times[-1] - 1000 <= stage.settings.max_release_wait_s() * 1000
 
 
 def test_jobs_that_are_refused_again_and_again_do_not_starve_others() -> None:
@@ -604,7 +604,7 @@
         if not hasattr(self, "stage"):
             return
         for id_, since in self.ready_since.items():
-            bound = self.stage.settings.bound_s(self.known[id_].wait_for_idle) * 1000
+            bound = self.stage.settings.max_release_wait_s(self.known[id_].wait_for_idle) * 1000
             assert self.stage.now - since <= bound + POLL_INTERVAL_MS, f"{id_} waits"
 
 
