--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -140,7 +140,7 @@
     def adopt(self, request: Request) -> tuple[Request, Callable[[JobResult], None]] | None:
         """Take back a recovered job under its old handle; None if it is not a Gearman job.
 
-        The pair is what the queue expects of an adopter: the request to submit, and what its end calls.
+        The pair is what the queue expects of a handler: the request to submit, and what its end calls.
         """
         function = self._functions.get(request.target)
         if function is None or function.job_class.name != request.job_class:
--- a/oxbowyard/waiting/__init__.py
+++ b/oxbowyard/waiting/__init__.py
@@ -1,1 +1,1 @@
-"""Deferred jobs: they wait for other jobs, a time, an idle fleet or capacity."""
+"""Deferred jobs, which wait for other jobs, a point in time, an idle fleet or capacity."""
--- a/oxbowyard/waiting/acceptance.py
+++ b/oxbowyard/waiting/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepting jobs: from a client's submission, or from the store after a restart. No I/O, no clock."""
+"""Accepts jobs from a client's submission, or from the store after a restart. Has no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def find_repeated(state: PolicyState, submissions: Sequence[JobSubmission]) -> list[Job]:
-    """The jobs that were submitted before with the same idempotency keys; none if the submission is new.
+    """Return the jobs that were submitted before with the same idempotency keys; empty for a new submission.
 
-    Raises JobRejectedError if only some were, or if a key was used with other content.
+    Raises JobRejectedError if only some of the keys are known, or if a key was used with other content.
     """
     known = [_find_one_repeated(state, submission) for submission in submissions]
     found = [job for job in known if job is not None]
@@ -34,7 +34,7 @@
 
 
 def accept_jobs(state: PolicyState, now: float, submissions: Sequence[JobSubmission]) -> list[Job]:
-    """Accept all jobs or none. Raises JobRejectedError."""
+    """Accept all jobs or none of them. Raises JobRejectedError."""
     if state.is_stopping:
         text = "this scheduler takes no more jobs"
         raise queue_full_error(state.settings, RejectionCode.STOPPING, text)
@@ -56,10 +56,11 @@
     submission_count: int,
     failure: str,
 ) -> Job:
-    """Take back a job that never began, with the wait and delay that are left to it.
+    """Restore a job that never ran, with its remaining wait and delay.
 
-    Its open dependencies are here; `failure` says that another one did not end as required. No limit applies:
-    it was accepted. Without any wait left it ends as expired.
+    The submission names only the dependencies that have not ended; `failure` says which other one did not end
+    as required. No limits are checked, because the job was accepted before. A job without any wait left ends
+    as expired.
     """
     job = _add_job(state, now, submission, number, 0)
     job.submission_count = submission_count
@@ -76,7 +77,7 @@
 def restore_indeterminate_job(
     state: PolicyState, now: float, submission: JobSubmission, number: int, submission_count: int, reason: str
 ) -> Job:
-    """Take back a job that may have run, and whose end nobody reported."""
+    """Restore a job that may have run and whose outcome was never reported."""
     job = _add_job(state, now, submission, number, 0)
     job.submission_count = submission_count
     mark_indeterminate(state, job, reason)
--- a/oxbowyard/waiting/core_submissions.py
+++ b/oxbowyard/waiting/core_submissions.py
@@ -1,7 +1,7 @@
-"""Released jobs at the core: each is a request like any other, and its answer goes back to the policy.
+"""Submits released jobs to the core as ordinary requests, and passes their answers back to the policy.
 
-A job that must not run twice is granted to a worker with a lease, which is recorded before its last byte is
-sent; when the worker is silent for longer than its lease, the request is cancelled.
+A job that must not run twice is granted to a worker with a lease, which is recorded before the last byte of
+the job is sent. If the worker sends nothing for longer than the lease, the request is cancelled.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 log = logging.getLogger("oxbowyard.waiting")
 
-LEASE_TOKEN_BYTES = 8  # of chance: nobody guesses another's lease
-OUTCOMES = {
+LEASE_TOKEN_BYTES = 8  # random, so that a worker cannot guess the lease of another
+OUTCOME_BY_ANSWER_KIND = {
     AnswerKind.SERVED: JobOutcome.SERVED,
     AnswerKind.REJECTED: JobOutcome.REJECTED,
     AnswerKind.FAILED: JobOutcome.FAILED,
@@ -35,19 +35,19 @@
 
 @dataclass(slots=True)
 class _Submission:
-    """A job that is with the core, or about to be."""
+    """A job that was submitted to the core, or is about to be."""
 
     request_id: str
-    task: asyncio.Task[Answer] | None = None  # None: its release waits for the journal
+    task: asyncio.Task[Answer] | None = None  # None until the journal has recorded the release
     submitted_at_ms: float = 0.0
     run_state_at_cancel: RunState | None = None  # None: not cancelled
-    is_answered: bool = False  # its answer is on the way: it can't be cancelled any more
-    lease_expired: bool = False  # cancelled because its lease expired
+    is_answered: bool = False  # the answer is known, so the job can no longer be cancelled
+    has_expired_lease: bool = False  # cancelled because its lease expired
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerAnswer:
-    """What a worker answered, until the job has ended."""
+    """A worker's answer, cached until the job's result is built."""
 
     body: bytes = b""
     retry_after_s: float = 0.0
@@ -55,14 +55,14 @@
 
 @dataclass(slots=True)
 class SubmissionCounts:
-    """Since the start, for operators."""
+    """Counters since the start of the program, for operators."""
 
     released: int = 0
     resubmitted: int = 0
 
 
 class CoreSubmissions:
-    """The released jobs of one queue. `drive` carries out what the policy has decided."""
+    """The released jobs of one queue."""
 
     def __init__(
         self,
@@ -71,32 +71,33 @@
         scheduler: Scheduler,
         journal: JobJournal,
         classes: Mapping[str, JobClass],
-        non_repeatable: Collection[str],
+        non_repeatable_classes: Collection[str],
         clock: Callable[[], float],
         drive: Callable[[float], None],
     ) -> None:
+        """`drive` carries out the policy's actions; `clock` is steady, in milliseconds."""
         self._settings = settings
         self._policy = policy
         self._scheduler = scheduler
         self._journal = journal
         self._classes = classes
-        self._non_repeatable = non_repeatable
+        self._non_repeatable_classes = non_repeatable_classes
         self._clock = clock
         self._drive = drive
         self._loop = asyncio.get_running_loop()
-        self._submissions: dict[str, _Submission] = {}  # by job
-        self._leases: dict[str, str] = {}  # the last one of each job that was granted
-        self._granted_to: dict[str, str] = {}
+        self._submissions: dict[str, _Submission] = {}  # by job id
+        self._leases: dict[str, str] = {}  # the latest lease token of each granted job, by job id
+        self._granted_to: dict[str, str] = {}  # worker by job id
         self._lease_watch = LeaseWatch(journal.leases, clock, self._expire_lease)
-        self.answers: dict[str, WorkerAnswer] = {}  # of jobs that are about to end
+        self.answers: dict[str, WorkerAnswer] = {}  # of jobs that are about to end, by job id
         self.is_stopping = False
         self.counts = SubmissionCounts()
 
-    # ---- For the queue ----
+    # ---- Called by the queue ----
 
     def submit(self, job: Job, job_class: str) -> None:
-        """Submit a released job in this class, once its release is durable."""
-        self._submissions.setdefault(job.id, _Submission(job.id))  # it may be cancelled already
+        """Submit a released job in this class, a durable one once the journal has recorded its release."""
+        self._submissions.setdefault(job.id, _Submission(job.id))  # it exists if the job was cancelled
         send = partial(self._send, job, job_class)
         if job.durable:
             self._journal.when_durable(send)
@@ -104,52 +105,52 @@
             send()
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a released job; it may have run."""
+        """Cancel a released job, which may have run."""
         submission = self._submissions.setdefault(job_id, _Submission(job_id))
         if submission.run_state_at_cancel is None:
             self._cancel(submission)
 
     def has_running_tasks(self) -> bool:
-        """Whether a request of a job is with the core."""
+        """Return whether the core is processing any job's request."""
         return any(submission.task is not None for submission in self._submissions.values())
 
     def is_current_lease(self, job_id: str, lease: str) -> bool:
-        """Whether this is the last lease of the job."""
+        """Return whether this is the latest lease of the job."""
         known = self._leases.get(job_id, "")
         return bool(lease) and secrets.compare_digest(known.encode(), lease.encode())
 
     def restore_lease(self, job_id: str, lease: str) -> None:
-        """The lease of a job of an earlier run."""
+        """Set the lease of a job from an earlier run of the program."""
         self._leases[job_id] = lease
 
     def discard_lease(self, job_id: str) -> None:
-        """The job has ended."""
+        """Discard the lease of a job that has ended."""
         self._leases.pop(job_id, None)
         self._granted_to.pop(job_id, None)
 
-    # ---- A request's life ----
+    # ---- Life cycle of a request ----
 
     def _send(self, job: Job, job_class: str) -> None:
         submission = self._submissions[job.id]
         if self.is_stopping and job.durable and submission.run_state_at_cancel is None:
-            del self._submissions[job.id]  # the next run of the program submits it
+            del self._submissions[job.id]  # the next run of the program will submit it
             self._drive(self._clock())
             return
         submission.submitted_at_ms = self._clock()
         self.counts.released += 1
         self.counts.resubmitted += job.submission_count > 1
-        if job.submission_count > 1:  # a new request, as from a client that retries: it surely never ran
+        if job.submission_count > 1:  # a new request id, as from a client that retries; the job never ran
             submission.request_id = f"{job.id}~{self._journal.run_id}{job.submission_count}"
         request = self._request(job, job_class, submission.request_id)
         submission.task = self._loop.create_task(self._scheduler.serve(request))
         submission.task.add_done_callback(partial(self._on_answer, job))
-        if submission.run_state_at_cancel is not None:  # cancelled while the journal was written
+        if submission.run_state_at_cancel is not None:  # cancelled while the journal recorded the release
             submission.task.cancel()
 
     def _request(self, job: Job, job_class: str, request_id: str) -> Request:
         request = job.request
         assert request is not None
-        needs_lease = self._must_not_repeat(job)
+        needs_lease = self._is_non_repeatable(job)
         lease = secrets.token_hex(LEASE_TOKEN_BYTES) if needs_lease else ""
         class_deadline_s = self._classes[job.job_class].deadline_ms / 1000
         return replace(
@@ -166,11 +167,11 @@
             on_answer=partial(_mark_answered, self._submissions[job.id]),
         )
 
-    def _must_not_repeat(self, job: Job) -> bool:
-        return job.durable and job.job_class in self._non_repeatable
+    def _is_non_repeatable(self, job: Job) -> bool:
+        return job.durable and job.job_class in self._non_repeatable_classes
 
     def _record_lease(self, job: Job, lease: str, worker: str, then: Callable[[], None]) -> None:
-        """A worker is about to have a job that must not run twice: that is recorded first."""
+        """Record the lease before a worker gets a job that must not run twice, then call `then`."""
         self._leases[job.id] = lease
         self._granted_to[job.id] = worker
         self._lease_watch.begin(job.id)
@@ -201,13 +202,13 @@
         now = self._clock()
         self._lease_watch.end(job.id)
         run_state = submission.run_state_at_cancel or RunState.MAY_BE_RUNNING
-        if task.cancelled() and submission.lease_expired:
+        if task.cancelled() and submission.has_expired_lease:
             self._on_lease_expired(job, run_state, now)
         elif task.cancelled():
             reason = "called off by its client"
             self._policy.job_ended(now, job, JobOutcome.CANCELLED, run_state, reason)
         elif error := task.exception():
-            log.error("job failed in our own code: job=%s error=%r", job.id, error, exc_info=error)
+            log.error("internal error while running a job: job=%s error=%r", job.id, error, exc_info=error)
             run_state = RunState.MAY_BE_RUNNING
             self._policy.job_ended(now, job, JobOutcome.FAILED, run_state, "internal fault")
         else:
@@ -220,23 +221,23 @@
             self._apply_rejection(job, answer, now)
             return
         may_be_running = answer.run_state is RunState.MAY_BE_RUNNING
-        if self._must_not_repeat(job) and may_be_running and answer.kind is AnswerKind.FAILED:
+        if self._is_non_repeatable(job) and may_be_running and answer.kind is AnswerKind.FAILED:
             self._mark_indeterminate(job, answer.reason, now)
             return
         self.answers[job.id] = WorkerAnswer(answer.body, answer.retry_after_s)
-        outcome = OUTCOMES[answer.kind]
+        outcome = OUTCOME_BY_ANSWER_KIND[answer.kind]
         result_bytes = len(answer.body)
         self._policy.job_ended(now, job, outcome, answer.run_state, answer.reason, result_bytes)
 
     def _apply_rejection(self, job: Job, answer: Answer, now: float) -> None:
         may_retry = self._settings.for_class(job.job_class).queueing
-        self.answers[job.id] = WorkerAnswer(retry_after_s=answer.retry_after_s)  # in case it ends by this
+        self.answers[job.id] = WorkerAnswer(retry_after_s=answer.retry_after_s)  # used if the job ends
         self._policy.job_rejected(now, job, answer.retry_after_s * 1000, may_retry)
         if job.outcome is None:
             del self.answers[job.id]
 
     def _mark_indeterminate(self, job: Job, why: str, now: float) -> None:
-        """Nobody knows how the job ended; the words are for an operator who has to find out."""
+        """Mark a job whose outcome is unknown; the reason helps an operator to find the outcome out."""
         worker = self._granted_to.get(job.id, "a worker")
         reason = f"{why}; it was with {worker}, and its end is not known: look whether it was done"
         log.warning("job indeterminate: job=%s class=%s reason=%s", job.id, job.job_class, reason)
@@ -248,13 +249,13 @@
         submission = self._submissions.get(job_id)
         if submission is None or submission.run_state_at_cancel is not None or submission.task is None:
             return
-        log.warning("lease expired, its worker was silent: job=%s", job_id)
-        submission.lease_expired = True
+        log.warning("lease expired without a sign of life from the worker: job=%s", job_id)
+        submission.has_expired_lease = True
         self._cancel(submission)
 
     def _on_lease_expired(self, job: Job, run_state: RunState, now: float) -> None:
-        """A silent worker was given up: a job that must not run twice is indeterminate, others retry."""
-        if run_state is not RunState.NEVER_RAN and job.job_class in self._non_repeatable:
+        """Mark a job as indeterminate if it may have run and must not run twice, else retry it."""
+        if run_state is not RunState.NEVER_RAN and job.job_class in self._non_repeatable_classes:
             self._mark_indeterminate(job, "its worker was silent for longer than its lease", now)
         else:
             self._policy.job_rejected(now, job, 0.0, may_retry=True)
--- a/oxbowyard/waiting/dependencies.py
+++ b/oxbowyard/waiting/dependencies.py
@@ -1,6 +1,7 @@
-"""Dependencies between jobs: what a submission may name, and what an outcome means. No I/O, no clock.
+"""Checks and orders the dependencies between jobs. Has no I/O and no clock.
 
-A job can only name jobs that exist, or others of its own submission: so only there can a cycle be.
+A job can depend only on existing jobs or on others of its own submission, so a cycle is only possible within
+one submission.
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
 
 
 def is_satisfied(outcome: JobOutcome, run_state: RunState, condition: DependencyCondition) -> bool:
-    """Whether an outcome is what a dependent job requires. A job that may still run satisfies nothing."""
+    """Return whether an outcome satisfies a dependent's condition.
+
+    SERVED satisfies every condition; any other outcome of a job that may still run satisfies none.
+    """
     if outcome is JobOutcome.SERVED:
         return True
     return condition is DependencyCondition.ENDED and run_state is not RunState.MAY_BE_RUNNING
@@ -33,8 +37,8 @@
 def topological_order(
     submissions: Sequence[JobSubmission], find: FindJob, settings: WaitingSettings
 ) -> list[tuple[JobSubmission, int]]:
-    """The jobs of one submission, dependencies first, each with its depth. Raises JobRejectedError."""
-    if len(submissions) == 1 and not submissions[0].dependencies:  # most are
+    """Return the jobs of one submission, dependencies first, each with its depth. Raises JobRejectedError."""
+    if len(submissions) == 1 and not submissions[0].dependencies:  # the most common case
         return [(submissions[0], 0)]
     by_id = {submission.id: submission for submission in submissions}
     for submission in submissions:
@@ -47,7 +51,7 @@
     pending = {id_: len(dependencies) for id_, dependencies in internal.items()}
     order = [id_ for id_, count in pending.items() if not count]
     depths: dict[str, int] = {}
-    for id_ in order:  # it grows while it is iterated
+    for id_ in order:  # the loop appends to the list that it iterates over
         depths[id_] = _depth(by_id[id_], depths, find)
         if depths[id_] > settings.max_depth:
             text = f"{id_} is more than {settings.max_depth} jobs deep in a chain"
@@ -94,7 +98,7 @@
 
 
 def _depth(submission: JobSubmission, depths: Mapping[str, int], find: FindJob) -> int:
-    """Links to a job without open dependencies."""
+    """Return the length of the longest chain of unfinished dependencies."""
     deepest = 0
     for dependency in submission.dependencies:
         if dependency.id in depths:
--- a/oxbowyard/waiting/fleet_view.py
+++ b/oxbowyard/waiting/fleet_view.py
@@ -1,4 +1,4 @@
-"""The fleet's capacity for each class: cached, since counting walks the workers."""
+"""Caches the fleet's capacity for each class, because counting it iterates over all workers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .job import AGED_CLASS_SUFFIX
 from .release_rate import FleetCapacity
 
-CACHE_MS = 50.0
+CACHE_DURATION_MS = 50.0
 
 
 @dataclass(slots=True, frozen=True)
 class _CachedCapacity:
-    """A class's capacity as of a moment ago."""
+    """The capacity for a class when it was last counted."""
 
     valid_until_ms: float
     workers: int
@@ -24,7 +24,7 @@
 
 
 class FleetView:
-    """The capacity that the scheduler's decisions report, by class."""
+    """The fleet's capacity by class, as the scheduler reports it."""
 
     def __init__(
         self, scheduler: Scheduler, classes: Mapping[str, JobClass], clock: Callable[[], float]
@@ -35,7 +35,7 @@
         self._cache: dict[str, _CachedCapacity] = {}
 
     def capacity(self, job_class: str) -> FleetCapacity:
-        """What the fleet can do for a class now."""
+        """Return the fleet's current capacity for a class."""
         now = self._clock()
         cached = self._cache.get(job_class)
         if cached is None or now >= cached.valid_until_ms:
@@ -46,10 +46,10 @@
 
     def _count(self, job_class: str, now: float) -> _CachedCapacity:
         capacity = self._scheduler.capacity(job_class)
-        if capacity.private:  # the list says for each class which of them run it
+        if capacity.private:  # the endpoint list names the workers of each class
             names = [job_class]
         else:
             kind = self._classes[job_class].kind
             names = [name for name, other in self._classes.items() if other.kind == kind]
         sharing = tuple(shared for name in names for shared in (name, name + AGED_CLASS_SUFFIX))
-        return _CachedCapacity(now + CACHE_MS, capacity.workers, capacity.slots, sharing)
+        return _CachedCapacity(now + CACHE_DURATION_MS, capacity.workers, capacity.slots, sharing)
--- a/oxbowyard/waiting/held_jobs.py
+++ b/oxbowyard/waiting/held_jobs.py
@@ -1,4 +1,4 @@
-"""What is held of waiting and ended jobs, and the limits on it."""
+"""Counts the jobs and results that are held in memory, and checks submissions against the limits."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(slots=True)
 class HeldJobs:
-    """Counts of what is held now, for the limits and for operators."""
+    """Counters of the jobs that are held in memory, for the limits and for operators."""
 
     jobs: int = 0  # accepted and not ended
-    bytes: int = 0  # of their payloads
+    bytes: int = 0  # payload bytes of the jobs that have not ended
     ended: int = 0  # ended and not purged
-    ended_bytes: int = 0  # of their results
+    ended_bytes: int = 0  # result bytes of the ended jobs
     by_class: Counter[str] = field(default_factory=Counter)
     by_tenant: Counter[str] = field(default_factory=Counter)
     by_state: Counter[JobState] = field(default_factory=Counter)
 
     def add(self, job: Job) -> None:
-        """A job was accepted."""
+        """Count an accepted job."""
         self.jobs += 1
         self.bytes += job.payload_bytes
         self.by_class[job.job_class] += 1
@@ -32,13 +32,13 @@
             self.by_tenant[job.tenant] += 1
 
     def end(self, job: Job, result_bytes: int) -> None:
-        """A job has ended, and its result is kept."""
+        """Count a job as ended; its result is retained."""
         self.jobs -= 1
         self.bytes -= job.payload_bytes
         self.by_class[job.job_class] -= 1
         if job.tenant:
             self.by_tenant[job.tenant] -= 1
-            if not self.by_tenant[job.tenant]:  # tenants come and go
+            if not self.by_tenant[job.tenant]:  # bounds the counter to tenants that have jobs
                 del self.by_tenant[job.tenant]
         self.ended += 1
         self.ended_bytes += result_bytes
@@ -51,13 +51,13 @@
     known_ids: Collection[str],
     held: HeldJobs,
 ) -> None:
-    """Check what is submitted together against the limits. Raises JobRejectedError."""
+    """Check the jobs of one submission against the limits. Raises JobRejectedError."""
     if len(submissions) > settings.max_batch:
         text = f"a hand-in holds {settings.max_batch} jobs at most"
         raise JobRejectedError(RejectionCode.BATCH_TOO_LARGE, text)
     ids: set[str] = set()
     for submission in submissions:
-        _check_one(submission, settings, classes)
+        _check_submission(submission, settings, classes)
         if submission.id in known_ids or submission.id in ids:
             raise JobRejectedError(RejectionCode.DUPLICATE_ID, f"there is a job {submission.id}")
         ids.add(submission.id)
@@ -65,11 +65,11 @@
 
 
 def queue_full_error(settings: WaitingSettings, code: RejectionCode, text: str) -> JobRejectedError:
-    """The error of a limit that a retry may find free."""
+    """Return the error for a limit that may have room again when the client retries."""
     return JobRejectedError(code, text, settings.full_retry_after_s)
 
 
-def _check_one(submission: JobSubmission, settings: WaitingSettings, classes: Collection[str]) -> None:
+def _check_submission(submission: JobSubmission, settings: WaitingSettings, classes: Collection[str]) -> None:
     if submission.job_class not in classes:
         raise JobRejectedError(RejectionCode.UNKNOWN_CLASS, f"no class {submission.job_class}")
     if submission.payload_bytes > settings.max_job_bytes:
@@ -90,19 +90,19 @@
     if held.bytes + sum(s.payload_bytes for s in submissions) > settings.max_held_bytes:
         text = "the payloads of those that wait hold all the memory they may"
         raise queue_full_error(settings, RejectionCode.BYTES_FULL, text)
-    for name, count in _counted(s.job_class for s in submissions).items():
+    for name, count in _count_names(s.job_class for s in submissions).items():
         max_jobs = settings.for_class(name).max_jobs or settings.max_jobs_per_class
         if held.by_class[name] + count > max_jobs:
             text = f"{max_jobs} jobs of class {name} wait already"
             raise queue_full_error(settings, RejectionCode.CLASS_FULL, text)
-    for name, count in _counted(s.tenant for s in submissions).items():
+    for name, count in _count_names(s.tenant for s in submissions).items():
         if name and held.by_tenant[name] + count > settings.max_jobs_per_tenant:
             text = f"{settings.max_jobs_per_tenant} jobs of {name} wait already"
             raise queue_full_error(settings, RejectionCode.TENANT_FULL, text)
 
 
-def _counted(names: Iterable[str]) -> dict[str, int]:
-    """Names and their numbers, in the order in which they first come."""
+def _count_names(names: Iterable[str]) -> dict[str, int]:
+    """Return the number of times that each name occurs, in the order of first occurrence."""
     counts: dict[str, int] = {}
     for name in names:
         counts[name] = counts.get(name, 0) + 1
--- a/oxbowyard/waiting/job.py
+++ b/oxbowyard/waiting/job.py
@@ -1,7 +1,8 @@
-"""A deferred job: what a front submits, its states, how it ends, and the events that the policy emits.
+"""Deferred jobs: submissions, states, outcomes, and the actions that the policy emits.
 
-Standard library only. Times are milliseconds on the scheduler's steady clock (`core/clock.py`) unless a name
-says otherwise. The values of the enums are on the wire and in stores; they stay.
+Imports only the standard library and the types of `core.request`. Times are milliseconds on the scheduler's
+steady clock (`core/clock.py`) unless a name says otherwise. The values of the enums are sent to clients and
+stored on disk, so they must not change.
 """
 
 from __future__ import annotations
@@ -11,58 +12,58 @@
 
 from ..core.request import Answer, AnswerKind, Request, RunState
 
-AGED_CLASS_SUFFIX = "~aged"  # an aged job is submitted in its class with this suffix, which may queue longer
+AGED_CLASS_SUFFIX = "~aged"  # names the class of a class's aged jobs, which may queue longer at a worker
 HIGH_PRIORITY = 1.0
 LOW_PRIORITY = 0.0
 
 
 class DependencyCondition(Enum):
-    """What must have become of a job before those that depend on it may be submitted."""
+    """How a job must have ended before its dependents may be submitted."""
 
     SERVED = "served"
-    ENDED = "ended"  # either way; a job that may still run has not ended
+    ENDED = "ended"  # with any outcome; a job that may still run has not ended
 
 
 class JobState(Enum):
-    """Where a job is. It only moves down this list, but a rejected job may go back to SCHEDULED."""
-
-    BLOCKED = "held"  # until its dependencies have ended
-    SCHEDULED = "timed"  # until its time, or until it may be submitted again
-    AWAITING_IDLE = "quiet"  # until the fleet has spare capacity
-    READY = "ready"  # until it is its turn
-    SUBMITTED = "asked"  # to the core, as a request
-    STARTED = "started"  # a worker runs it
-    INDETERMINATE = "doubt"  # it may have run and its end is not known: only proof moves it on
+    """The state of a job. It only moves down this list, but a rejected job may return to SCHEDULED."""
+
+    BLOCKED = "held"  # waits until its dependencies have ended
+    SCHEDULED = "timed"  # waits for its start time, or for the end of its backoff
+    AWAITING_IDLE = "quiet"  # waits until the fleet has spare capacity
+    READY = "ready"  # waits for its turn to be released
+    SUBMITTED = "asked"  # submitted to the core as a request
+    STARTED = "started"  # a worker is running it
+    INDETERMINATE = "doubt"  # it may have run and its outcome is unknown; it waits to be resolved
     ENDED = "ended"
-    PURGED = "forgotten"  # its result is no longer kept
+    PURGED = "forgotten"  # its result has been deleted from memory
 
-    __hash__ = object.__hash__  # Enum's own is slow, and states are counted at every change
+    __hash__ = object.__hash__  # Enum.__hash__ is slow, and states are counted at every change
 
 
 class JobOutcome(Enum):
-    """How a job ended; each job has exactly one outcome."""
+    """How a job ended. Each job has exactly one outcome."""
 
     SERVED = "served"
-    REJECTED = "refused"  # by the decisions: a retry does no harm
-    FAILED = "failed"  # no promise about its effect
+    REJECTED = "refused"  # rejected by the scheduler; a retry is safe
+    FAILED = "failed"  # it may or may not have taken effect
     CANCELLED = "cancelled"  # by its client, or because the client left
-    DEPENDENCY_FAILED = "orphaned"  # a dependency did not end as required: the job never ran
-    WAIT_EXPIRED = "expired"  # it waited for as long as it may: it never ran
-    SHUT_DOWN = "stopped"  # the program stops: it never ran
+    DEPENDENCY_FAILED = "orphaned"  # a dependency did not end as required; the job never ran
+    WAIT_EXPIRED = "expired"  # its maximum wait was over; it never ran
+    SHUT_DOWN = "stopped"  # the program shut down; it never ran
 
 
 class RejectionCode(Enum):
-    """Why a submission is not accepted, or a query about a job not answered."""
+    """Why a submission is rejected, or a query about a job is not answered."""
 
     UNKNOWN_JOB = "unknown_job"
     STOPPING = "stopping"
     STORE_UNAVAILABLE = "not_kept"
-    RECOVERING = "recovering"  # its dependencies may not be read back yet
+    RECOVERING = "recovering"  # its dependencies may not have been read from the store yet
     UNKNOWN_CLASS = "unknown_class"
     DUPLICATE_ID = "duplicate_id"
-    CONFLICT = "conflict"  # an idempotency key with other content
+    CONFLICT = "conflict"  # the idempotency key was used with other content
     SELF_DEPENDENCY = "self_parent"
-    UNKNOWN_DEPENDENCY = "unknown_parent"  # never seen, or purged
+    UNKNOWN_DEPENDENCY = "unknown_parent"  # it never existed, or was purged
     DEPENDENCY_NOT_SERVED = "parent_not_served"  # it has ended, but not as required
     CYCLE = "cycle"
     TOO_MANY_DEPENDENCIES = "too_many_parents"
@@ -78,7 +79,7 @@
 
 
 class JobRejectedError(Exception):
-    """A submission is not accepted, nothing of it. `retry_after_s` is 0 where a retry does not help."""
+    """A submission is rejected as a whole. `retry_after_s` is 0 if a retry cannot succeed."""
 
     def __init__(self, code: RejectionCode, text: str, retry_after_s: float = 0.0) -> None:
         super().__init__(text)
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Dependency:
-    """Another job that must have ended first."""
+    """Another job that must end first."""
 
     id: str
     condition: DependencyCondition = DependencyCondition.SERVED
@@ -97,32 +98,32 @@
 
 @dataclass(slots=True, frozen=True)
 class JobSubmission:
-    """One job as the queue hands it to the policy."""
+    """One job as the queue passes it to the policy."""
 
     id: str
     job_class: str
-    max_wait_ms: float  # from now, apart from its class's deadline for running
+    max_wait_ms: float  # from now; its class's deadline for running is not part of it
     payload_bytes: int = 0
     dependencies: tuple[Dependency, ...] = ()
-    delay_ms: float = 0.0  # it is not submitted to the core before
+    delay_ms: float = 0.0  # the job is submitted to the core no earlier than this from now
     wait_for_idle: bool = False
-    priority: float | None = None  # LOW_PRIORITY to HIGH_PRIORITY; None: by its class's weight for its work
+    priority: float | None = None  # LOW_PRIORITY to HIGH_PRIORITY; None: that of its class
     tenant: str = ""
-    idempotency_key: str = ""  # a submission with a known one is that job
-    fingerprint: bytes = b""  # of its content: with a known key it must be the same
-    durable: bool = False  # the journal is to keep it
+    idempotency_key: str = ""  # a submission with a known key returns the existing job
+    fingerprint: bytes = b""  # hash of the content; it must be equal where the key is equal
+    durable: bool = False  # the journal records it
     request: Request | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One job from accepted to purged, as the policy keeps it."""
+    """One job and its state in the policy, from acceptance to purging."""
 
     id: str
     job_class: str
     tenant: str
     payload_bytes: int
-    number: int  # the order of acceptance
+    number: int  # ascending in the order of acceptance
     accepted_at_ms: float
     wait_deadline_ms: float
     not_before_ms: float
@@ -132,21 +133,21 @@
     idempotency_key: str
     fingerprint: bytes
     request: Request | None
-    depth: int = 0  # links to a job without dependencies
+    depth: int = 0  # length of the longest chain of unfinished dependencies
     durable: bool = False
     pending_dependencies: int = 0
     dependents: list[tuple[Job, DependencyCondition]] | None = None
-    ready_at_ms: float = -1.0  # the first time; -1: not yet
-    release_due_ms: float = 0.0  # its place in the order of release
-    timer_at_ms: float = -1.0  # when its timer fires; -1: it has none
-    submission_count: int = 0  # to the core
+    ready_at_ms: float = -1.0  # when it was first ready; -1: not yet
+    release_due_ms: float = 0.0  # ready jobs are released in the order of this time
+    timer_at_ms: float = -1.0  # when its timer fires; -1: no timer is set
+    submission_count: int = 0  # how often it was submitted to the core
     outcome: JobOutcome | None = None
     run_state: RunState = RunState.NEVER_RAN
     reason: str = ""
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it has not been submitted, or not since it was rejected."""
+        """Return whether it has not been submitted yet, or not since it was last rejected."""
         return self.state in WAITING_STATES
 
 
@@ -155,7 +156,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateChanged:
-    """A job is in another state: emitted for every change, in order."""
+    """A job has changed its state. Emitted for every change, in order."""
 
     job: Job
     state: JobState
@@ -163,7 +164,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SubmitJob:
-    """Submit the job to the core now, in this class: for an aged job it has the suffix."""
+    """Submit the job to the core now. The class of an aged job has the suffix."""
 
     job: Job
     job_class: str
@@ -172,8 +173,8 @@
 Action = StateChanged | SubmitJob
 
 
-# Any other outcome is a rejection.
-ANSWER_KINDS = {
+# Any other outcome is answered as a rejection.
+ANSWER_KIND_BY_OUTCOME = {
     JobOutcome.SERVED: AnswerKind.SERVED,
     JobOutcome.FAILED: AnswerKind.FAILED,
     JobOutcome.CANCELLED: AnswerKind.CLIENT_DISCONNECTED,
@@ -182,32 +183,32 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitOptions:
-    """What a client says of a job's waiting: what for, and how long at most."""
+    """A client's options for a deferred job: what it waits for, and for how long at most."""
 
-    max_wait_s: float | None = None  # apart from its class's deadline; None: the setting's default
+    max_wait_s: float | None = None  # without its class's deadline for running; None: default_patience_s
     dependencies: tuple[Dependency, ...] = ()
     delay_s: float = 0.0
-    not_before_unix_s: float | None = None  # it becomes a delay when the job is submitted
+    not_before_unix_s: float | None = None  # converted to a delay when the job is submitted
     wait_for_idle: bool = False
     priority: float | None = None
     tenant: str = ""
     idempotency_key: str = ""
     fingerprint: bytes = b""
-    durable: bool = False  # where there is a store, it outlives a crash
+    durable: bool = False  # survives a crash of the scheduler, if there is a store
 
 
 @dataclass(slots=True, frozen=True)
 class JobResult:
-    """How a job ended, and what its worker answered."""
+    """A job's outcome and the body of its worker's answer."""
 
     outcome: JobOutcome
     run_state: RunState
     body: bytes = b""
     reason: str = ""
-    retry_after_s: float = 0.0  # 0: no advice
-    resolved_by: str = ""  # the operator who set it, for a job that was indeterminate
+    retry_after_s: float = 0.0  # 0: none given
+    resolved_by: str = ""  # the operator who resolved the job, if it was indeterminate
 
     def answer(self) -> Answer:
-        """The same as the core's answer to a request."""
-        kind = ANSWER_KINDS.get(self.outcome, AnswerKind.REJECTED)
+        """Convert the result to an answer of the core."""
+        kind = ANSWER_KIND_BY_OUTCOME.get(self.outcome, AnswerKind.REJECTED)
         return Answer(kind, self.body, self.retry_after_s, self.reason, self.run_state)
--- a/oxbowyard/waiting/job_intake.py
+++ b/oxbowyard/waiting/job_intake.py
@@ -1,4 +1,4 @@
-"""Accepting jobs: what a client submits is checked, handed to the policy and recorded in the journal."""
+"""Accepts jobs: checks what clients submit, passes it to the policy and records it in the journal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JobIntake:
-    """Submissions of one queue. To be made on the event loop that uses it."""
+    """Accepts the submissions of one queue. Create it on the event loop that uses it."""
 
     def __init__(
         self,
@@ -40,17 +40,18 @@
         self._wall_clock = wall_clock
         self._loop = asyncio.get_running_loop()
         self._awaiting_journal: set[asyncio.Future[None]] = set()
-        # Called when the journal records nothing any more: no durable job will be told its end.
+        # Called when the journal has failed: results of durable jobs will not be delivered any more.
         self.journal_lost_callbacks: list[Callable[[], None]] = []
-        self.is_recovering = False  # jobs of an earlier run are still read back
-        self.accepted = 0  # since the start, for operators
-        self.rejected = 0
+        self.is_recovering = False  # jobs of an earlier run are still being read from the store
+        self.accepted = 0  # jobs since the start of the program, for operators
+        self.rejected = 0  # submissions since the start of the program
 
     def submit(self, jobs: Sequence[tuple[Request, WaitOptions]], on_end: OnEnd | None = None) -> list[Job]:
-        """Accept all jobs or none. Acknowledge them after `wait_until_durable`. Raises JobRejectedError.
+        """Accept all jobs or none of them. Raises JobRejectedError.
 
-        A request's timeout is for running, its class's deadline at most. `on_end` is called once for each
-        job, but not for repeated submissions.
+        The caller acknowledges them to its client after `wait_until_durable`. A request's timeout is for
+        running, and is limited by its class's deadline. `on_end` is called once for each job, but not for a
+        job that was submitted before and has a callback already, or has ended.
         """
         submissions = [self._submission(request, options) for request, options in jobs]
         now, last_number = self._clock(), self._policy.last_number
@@ -61,7 +62,7 @@
             self.rejected += 1
             raise
         for job, submission in zip(accepted, submissions, strict=True):
-            if job.durable and job.number > last_number:  # a repeated one is in the journal
+            if job.durable and job.number > last_number:  # a repeated submission is recorded already
                 self._journal.record_accepted(job, submission)
             if on_end is not None and job.outcome is None and not self._watchers.has_callback(job.id):
                 self._watchers.set_callback(job.id, on_end)
@@ -74,7 +75,7 @@
         max_wait_s = self._settings.default_patience_s if options.max_wait_s is None else options.max_wait_s
         delay_s = options.delay_s
         if options.not_before_unix_s is not None:
-            # By the system's clock as it is now; what that clock does later moves no job.
+            # Converted once, so that later steps of the system's clock do not move the job.
             delay_s = max(delay_s, options.not_before_unix_s - self._wall_clock())
         return JobSubmission(
             request.id,
@@ -108,9 +109,9 @@
                     raise JobRejectedError(RejectionCode.RECOVERING, text, retry_after_s)
 
     async def find_existing(self, jobs: Sequence[tuple[Request, WaitOptions]]) -> list[JobRecord] | None:
-        """The jobs that the journal knows, and memory does not, for a repeated submission; None if it is new.
+        """Return the jobs of a repeated submission that only the journal has; None for a new submission.
 
-        Call it before `submit`. Raises JobRejectedError for an id that exists, or a key with other content.
+        Call it before `submit`. Raises JobRejectedError if an id exists or a key was used with other content.
         """
         if not self._journal.is_durable or not any(self._may_exist(*job) for job in jobs):
             return None
@@ -118,7 +119,7 @@
         found = await self._journal.find_existing(submissions)
         recalled = []
         for submission, known in zip(submissions, found, strict=True):
-            if known is None or self._policy.find(known.job.id) is not None:  # memory is newer
+            if known is None or self._policy.find(known.job.id) is not None:  # memory is more recent
                 continue
             if not known.by_idempotency_key:
                 text = f"there is a job {submission.id}"
@@ -133,13 +134,13 @@
         return recalled or None
 
     def _may_exist(self, request: Request, options: WaitOptions) -> bool:
-        """Whether the journal may know the job: ids that this run has given are new."""
+        """Return whether the journal may have the job; it has none with an id that this run generated."""
         return bool(options.idempotency_key) or not self._ids.is_of_this_run(request.id)
 
     async def wait_until_durable(self) -> None:
-        """Wait until what was submitted so far is as durable as this scheduler can make it.
+        """Wait until the journal has recorded everything that was submitted so far.
 
-        Raises JobRejectedError if the journal fails meanwhile: then nobody knows whether it is recorded.
+        Raises JobRejectedError if the journal fails meanwhile; the jobs may or may not be recorded then.
         """
         recorded: asyncio.Future[None] = self._loop.create_future()
         self._awaiting_journal.add(recorded)
@@ -153,7 +154,7 @@
             self._awaiting_journal.discard(recorded)
 
     def journal_failed(self, reason: str) -> None:
-        """Nothing more will be recorded: whoever waits for that is told."""
+        """Fail all pending `wait_until_durable` calls, because the journal will record nothing more."""
         text = f"{reason}; it is not known whether this is kept: ask, or hand it in again with its key"
         for recorded in self._awaiting_journal:
             if not recorded.done():
--- a/oxbowyard/waiting/job_queue.py
+++ b/oxbowyard/waiting/job_queue.py
@@ -1,7 +1,7 @@
-"""The queue of deferred jobs: owns each from accepted to its one end, and carries out the policy's actions.
+"""The queue of deferred jobs: owns each job from its acceptance to its outcome.
 
-All calls come from the event loop's thread. A job's payload travels as a `Request`; when the policy releases
-the job, that request goes to the core like any other.
+All calls must come from the event loop's thread. A job's payload is stored as a `Request`, which is submitted
+to the core like any other request when the policy releases the job.
 """
 
 from __future__ import annotations
@@ -40,16 +40,17 @@
 
 log = logging.getLogger("oxbowyard.waiting")
 
-# An aged job's latency objective in deadlines. The decisions let a class of low priority wait for as little
-# as a sixth of its objective, so that only a wait past its deadline is rejected.
+# The latency objective of aged jobs, as a multiple of their deadline. The scheduler may let a class of low
+# priority wait for only a sixth of its objective; with this factor it rejects only waits past the deadline.
 AGED_OBJECTIVE_DEADLINES = 6.0
 
-# Takes a recovered request and returns it with the front's callback, if it came by that front.
+# A front's handler of recovered requests: returns the request and a callback for its result, or None if the
+# request did not come through this front.
 RecoveryHandler = Callable[[Request], tuple[Request, OnEnd] | None]
 
 
 class JobQueue:
-    """The deferred jobs of one scheduler. To be made on the event loop that uses it."""
+    """The deferred jobs of one scheduler. Create it on the event loop that uses it."""
 
     def __init__(
         self,
@@ -61,14 +62,14 @@
         wall_clock: Callable[[], float] = time.time,
         journal: JobJournal | None = None,
     ) -> None:
-        """`clock` is steady, in milliseconds; `wall_clock` is Unix time in seconds; `name` begins the ids."""
+        """`clock` is steady, in milliseconds; `wall_clock` is Unix time in seconds; `name` begins job ids."""
         self.settings = settings
         self._clock = clock
         self._journal: JobJournal = journal or InMemoryJournal()
         self.ids = JobIds(name, int(wall_clock() * 1000), self._journal.run_id)
         by_name = {c.name: c for c in classes if not c.name.endswith(AGED_CLASS_SUFFIX)}
         weights = {name: job_class.priority_weight for name, job_class in by_name.items()}
-        non_repeatable = frozenset(c.name for c in by_name.values() if _must_not_repeat(c))
+        non_repeatable_classes = frozenset(c.name for c in by_name.values() if _is_non_repeatable(c))
         self._policy = WaitingPolicy(settings, weights, FleetView(scheduler, by_name, clock).capacity)
         self._watchers = ResultWatchers(settings)
         self._driver = PolicyDriver(
@@ -80,7 +81,7 @@
             scheduler,
             self._journal,
             by_name,
-            non_repeatable,
+            non_repeatable_classes,
             clock,
             self._driver.drive,
         )
@@ -92,19 +93,19 @@
     # ---- Submission ----
 
     def submit(self, jobs: Sequence[tuple[Request, WaitOptions]], on_end: OnEnd | None = None) -> list[Job]:
-        """Accept all jobs or none; see `JobIntake.submit`."""
+        """Accept all jobs or none of them; see `JobIntake.submit`."""
         return self.intake.submit(jobs, on_end)
 
     async def serve(self, request: Request, options: WaitOptions) -> Answer:
-        """Submit one job and wait for its answer; cancelling this cancels the job. Raises JobRejectedError.
+        """Submit one job and wait for its answer; cancelling this call cancels the job.
 
-        A rejection tells that the job never ran, or may safely run again; see `Answer.run_state`.
+        A rejected job never ran, or may safely run again; see `Answer.run_state`. Raises JobRejectedError.
         """
         (job,) = self.submit([(request, options)])
         try:
             result = self._driver.results.get(job.id) or await self._watchers.wait(job.id)
         except asyncio.CancelledError:
-            if job.id == request.id:  # else it was submitted before, and is another client's
+            if job.id == request.id:  # otherwise the job belongs to the client that submitted it first
                 self.cancel(job.id, "its client left")
             raise
         if result is None:
@@ -116,36 +117,36 @@
 
     @property
     def held(self) -> HeldJobs:
-        """What is held now."""
+        """Return the counters of the jobs that are held in memory."""
         return self._policy.held
 
     def find(self, id_: str) -> Job | None:
-        """A job, until it is purged."""
+        """Return a job; None if it is unknown or purged."""
         return self._policy.find(id_)
 
     def result(self, id_: str) -> JobResult | None:
-        """How a job ended; None while it has not, or once that is purged."""
+        """Return a job's result; None if the job has not ended, is unknown or is purged."""
         return self._driver.results.get(id_)
 
     async def find_record(self, id_: str) -> JobRecord | None:
-        """A job by its id, from memory or the journal."""
+        """Return a job and its result, from memory or the journal; None if it is unknown."""
         job = self._policy.find(id_)
         if job is not None:
             return JobRecord(job, self._driver.results.get(id_))
         return await self._journal.find_record(id_)
 
     def position(self, job: Job) -> int:
-        """How many jobs of its class are before it, as of now."""
+        """Return how many jobs of its class are ahead of it now."""
         return self._policy.position(job)
 
     def page(self, after: int, limit: int, matches: Callable[[Job], bool]) -> tuple[list[Job], int | None]:
-        """A page of the jobs in the order of acceptance, and where the next one begins."""
+        """Return a page of the matching jobs in the order of acceptance, and where the next page begins."""
         return self._policy.page(after, min(limit, self.settings.max_page), matches)
 
     async def wait(self, id_: str, timeout_s: float) -> JobResult | None:
-        """Wait for a job's result; None if there is none in time, or if the job is unknown.
+        """Wait for a job's result and return it; None if the time is over or the job is unknown.
 
-        Raises JobRejectedError if too many wait.
+        Raises JobRejectedError if too many callers wait.
         """
         result = self._driver.results.get(id_)
         if result is not None or self.find(id_) is None or timeout_s <= 0:
@@ -153,7 +154,7 @@
         return await self._watchers.poll(id_, timeout_s)
 
     def summary(self) -> str:
-        """What waits, by state, and the outcomes so far, in one line."""
+        """Summarize the waiting jobs by state and the outcomes so far in one line, for the log."""
         held, outcomes = self._policy.held, self._driver.outcomes
         by_state = [(s, n) for s, n in held.by_state.items() if n and s is not JobState.ENDED]
         states = ", ".join(f"{state.value} {count}" for state, count in by_state)
@@ -168,7 +169,7 @@
     # ---- Cancelling and resolving ----
 
     def cancel(self, id_: str, reason: str = "cancelled by its client") -> Job | None:
-        """End a job. One that runs is cancelled: it may have run. None if it is unknown or has ended."""
+        """Cancel a job and return it; None if it is unknown or has ended. A submitted job may have run."""
         job = self._policy.find(id_)
         if job is None or job.outcome is not None:
             return None
@@ -183,20 +184,24 @@
     def resolve(
         self, id_: str, by: str, outcome: JobOutcome | None, body: bytes = b"", reason: str = ""
     ) -> bool:
-        """An operator resolves an indeterminate job; outcome None: it never ran. False: it is none.
+        """Resolve an indeterminate job as an operator; outcome None says that it never ran.
 
-        Raises ValueError for an outcome that nobody can know, or without the operator's name.
+        Returns False if the job is not indeterminate. Raises ValueError for any other outcome than SERVED
+        or FAILED, or without the operator's name.
         """
         if not by or outcome not in (None, JobOutcome.SERVED, JobOutcome.FAILED):
-            raise ValueError("a word on a job in doubt has a name, and is served, failed or never began")
+            raise ValueError(
+                f"cannot resolve job {id_}: expected an operator and the outcome None, SERVED or FAILED, "
+                f"got by={by!r} outcome={outcome}"
+            )
         return self._resolve(id_, by, outcome, body, reason)
 
     def deliver_late_result(
         self, id_: str, lease: str, outcome: JobOutcome | None, body: bytes = b"", reason: str = ""
     ) -> bool:
-        """A worker reports late how a job ended, by its lease; outcome None: it never ran it.
+        """Resolve an indeterminate job by the late report of its worker; outcome None says that it never ran.
 
-        False, and nothing has changed, if the job is not indeterminate or the lease is not its last one.
+        Returns False, without a change, if the job is not indeterminate or the lease is not its latest one.
         """
         if not self._submissions.is_current_lease(id_, lease):
             return False
@@ -221,7 +226,7 @@
     # ---- Recovery from a store ----
 
     def set_last_number(self, number: int) -> None:
-        """Numbers up to this one belong to jobs of earlier runs."""
+        """Reserve the numbers up to this one, which belong to jobs of earlier runs."""
         self._policy.set_last_number(number)
 
     def restore(
@@ -233,9 +238,10 @@
         indeterminate: str = "",
         dependency_failure: str = "",
     ) -> None:
-        """Take back a job of an earlier run that has no end.
+        """Restore a job of an earlier run that has not ended.
 
-        `indeterminate` says why it may have run, `dependency_failure` how its dependencies ended.
+        `indeterminate` is the reason why it may have run, `dependency_failure` says which dependency did not
+        end as required; each is empty if that is not so.
         """
         now = self._clock()
         if self._policy.find(submission.id) is not None:
@@ -248,10 +254,10 @@
         self._driver.drive(now)
 
     def _attach_to_front(self, submission: JobSubmission) -> JobSubmission:
-        """Give the job back to the front that it came by."""
-        for adopt in self.recovery_handlers:
+        """Attach a restored job to the front through which it was submitted."""
+        for handle_recovery in self.recovery_handlers:
             assert submission.request is not None
-            found = adopt(submission.request)
+            found = handle_recovery(submission.request)
             if found is not None:
                 request, on_end = found
                 self._watchers.set_callback(submission.id, on_end)
@@ -261,7 +267,7 @@
     # ---- Stopping ----
 
     def stop(self) -> None:
-        """Accept and release no more. All that wait end as never run, unless the journal keeps them."""
+        """Accept and release no more jobs. Waiting jobs end without a run, except durable ones."""
         now = self._clock()
         self._driver.is_stopping = True
         self._submissions.is_stopping = True
@@ -272,11 +278,11 @@
         self._driver.drive(now)
 
     async def wait_until_idle(self) -> None:
-        """Wait until every job has ended, except those that the journal keeps."""
+        """Wait until all jobs have ended, except durable ones that remain in the store."""
         await self._driver.wait_until_idle()
 
 
-def _must_not_repeat(job_class: JobClass) -> bool:
+def _is_non_repeatable(job_class: JobClass) -> bool:
     if job_class.retry_safety is RetrySafety.DEDUPLICATED:
         return job_class.dedup_scope != "all"
     return job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
@@ -287,10 +293,10 @@
     settings: WaitingSettings,
     objective_deadlines: float = AGED_OBJECTIVE_DEADLINES,
 ) -> tuple[JobClass, ...]:
-    """The classes, and for each that queues one more in which its aged jobs are submitted.
+    """Return the classes, and for each class that queues another one in which its aged jobs are submitted.
 
-    It differs in its latency objective, a multiple of the deadline: the decisions reject what would wait for
-    too large a share of its objective, and a job that has waited so long is to queue at a worker.
+    The added class has a longer latency objective, a multiple of the deadline. The scheduler rejects requests
+    that would wait for too large a share of their objective; an aged job should queue at a worker instead.
     """
     named = tuple(classes)
     aged = [
@@ -308,7 +314,10 @@
 
 
 def with_bounded_window(settings: WaitingSettings, max_open_requests: int) -> WaitingSettings:
-    """The settings with a window that leaves half of the open requests to clients that do not wait."""
+    """Return the settings with `max_window` limited to half of the open requests.
+
+    The other half is left to requests that are not deferred.
+    """
     max_window = max(min(settings.max_window, max_open_requests // 2), 1)
     first_window = min(settings.first_window, max_window)
     return structs.replace(settings, max_window=max_window, first_window=first_window)
--- a/oxbowyard/waiting/journal.py
+++ b/oxbowyard/waiting/journal.py
@@ -1,4 +1,4 @@
-"""Where every change of a waiting job's state is recorded: the interface of a store, and the one without."""
+"""The interface of the journal of waiting jobs, and the journal that is used without a store."""
 
 from __future__ import annotations
 
@@ -10,97 +10,97 @@
 
 
 class LeaseTable(Protocol):
-    """Which workers have leases; times in milliseconds."""
+    """The leases of workers on jobs. Times are milliseconds."""
 
     def begin(self, now: float, job_id: str) -> None:
-        """A worker has the job from now on."""
+        """Start the lease of a worker that gets the job."""
 
     def renew(self, now: float, job_id: str) -> None:
-        """The worker gave a sign of life."""
+        """Extend the lease after a sign of life from the worker."""
 
     def end(self, job_id: str) -> None:
-        """No worker has the job any more."""
+        """Remove the lease; no worker has the job any more."""
 
     def take_expired(self, now: float) -> list[str]:
-        """Jobs whose leases have expired, each once."""
+        """Remove the expired leases and return their job ids."""
 
     def next_expiry_ms(self) -> float | None:
-        """When the next lease expires; None: there is none."""
+        """Return when the next lease expires; None if there is no lease."""
 
 
 @dataclass(slots=True, frozen=True)
 class JobRecord:
-    """A job as the journal knows it."""
+    """A job and its result, in memory or in the journal."""
 
     job: Job
     result: JobResult | None
-    by_idempotency_key: bool = False
+    by_idempotency_key: bool = False  # found by its idempotency key, not by its id
 
 
 class JobJournal(Protocol):
-    """Records the changes of state, in order. Acknowledgements, grants and answers wait for that."""
+    """Records state changes, in order. Acknowledgements, grants and answers wait until they are durable."""
 
-    is_durable: bool  # waiting jobs outlive the program: at its stop they are left as they are
-    run_id: str  # in the ids of this run's requests: it tells them from those of earlier runs
-    leases: LeaseTable | None  # None: silent workers are not noticed
+    is_durable: bool  # waiting jobs survive the program, so a shutdown does not end them
+    run_id: str  # part of request ids, so that they differ from those of earlier runs
+    leases: LeaseTable | None  # None: silent workers are not detected
 
     def rejection_reason(self) -> str:
-        """Why no more work is accepted; empty: it is."""
+        """Return why no durable jobs are accepted; empty if they are."""
 
     def failure_reason(self) -> str:
-        """Why nothing will be recorded any more; empty: it will."""
+        """Return why the journal has failed for good; empty if it has not."""
 
     def record_accepted(self, job: Job, submission: JobSubmission) -> None:
-        """Record a job with all that is needed to continue with it."""
+        """Record a job with everything that is needed to restore it."""
 
     def record_change(self, change: StateChanged, result: JobResult | None) -> None:
-        """Record a change of an accepted job, with its result at its end."""
+        """Record a change of an accepted job; `result` is set when it has ended."""
 
     def record_grant(self, job: Job, worker: str, lease: str) -> None:
-        """Record that a worker is about to have the job, by this lease."""
+        """Record that the job is about to be sent to a worker, under this lease."""
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back once all that was recorded so far is as durable as this journal makes it."""
+        """Call back once everything that was recorded so far is durable."""
 
     async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
-        """For each submission the known job with its idempotency key, or its id."""
+        """Return, for each submission, the recorded job with its idempotency key or its id."""
 
     async def find_record(self, id_: str) -> JobRecord | None:
-        """A job that is not in memory any more, or not yet."""
+        """Return a recorded job that need not be in memory; None if it is unknown."""
 
 
 class InMemoryJournal:
-    """Records nothing: jobs live as long as the program."""
+    """A journal that records nothing; jobs are lost when the program ends."""
 
     is_durable = False
     run_id = ""
     leases: LeaseTable | None = None
 
     def rejection_reason(self) -> str:
-        """Work is always accepted."""
+        """Return an empty string: jobs are always accepted."""
         return ""
 
     def failure_reason(self) -> str:
-        """There is nothing that could fail."""
+        """Return an empty string: this journal cannot fail."""
         return ""
 
     def record_accepted(self, job: Job, submission: JobSubmission) -> None:
-        """The policy's memory is all there is."""
+        """Do nothing: the job exists in memory only."""
 
     def record_change(self, change: StateChanged, result: JobResult | None) -> None:
-        """Nothing is recorded."""
+        """Do nothing."""
 
     def record_grant(self, job: Job, worker: str, lease: str) -> None:
-        """Nothing is recorded."""
+        """Do nothing."""
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back at once."""
+        """Call back immediately."""
         callback()
 
     async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
-        """No job is known."""
+        """Find nothing, because nothing is recorded."""
         return [None] * len(submissions)
 
     async def find_record(self, id_: str) -> JobRecord | None:
-        """No job is known."""
+        """Find nothing, because nothing is recorded."""
         return None
--- a/oxbowyard/waiting/lease_watch.py
+++ b/oxbowyard/waiting/lease_watch.py
@@ -1,4 +1,4 @@
-"""The timer of the leases: notices workers that have been silent for too long."""
+"""The timer that detects expired leases of workers that gave no sign of life."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class LeaseWatch:
-    """Calls `on_expired` with the id of each job whose lease has expired; without a table it does nothing."""
+    """Calls `on_expired` with the id of each job whose lease has expired. Does nothing without a table."""
 
     def __init__(
         self, leases: LeaseTable | None, clock: Callable[[], float], on_expired: Callable[[str], None]
     ) -> None:
-        """`clock` is steady, in milliseconds. To be made on the event loop that uses it."""
+        """`clock` is steady, in milliseconds. Create it on the event loop that uses it."""
         self._leases = leases
         self._clock = clock
         self._on_expired = on_expired
@@ -22,18 +22,18 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self, job_id: str) -> None:
-        """A worker has the job from now on."""
+        """Start the lease of a worker that gets the job."""
         if self._leases is not None:
             self._leases.begin(self._clock(), job_id)
             self._set_timer(self._leases)
 
     def renew(self, job_id: str) -> None:
-        """The worker gave a sign of life."""
+        """Extend the lease after a sign of life from the worker."""
         if self._leases is not None:
             self._leases.renew(self._clock(), job_id)
 
     def end(self, job_id: str) -> None:
-        """No worker has the job any more."""
+        """Remove the lease; no worker has the job any more."""
         if self._leases is not None:
             self._leases.end(job_id)
 
--- a/oxbowyard/waiting/listing.py
+++ b/oxbowyard/waiting/listing.py
@@ -1,4 +1,4 @@
-"""Pages of a listing of jobs."""
+"""Pagination of the listing of jobs."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from .job import Job
 
-MAX_JOBS_EXAMINED = 5_000  # for one page: some 2 ms
+MAX_JOBS_EXAMINED = 5_000  # per page; takes about 2 ms of the event loop
 
 
 def jobs_by_number() -> SortedKeyList[Job, int]:
-    """An empty list of jobs in the order of their numbers."""
+    """Return an empty list that keeps jobs in the order of their numbers."""
     return SortedKeyList(key=_number)
 
 
 def page_of(
     jobs: SortedKeyList[Job, int], after: int, limit: int, matches: Callable[[Job], bool]
 ) -> tuple[list[Job], int | None]:
-    """The jobs, in the order of their numbers, that are above `after` and match; `limit` of them at most.
+    """Return up to `limit` matching jobs with numbers above `after`, and the number to continue after.
 
-    Returns them and the number to continue from; None if that was all. A page may be short, or empty, with
-    more to come: a call examines a bounded number of jobs.
+    The number is None on the last page. Any page may be short or empty, because a call examines a bounded
+    number of jobs.
     """
     found: list[Job] = []
     examined: Job | None = None
--- a/oxbowyard/waiting/policy.py
+++ b/oxbowyard/waiting/policy.py
@@ -1,8 +1,8 @@
-"""Every decision about waiting jobs: what is accepted, when each is submitted, how it ends without a run.
+"""The policy of waiting jobs: decides which are accepted, when each is submitted and which end without a run.
 
-No I/O and no clock: each call has the time, in milliseconds on a clock that never goes back. The caller
-drains `take_actions` after each call, in order, and calls `tick` at `next_tick_ms`. A call does a number of
-steps at most; while more is left, `next_tick_ms` is now.
+It has no I/O and no clock: each call is passed the time, in milliseconds on a clock that never goes back.
+After each call the caller must carry out the actions of `take_actions` in order, and must call `tick` at
+`next_tick_ms`. A call does a bounded number of steps; while more are due, `next_tick_ms` returns now.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from .retention import end_for_shutdown, notify_dependents, purge_results
 from .settings import WaitingSettings
 
-STEPS_PER_TICK = 200  # some 3 ms
-STEPS_PER_CALL = 4  # in any other call: many of these may come in one turn of the event loop
-RELEASES_PER_CALL = 16  # each costs the core some 0.1 ms in the loop's next turn
+STEPS_PER_TICK = 200  # takes about 3 ms of the event loop
+STEPS_PER_CALL = 4  # in calls other than `tick`, many of which may come in one turn of the event loop
+RELEASES_PER_CALL = 16  # each costs the core about 0.1 ms in the next turn of the event loop
 
 
 class WaitingPolicy:
-    """The waiting jobs of one scheduler, from accepted to purged."""
+    """The waiting jobs of one scheduler, from acceptance to purging."""
 
     def __init__(
         self, settings: WaitingSettings, weights: Mapping[str, float], capacity_of: CapacityOf
     ) -> None:
-        """`weights` names the classes and their priority weights; `capacity_of` is asked at releases."""
+        """`weights` are the priority weights by class; `capacity_of` is called for each release."""
         self._state = PolicyState(settings, weights, capacity_of)
-        self.held = self._state.held  # what is held now
+        self.held = self._state.held
         self.priorities = self._state.priorities
         self.rate = self._state.rate
 
@@ -40,28 +40,29 @@
 
     @property
     def last_number(self) -> int:
-        """The number of the job that was accepted last."""
+        """Return the number of the job that was accepted last."""
         return self._state.last_number
 
     def take_actions(self) -> list[Action]:
-        """What is to be carried out since the last call, in order."""
+        """Remove and return the actions that are due to be carried out, in order."""
         actions = self._state.actions
         self._state.actions = []
         return actions
 
     def find(self, id_: str) -> Job | None:
-        """A job that is not purged."""
+        """Return a job; None if it is unknown or purged."""
         return self._state.jobs.get(id_)
 
     def page(self, after: int, limit: int, matches: Callable[[Job], bool]) -> tuple[list[Job], int | None]:
-        """Jobs with numbers above `after`, and the number to continue from; None if that was all.
+        """Return up to `limit` matching jobs with numbers above `after`, and the number to continue after.
 
-        A page may be short, or empty, with more to come: a call examines a bounded number of jobs.
+        The number is None on the last page. Any page may be short or empty, because a call examines a bounded
+        number of jobs.
         """
         return page_of(self._state.jobs_by_number, after, limit, matches)
 
     def position(self, job: Job) -> int:
-        """How many jobs of its class are before a job that is ready."""
+        """Return how many jobs of its class are ahead of a job; 0 if it is not in a queue."""
         if job.state is JobState.READY:
             return self._state.ready.position(job)
         if job.state is JobState.AWAITING_IDLE:
@@ -69,7 +70,7 @@
         return 0
 
     def next_tick_ms(self, now: float) -> float | None:
-        """When to call `tick`; None if there is no need."""
+        """Return when to call `tick`; None if nothing is due."""
         state = self._state
         if state.has_more_work or state.ended_dependencies or state.jobs_to_shut_down is not None:
             return now
@@ -85,7 +86,10 @@
     # ---- Acceptance ----
 
     def submit(self, now: float, submissions: Sequence[JobSubmission]) -> list[Job]:
-        """Accept all jobs or none; a known idempotency key stands for its job. Raises JobRejectedError."""
+        """Accept all jobs or none of them; return the existing jobs if their idempotency keys are known.
+
+        Raises JobRejectedError.
+        """
         known = find_repeated(self._state, submissions)
         if known:
             return known
@@ -96,7 +100,7 @@
     # ---- Recovery from a store ----
 
     def set_last_number(self, number: int) -> None:
-        """Jobs accepted from now on have higher numbers than those that a store knows."""
+        """Number new jobs above this number, which is the highest in the store."""
         self._state.last_number = max(self._state.last_number, number)
 
     def restore(
@@ -108,7 +112,7 @@
         failure: str = "",
         indeterminate: str = "",
     ) -> Job:
-        """Take back a job of an earlier run: it never began, or `indeterminate` says why it may have run.
+        """Restore a job of an earlier run. `indeterminate` says why it may have run; empty: it never ran.
 
         See `acceptance.restore_job` and `acceptance.restore_indeterminate_job`.
         """
@@ -121,7 +125,10 @@
     # ---- Events ----
 
     def cancel(self, now: float, id_: str, reason: str = "cancelled by its client") -> Job | None:
-        """End a job that waits. None if it is unknown or submitted: then the caller cancels its request."""
+        """Cancel a waiting job and return it; None if it is unknown or not waiting.
+
+        The caller must cancel the request of a job that was submitted.
+        """
         job = self._state.jobs.get(id_)
         if job is None or not job.is_waiting:
             return None
@@ -130,9 +137,9 @@
         return job
 
     def stop(self, now: float, keep_durable: bool = False) -> None:
-        """Accept and release no more; all that wait end, unless they are durable and to be kept.
+        """Accept and release no more jobs, and end the waiting ones, except durable ones with `keep_durable`.
 
-        Submitted jobs go on to their answers.
+        Submitted jobs continue until they are answered.
         """
         state = self._state
         state.is_stopping = True
@@ -141,20 +148,21 @@
         self._run_due_work(now, STEPS_PER_CALL)
 
     def job_started(self, now: float, job: Job, delay_ms: float) -> None:
-        """A worker started a submitted job, this long after it was submitted."""
+        """Handle the start of a submitted job on a worker, `delay_ms` after the job was submitted."""
         if job.state is JobState.SUBMITTED:
             set_state(self._state, job, JobState.STARTED)
         self.rate.record_start(job.job_class, delay_ms, now)
 
     def job_rejected(self, now: float, job: Job, retry_after_ms: float, may_retry: bool) -> None:
-        """The decisions rejected a submitted job, which surely never ran."""
+        """Handle the rejection of a submitted job by the scheduler; the job never ran."""
         backoff_ms = self.rate.record_rejection(job.job_class, now, retry_after_ms)
         self.rate.window(job.job_class).submitted -= 1
         state = self._state
         if not may_retry or state.is_stopping or now + backoff_ms >= job.wait_deadline_ms:
             end_job(state, job, now, JobOutcome.REJECTED, "refused")
         else:
-            # It stands among those that become ready now: each passes another once in an age limit.
+            # Due no earlier than jobs that become ready now, so that jobs that are rejected again and again
+            # do not starve others.
             job.release_due_ms = max(job.release_due_ms, now)
             set_state(state, job, JobState.SCHEDULED)
             set_timer(state, job, min(now + backoff_ms, job.wait_deadline_ms))
@@ -169,7 +177,7 @@
         reason: str = "",
         result_bytes: int = 0,
     ) -> None:
-        """A submitted job has its answer."""
+        """Handle the answer to a submitted job."""
         window = self.rate.window(job.job_class)
         if outcome is JobOutcome.SERVED and job.state is JobState.SUBMITTED:  # its start was not reported
             window.record_prompt_start()
@@ -178,7 +186,7 @@
         self._run_due_work(now, STEPS_PER_CALL)
 
     def job_indeterminate(self, now: float, job: Job, reason: str) -> None:
-        """A submitted job may have run, and its end is not known."""
+        """Handle a submitted job that may have run and whose outcome is unknown."""
         self.rate.window(job.job_class).submitted -= 1
         mark_indeterminate(self._state, job, reason)
         self._run_due_work(now, STEPS_PER_CALL)
@@ -192,7 +200,7 @@
         reason: str,
         result_bytes: int = 0,
     ) -> bool:
-        """End an indeterminate job by proof; returns False if it is none any more."""
+        """End an indeterminate job with its proven outcome; return False if it is not indeterminate."""
         if job.state is not JobState.INDETERMINATE:
             return False
         end_job(self._state, job, now, outcome, reason, run_state, result_bytes)
@@ -200,7 +208,10 @@
         return True
 
     def resolve_never_ran(self, now: float, job: Job) -> bool:
-        """Proof that an indeterminate job never ran: it waits again, for what is left of its wait."""
+        """Let an indeterminate job that is proven not to have run wait again, for the rest of its wait.
+
+        Returns False if it is not indeterminate.
+        """
         if job.state is not JobState.INDETERMINATE:
             return False
         job.run_state = RunState.NEVER_RAN
@@ -216,7 +227,7 @@
     # ---- Time ----
 
     def tick(self, now: float) -> None:
-        """Do a bounded part of what is due."""
+        """Do a bounded part of the due work."""
         self._run_due_work(now, STEPS_PER_TICK)
 
     def _run_due_work(self, now: float, steps: int) -> None:
--- a/oxbowyard/waiting/policy_driver.py
+++ b/oxbowyard/waiting/policy_driver.py
@@ -1,4 +1,4 @@
-"""Carries out the policy's actions: submits jobs, records changes, tells results, keeps its timer."""
+"""Carries out the policy's actions: submits jobs, records changes, delivers results and sets the timer."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 log = logging.getLogger("oxbowyard.waiting")
 
-PRIORITY_UPDATE_INTERVAL_MS = 1000.0  # mean running times are taken over for the order of release
+PRIORITY_UPDATE_INTERVAL_MS = 1000.0  # between updates of priorities from mean running times
 
 
 class PolicyDriver:
-    """Connects the policy of one queue with the core, the journal and the clients that wait."""
+    """Connects the policy of one queue with the core, the journal and the waiting clients."""
 
     def __init__(
         self,
@@ -32,6 +32,7 @@
         class_names: Collection[str],
         clock: Callable[[], float],
     ) -> None:
+        """`clock` is steady, in milliseconds. Create it on the event loop that uses it."""
         self._settings = settings
         self._policy = policy
         self._journal = journal
@@ -40,10 +41,10 @@
         self._class_names = class_names
         self._clock = clock
         self._loop = asyncio.get_running_loop()
-        self.submissions: CoreSubmissions  # set by the queue: it drives the policy in turn
-        self.results: dict[str, JobResult] = {}  # of jobs that are not purged
-        self.resolved_by: dict[str, str] = {}  # who resolved a job that is about to end
-        self.outcomes = dict.fromkeys(JobOutcome, 0)  # since the start, for operators
+        self.submissions: CoreSubmissions  # set by the queue, because the two refer to each other
+        self.results: dict[str, JobResult] = {}  # by job id, until the job is purged
+        self.resolved_by: dict[str, str] = {}  # operators, by the ids of jobs that are about to end
+        self.outcomes = dict.fromkeys(JobOutcome, 0)  # counts since the start of the program, for operators
         self.is_stopping = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at_ms = 0.0
@@ -53,22 +54,22 @@
         self._idle.set()
 
     def mark_busy(self) -> None:
-        """Jobs were accepted or restored."""
+        """Note that jobs were accepted or restored, so that the queue is not idle."""
         self._idle.clear()
 
     async def wait_until_idle(self) -> None:
-        """Wait until every job has ended, except those that the journal keeps."""
+        """Wait until all jobs have ended, except durable ones that remain in the store."""
         await self._idle.wait()
 
     def drive(self, now: float) -> None:
-        """Carry out what the policy has decided, and set the next tick."""
-        if self._is_driving:  # a callback submits or cancels: the outer call continues with it
+        """Carry out the policy's actions, and set the timer for its next tick."""
+        if self._is_driving:  # called by a callback that submits or cancels; the outer call carries it out
             return
         self._is_driving = True
         try:
             while actions := self._policy.take_actions():
                 for action in actions:
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
             self._is_driving = False
         if self._is_idle():
@@ -76,37 +77,37 @@
         self._set_timer(self._policy.next_tick_ms(now), now)
 
     def _is_idle(self) -> bool:
-        """Whether nothing is owed any more but to jobs that a store keeps."""
+        """Return whether all jobs have ended, except durable ones that remain in the store."""
         if not self._policy.held.jobs:
             return True
         if not self._journal.is_durable or not self.is_stopping:
             return False
         return not self.submissions.has_running_tasks()
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         try:
             if isinstance(action, SubmitJob):
                 self.submissions.submit(action.job, action.job_class)
             else:
                 self._apply_change(action)
-        except Exception:  # one client's fault must not cost the others their results
+        except Exception:  # a failure with one job must not lose the results of others
             log.exception("could not carry out action=%s job=%s", type(action).__name__, action.job.id)
 
     def _apply_change(self, change: StateChanged) -> None:
         job = change.job
-        result = self._take_result(job) if change.state is JobState.ENDED else None
+        result = self._build_result(job) if change.state is JobState.ENDED else None
         if job.durable:
             self._journal.record_change(change, result)
-        if result is not None and job.durable:  # told when no crash can change it
-            self._journal.when_durable(lambda: self._conclude(job, result))
+        if result is not None and job.durable:  # delivered once the journal has recorded it
+            self._journal.when_durable(lambda: self._deliver_result(job, result))
         elif result is not None:
-            self._conclude(job, result)
+            self._deliver_result(job, result)
         elif change.state is JobState.INDETERMINATE:
             self._watchers.release_waiters(job.id)
         elif change.state is JobState.PURGED:
             self.results.pop(job.id, None)
 
-    def _take_result(self, job: Job) -> JobResult:
+    def _build_result(self, job: Job) -> JobResult:
         assert job.outcome is not None
         answer = self.submissions.answers.pop(job.id, WorkerAnswer())
         retry_after_s = answer.retry_after_s
@@ -115,8 +116,8 @@
         resolved_by = self.resolved_by.pop(job.id, "")
         return JobResult(job.outcome, job.run_state, answer.body, job.reason, retry_after_s, resolved_by)
 
-    def _conclude(self, job: Job, result: JobResult) -> None:
-        """A job has its one end: whoever waits for it is told."""
+    def _deliver_result(self, job: Job, result: JobResult) -> None:
+        """Cache the result of an ended job, and deliver it to all that wait for it."""
         if job.state is not JobState.PURGED:
             self.results[job.id] = result
         self.submissions.discard_lease(job.id)
@@ -129,7 +130,7 @@
     def _set_timer(self, at_ms: float | None, now: float) -> None:
         if self._timer is not None:
             if at_ms is not None and self._timer_at_ms <= at_ms:
-                return  # it fires earlier, and is set again then
+                return  # it fires earlier, and is then set anew
             self._timer.cancel()
             self._timer = None
         if at_ms is not None:
--- a/oxbowyard/waiting/policy_state.py
+++ b/oxbowyard/waiting/policy_state.py
@@ -1,6 +1,6 @@
-"""The records of the waiting policy, and the changes of one job's state. No I/O, no clock.
+"""The state of the waiting policy, and the state transitions of a single job. Has no I/O and no clock.
 
-The other modules of the policy are functions over a `PolicyState`. Times are milliseconds.
+The other modules of the policy contain functions on a `PolicyState`. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndedDependency:
-    """A job that has ended, whose dependents are notified step by step."""
+    """An ended job whose dependents are being notified, in bounded steps."""
 
     job: Job
     dependents: Iterator[tuple[Job, DependencyCondition]]
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetainedResult:
-    """An ended job whose result is kept until it is purged."""
+    """An ended job whose result is retained until it is purged."""
 
     purge_at_ms: float
     job: Job
@@ -40,7 +40,7 @@
 
 
 class PolicyState:
-    """All waiting jobs of one scheduler."""
+    """The state of all waiting jobs of one scheduler."""
 
     def __init__(
         self, settings: WaitingSettings, weights: Mapping[str, float], capacity_of: CapacityOf
@@ -52,23 +52,23 @@
         self.age_limit_ms = settings.age_limit_s * 1000
         self.idle_limit_ms = settings.quiet_limit_s * 1000
         self.jobs: dict[str, Job] = {}
-        self.jobs_by_number = jobs_by_number()  # a recovery adds lower numbers after higher ones
+        self.jobs_by_number = jobs_by_number()  # sorted: a recovery adds lower numbers after higher ones
         self.by_idempotency_key: dict[tuple[str, str], Job] = {}  # by tenant and key
         self.timers: SortedList[tuple[float, int, Job]] = SortedList()  # due time, number, job
         self.ready = ReleaseQueues()
         self.awaiting_idle = ReleaseQueues()
         self.ended_dependencies: deque[EndedDependency] = deque()
         self.retained: deque[RetainedResult] = deque()
-        self.jobs_to_shut_down: Iterator[Job] | None = None  # jobs that the shutdown still has to end
+        self.jobs_to_shut_down: Iterator[Job] | None = None  # set during a shutdown, which ends them
         self.is_stopping = False
         self.has_more_work = False  # the last call ran out of steps
-        self.last_number = 0  # of the job that was accepted last
+        self.last_number = 0  # the number of the job that was accepted last
         self.actions: list[Action] = []
         self.held = HeldJobs()
 
 
 def set_state(state: PolicyState, job: Job, new_state: JobState) -> None:
-    """Move a job to a state, count it and emit the change."""
+    """Move a job to a new state, update the counters and emit the change."""
     by_state = state.held.by_state
     by_state[job.state] -= 1
     by_state[new_state] += 1
@@ -77,7 +77,7 @@
 
 
 def set_timer(state: PolicyState, job: Job, at_ms: float) -> None:
-    """Set a job's one timer, or cancel it with NO_TIMER_MS."""
+    """Set the timer of a job, or cancel it with NO_TIMER_MS."""
     if job.timer_at_ms >= 0:
         state.timers.remove((job.timer_at_ms, job.number, job))
     job.timer_at_ms = at_ms
@@ -86,7 +86,7 @@
 
 
 def unblock(state: PolicyState, job: Job, now: float) -> None:
-    """No dependency holds the job any more; perhaps its time does."""
+    """Move a job without unfinished dependencies to SCHEDULED if its start time is ahead, else to a queue."""
     job.depth = 0
     if job.not_before_ms > now:
         set_state(state, job, JobState.SCHEDULED)
@@ -96,10 +96,10 @@
 
 
 def make_ready(state: PolicyState, job: Job, now: float) -> None:
-    """Put the job into the order of release; one that was there before keeps its place."""
+    """Put a job into the queue for release. A job that was ready before keeps its due time."""
     if job.ready_at_ms < 0:
         job.ready_at_ms = now
-        job.release_due_ms = _first_due_ms(state, job, now)
+        job.release_due_ms = _initial_due_ms(state, job, now)
     if job.wait_for_idle and job.release_due_ms > now:
         set_state(state, job, JobState.AWAITING_IDLE)
         state.awaiting_idle.add(job)
@@ -110,7 +110,7 @@
         set_timer(state, job, job.wait_deadline_ms)
 
 
-def _first_due_ms(state: PolicyState, job: Job, now: float) -> float:
+def _initial_due_ms(state: PolicyState, job: Job, now: float) -> float:
     if job.wait_for_idle:
         latest = job.wait_deadline_ms - state.age_limit_ms
         return max(min(now + state.idle_limit_ms, latest), now)
@@ -118,12 +118,12 @@
 
 
 def fire_timer(state: PolicyState, job: Job, now: float) -> None:
-    """A job's timer fired: its wait is over, or its time has come."""
+    """Handle a job's timer: end the job if its wait has expired, else make it ready."""
     job.timer_at_ms = NO_TIMER_MS
     if now >= job.wait_deadline_ms:
         end_job(state, job, now, JobOutcome.WAIT_EXPIRED, "its patience for waiting is over")
         return
-    if job.state is JobState.AWAITING_IDLE:  # the fleet was never idle: from now on it waits like others
+    if job.state is JobState.AWAITING_IDLE:  # the fleet was not idle in time: it becomes an ordinary job
         state.awaiting_idle.remove(job)
     make_ready(state, job, now)
 
@@ -137,8 +137,8 @@
     run_state: RunState = RunState.NEVER_RAN,
     result_bytes: int = 0,
 ) -> None:
-    """Give a job its one outcome; its dependents are notified in later steps."""
-    _withdraw(state, job)
+    """End a job with its outcome. Its dependents are notified in later steps."""
+    _dequeue(state, job)
     job.outcome = outcome
     job.run_state = run_state
     job.reason = reason
@@ -153,14 +153,14 @@
 
 
 def mark_indeterminate(state: PolicyState, job: Job, reason: str) -> None:
-    """A job may have run, and its end is not known: it waits for proof, and so do its dependents."""
+    """Mark a job that may have run and whose outcome is unknown; its dependents keep waiting."""
     job.run_state = RunState.MAY_BE_RUNNING
     job.reason = reason
     set_state(state, job, JobState.INDETERMINATE)
 
 
-def _withdraw(state: PolicyState, job: Job) -> None:
-    """Take a job out of the queue that it stands in."""
+def _dequeue(state: PolicyState, job: Job) -> None:
+    """Remove a job from its queue, and cancel its timer."""
     if job.state is JobState.READY:
         state.ready.remove(job)
     elif job.state is JobState.AWAITING_IDLE:
--- a/oxbowyard/waiting/release.py
+++ b/oxbowyard/waiting/release.py
@@ -1,4 +1,4 @@
-"""Which waiting job is submitted to the core next. No I/O, no clock."""
+"""Chooses which waiting job is submitted to the core next. Has no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def release_jobs(state: PolicyState, now: float, steps: int) -> int:
-    """Submit jobs as long as there is capacity, one a step at most. Returns the steps that are left."""
+    """Release jobs while there is capacity, at most one per step. Returns the number of steps left."""
     while steps > 0:
         job = _next_job(state, now)
         if job is None:
@@ -32,14 +32,18 @@
 
 
 def _is_aged(state: PolicyState, job: Job, now: float) -> bool:
-    """Whether the job has waited so long that it may queue at a worker, if its class allows that."""
+    """Return whether the job has waited so long that it may queue at a worker, if its class allows that."""
     if job.state is not JobState.READY or not state.settings.for_class(job.job_class).queueing:
         return False
     return job.wait_for_idle or now - job.ready_at_ms >= state.age_limit_ms
 
 
 def _next_job(state: PolicyState, now: float) -> Job | None:
-    """The earliest due job that may go, else one that is overdue, else one that waits for an idle fleet."""
+    """Return the job to release next, or None.
+
+    That is the earliest due job whose class has capacity, else an overdue one at the guaranteed rate, else
+    one that waits for an idle fleet.
+    """
     rate = state.rate
     if state.ready:
         heads = sorted(state.ready.heads())
@@ -52,7 +56,7 @@
             rate.record_aged_release(now)
             return job
     if state.awaiting_idle:
-        # A class whose ordinary jobs find no capacity has none for these: the same test, but stricter.
+        # The test is stricter than that of ordinary jobs: without capacity for those there is none for these.
         return _first_allowed(sorted(state.awaiting_idle.heads()), rate.allows_idle, now)
     return None
 
--- a/oxbowyard/waiting/release_rate.py
+++ b/oxbowyard/waiting/release_rate.py
@@ -1,4 +1,4 @@
-"""How fast jobs are released: a concurrency window for each class, and the fleet's capacity. No I/O."""
+"""Limits the rate of release by a concurrency window for each class and by the fleet's capacity. No I/O."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from .settings import WaitingSettings
 
-POLL_INTERVAL_MS = 25.0  # between looks for capacity while jobs are ready: a share of a job's time
-WINDOW_GROWTH = 1.0  # over the window itself, for each job that started at once: one a round trip
-WINDOW_AFTER_REJECTION = 0.5  # share of the window that is left
-WINDOW_AFTER_LATE_START = 0.9
+POLL_INTERVAL_MS = 25.0  # between checks for capacity while jobs are ready; short compared to a job's run
+WINDOW_GROWTH = 1.0  # per round trip: each job that started promptly adds this divided by the window
+WINDOW_FACTOR_ON_REJECTION = 0.5
+WINDOW_FACTOR_ON_LATE_START = 0.9
 MAX_BACKOFF_DOUBLINGS = 30
 LONG_AGO_MS = -1e18
 NEVER_MS = 1e18
@@ -18,12 +18,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetCapacity:
-    """What the fleet can do for a class now."""
+    """The fleet's current capacity for a class."""
 
-    workers: int  # ready ones that may run it
-    slots: float  # this scheduler's share of theirs, cold workers by their warmth
+    workers: int  # ready workers that may run the class
+    slots: float  # this scheduler's share of their slots; those of cold workers count by their warmth
     open_requests: int  # of all classes that use these slots
-    since_rejection_ms: float = NEVER_MS  # since the decisions last rejected anything
+    since_rejection_ms: float = NEVER_MS  # since the scheduler last rejected any request
 
 
 CapacityOf = Callable[[str], FleetCapacity]
@@ -41,27 +41,27 @@
     reduced_at_ms: float = LONG_AGO_MS
 
     def allows(self, now: float) -> bool:
-        """Whether one more job may be submitted."""
+        """Return whether one more job may be submitted."""
         return self.submitted < max(int(self.limit), 1) and now >= self.backoff_until_ms
 
     def record_prompt_start(self) -> None:
-        """A job started at once, or was served where starts are not reported: grow by one a round trip."""
+        """Grow the window, by one per round trip, after a prompt start or a result without a start report."""
         self.consecutive_rejections = 0
-        if self.submitted + 1 >= int(self.limit):  # a window that is not filled proves nothing
+        if self.submitted + 1 >= int(self.limit):  # a window that is not full says nothing about a larger one
             self.limit = min(self.limit + WINDOW_GROWTH / self.limit, self.max_limit)
 
     def record_late_start(self, now: float, round_trip_ms: float) -> None:
-        """A job queued at a worker: reduce the window, once a round trip."""
+        """Reduce the window, once per round trip, after a job that queued at a worker."""
         if now - self.reduced_at_ms >= round_trip_ms:
             self.reduced_at_ms = now
-            self.limit = max(self.limit * WINDOW_AFTER_LATE_START, 1.0)
+            self.limit = max(self.limit * WINDOW_FACTOR_ON_LATE_START, 1.0)
 
     def record_rejection(
         self, now: float, retry_after_ms: float, min_backoff_ms: float, max_backoff_ms: float
     ) -> float:
-        """The decisions rejected a job: back off. Returns the milliseconds until the next submission."""
-        if now >= self.backoff_until_ms:  # others of the same round trip tell nothing new
-            self.limit = max(self.limit * WINDOW_AFTER_REJECTION, 1.0)
+        """Reduce the window and back off after a rejection. Returns the remaining backoff in milliseconds."""
+        if now >= self.backoff_until_ms:  # further rejections of the same round trip carry no new information
+            self.limit = max(self.limit * WINDOW_FACTOR_ON_REJECTION, 1.0)
             self.consecutive_rejections += 1
             doublings = min(self.consecutive_rejections - 1, MAX_BACKOFF_DOUBLINGS)
             backoff_ms = max(retry_after_ms, min_backoff_ms * 2**doublings)
@@ -79,7 +79,7 @@
         self.next_aged_at_ms = 0.0
 
     def window(self, job_class: str) -> ConcurrencyWindow:
-        """A class's window."""
+        """Return a class's window, and create it if it is new."""
         window = self._windows.get(job_class)
         if window is None:
             settings = self._settings
@@ -88,7 +88,7 @@
         return window
 
     def allows(self, job_class: str, now: float) -> bool:
-        """Whether an ordinary job may be released."""
+        """Return whether an ordinary job may be released."""
         if not self.window(job_class).allows(now):
             return False
         fleet = self._capacity_of(job_class)
@@ -96,7 +96,10 @@
         return fleet.workers > 0 and fleet.open_requests < max_open
 
     def allows_idle(self, job_class: str, now: float) -> bool:
-        """Whether a job that waits for an idle fleet may be released: there are slots, and no rejections."""
+        """Return whether a job that waits for an idle fleet may be released.
+
+        That takes free slots, and no rejection for some time.
+        """
         if not self.window(job_class).allows(now):
             return False
         fleet = self._capacity_of(job_class)
@@ -106,24 +109,24 @@
         return fleet.workers > 0 and fleet.open_requests + 1 <= max_open
 
     def allows_aged(self, job_class: str, now: float) -> bool:
-        """Whether an overdue job may be released though its window is closed: at a limited rate."""
+        """Return whether an overdue job may be released in spite of its window, at the guaranteed rate."""
         return now >= self.next_aged_at_ms and self._capacity_of(job_class).workers > 0
 
     def record_aged_release(self, now: float) -> None:
-        """An overdue job was released by that guarantee alone."""
+        """Record the release of an overdue job that only the guaranteed rate allowed."""
         interval_ms = 1000 / self._settings.aged_per_s
-        # Unused rate is not saved up, except that the last look may have come a little late.
+        # Unused rate does not accumulate, except for the delay of up to one polling interval.
         self.next_aged_at_ms = max(self.next_aged_at_ms, now - POLL_INTERVAL_MS) + interval_ms
 
     def record_rejection(self, job_class: str, now: float, retry_after_ms: float) -> float:
-        """A released job was rejected. Returns the milliseconds until its class is submitted again."""
+        """Record the rejection of a released job. Returns the remaining backoff of its class in ms."""
         settings = self._settings
         return self.window(job_class).record_rejection(
             now, retry_after_ms, settings.retry_first_s * 1000, settings.retry_most_s * 1000
         )
 
     def record_start(self, job_class: str, delay_ms: float, now: float) -> None:
-        """A released job started this long after it was submitted."""
+        """Record the start of a released job, `delay_ms` after it was submitted."""
         window = self.window(job_class)
         max_delay_ms = self._settings.start_within_ms
         if delay_ms <= max_delay_ms:
--- a/oxbowyard/waiting/result_watchers.py
+++ b/oxbowyard/waiting/result_watchers.py
@@ -1,4 +1,4 @@
-"""Whoever waits for the end of a job: long polls, clients that wait, and the fronts' callbacks."""
+"""Delivers results to long polls, waiting clients and the callbacks of fronts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResultWatchers:
-    """The waiters of each job. All calls come from the event loop's thread."""
+    """The waiters of each job. All calls must come from the event loop's thread."""
 
     def __init__(self, settings: WaitingSettings) -> None:
         self._settings = settings
@@ -22,15 +22,15 @@
         self._polling = 0
 
     def set_callback(self, job_id: str, callback: OnEnd) -> None:
-        """Call back once with the job's result."""
+        """Set the callback that is called once with the job's result."""
         self._callbacks[job_id] = callback
 
     def has_callback(self, job_id: str) -> bool:
-        """Whether a callback waits for the job."""
+        """Return whether a callback is set for the job."""
         return job_id in self._callbacks
 
     async def poll(self, job_id: str, timeout_s: float) -> JobResult | None:
-        """Wait for the job's result; None if there is none in time. Raises JobRejectedError."""
+        """Wait for the job's result; None if the time is over. Raises JobRejectedError if too many wait."""
         settings = self._settings
         if self._polling >= settings.max_watchers:
             text = f"{settings.max_watchers} wait already"
@@ -45,7 +45,7 @@
             self._polling -= 1
 
     async def wait(self, job_id: str) -> JobResult | None:
-        """Wait for the job's result; None if it will be long in coming: the program stops, for instance."""
+        """Wait for the job's result; None if waiting ended without one, as on a shutdown."""
         future: asyncio.Future[JobResult | None] = self._loop.create_future()
         self._futures.setdefault(job_id, []).append(future)
         try:
@@ -62,7 +62,7 @@
             del self._futures[job_id]
 
     def notify(self, job_id: str, result: JobResult) -> None:
-        """The job has ended."""
+        """Deliver the result of a job that has ended."""
         for future in self._futures.pop(job_id, ()):
             if not future.done():
                 future.set_result(result)
@@ -71,11 +71,11 @@
             callback(result)
 
     def release_waiters(self, job_id: str) -> None:
-        """There is no result yet, and it may be long in coming: whoever waits is told so."""
+        """End all waits for the job without a result, because it may take arbitrarily long."""
         for future in self._futures.get(job_id, ()):
             if not future.done():
                 future.set_result(None)
 
     def watched_job_ids(self) -> Iterable[str]:
-        """The ids of jobs that somebody waits for."""
+        """Return the ids of the jobs that are waited for."""
         return list(self._futures)
--- a/oxbowyard/waiting/retention.py
+++ b/oxbowyard/waiting/retention.py
@@ -1,7 +1,7 @@
-"""After the end of a job: its dependents are notified, and its result is kept for a time. No I/O, no clock.
+"""Handles ended jobs: notifies their dependents and purges their results. Has no I/O and no clock.
 
-Each call does a number of steps at most and returns the steps that are left, so that thousands of jobs that
-end together do not hold up the caller.
+Each call does at most `steps` steps and returns how many are left, so that thousands of jobs that end at the
+same time do not block the caller.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def notify_dependents(state: PolicyState, now: float, steps: int) -> int:
-    """Unblock the dependents of ended jobs, or end them."""
+    """Unblock the dependents of ended jobs, or end them if a condition is not satisfied."""
     while steps > 0 and state.ended_dependencies:
         ended = state.ended_dependencies[0]
         for dependent, condition in ended.dependents:
@@ -43,7 +43,7 @@
 
 
 def purge_results(state: PolicyState, now: float, steps: int) -> int:
-    """Forget ended jobs whose time is over, and the oldest while there are too many or too large ones."""
+    """Purge the ended jobs whose retention time is over, and the oldest ones while a limit is exceeded."""
     settings, held = state.settings, state.held
     while steps > 0 and state.retained:
         oldest = state.retained[0]
@@ -68,7 +68,7 @@
 
 
 def end_for_shutdown(state: PolicyState, now: float, steps: int) -> int:
-    """End the waiting jobs of a program that stops."""
+    """End the waiting jobs of a program that shuts down."""
     while steps > 0 and state.jobs_to_shut_down is not None:
         job = next(state.jobs_to_shut_down, None)
         steps -= 1
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -8,7 +8,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Where nothing is ready, time goes on to when something will be."""
+    """When no descriptor is ready, the clock jumps to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
