--- a/oxbowyard/durable/__init__.py
+++ b/oxbowyard/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Durable jobs: the journal of waiting jobs on a store, and the recovery after a crash."""
+"""Durable jobs: the journal that records waiting jobs in a store, and their recovery after a restart."""
--- a/oxbowyard/durable/durable_store.py
+++ b/oxbowyard/durable/durable_store.py
@@ -1,4 +1,4 @@
-"""One open store with its writer thread and journal, from the program's start to its end."""
+"""Opens the store with its writer thread and journal when the program starts, and closes it at the end."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class StoreOpenError(Exception):
-    """The store cannot be used; the text is one line."""
+    """The store could not be opened. The message is one line."""
 
 
 class DurableStore:
-    """The store and what uses it. To be made on the event loop that uses it."""
+    """The store with its writer and journal. Create it on the event loop that uses it."""
 
     def __init__(
         self, settings: DurableSettings, take_over: bool = False, wall_clock: Callable[[], float] = time.time
@@ -51,16 +51,16 @@
             self._queue.intake.journal_failed(self.journal.failure_reason())
 
     def recovery(self, queue: JobQueue, deadlines_s: Mapping[str, float]) -> Recovery:
-        """The recovery of the jobs of earlier runs; `deadlines_s` by class."""
+        """Return the recovery of the jobs of earlier runs; `deadlines_s` are the deadlines by class."""
         self._queue = queue
         return Recovery(queue, self._writer, deadlines_s, self._settings.read_at_once, self._wall_clock)
 
     def summary(self) -> str:
-        """The store's state and its commits so far, in one line."""
+        """Summarize the store's health and its commits so far in one line, for the log."""
         writer = self._writer
         changes, commits = writer.committed_changes, writer.commits
         return f"store {writer.health.value}, {changes} changes in {commits} commits"
 
     async def close(self) -> None:
-        """Commit what is left, and release the store."""
+        """Commit the queued changes, then close and unlock the store."""
         await self._writer.close()
--- a/oxbowyard/durable/journal.py
+++ b/oxbowyard/durable/journal.py
@@ -1,4 +1,4 @@
-"""The journal of waiting jobs on a store: each change is on disk before anybody is told of it."""
+"""The journal of waiting jobs in a store: each change is on disk before it is acknowledged or acted on."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     StoreHealth.FENCED: "another scheduler has this store",
     StoreHealth.CLOSED: "the store is closed",
 }
-# A job in one of these after its grant has surely never run.
+# A granted job that returns to one of these states never ran.
 NEVER_RAN_STATES = (JobState.SCHEDULED, JobState.READY, JobState.AWAITING_IDLE)
 
 
 class DurableJournal:
-    """Translates the policy's changes to records of the store, and the store's jobs to those of the queue."""
+    """Converts the policy's changes to records of the store, and stored jobs to jobs of the queue."""
 
     is_durable = True
 
@@ -52,27 +52,27 @@
         lease_s: float | None = None,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """`lease_s` None: silent workers are not noticed. `wall_clock` is Unix time in seconds."""
+        """`lease_s` None: silent workers are not detected. `wall_clock` is Unix time in seconds."""
         self.leases: LeaseTableProtocol | None = None
         if lease_s is not None:
             self.leases = LeaseTable(lease_s * 1000)
         self._writer = writer
         self._wall_clock = wall_clock
         self.run_id = run_id
-        self._granted: set[int] = set()  # jobs whose grant is recorded: their starts are recorded too
+        self._granted: set[int] = set()  # numbers of jobs with a recorded grant; records their starts too
 
     def rejection_reason(self) -> str:
-        """Why no more work is accepted; empty: it is."""
+        """Return why no durable jobs are accepted; empty if they are."""
         return REJECTION_REASONS.get(self._writer.health, "")
 
     def failure_reason(self) -> str:
-        """Why nothing will be recorded any more; empty: it will."""
+        """Return why the journal has failed for good; empty if it has not."""
         return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST_STATES else ""
 
-    # ---- To the store ----
+    # ---- Writing to the store ----
 
     def record_accepted(self, job: Job, submission: JobSubmission) -> None:
-        """Record an accepted job."""
+        """Record an accepted job with everything that is needed to restore it."""
         request = submission.request
         assert request is not None
         dependencies = [[d.id, d.condition.value] for d in submission.dependencies]
@@ -95,7 +95,7 @@
         self._writer.put(accepted)
 
     def record_change(self, change: StateChanged, result: JobResult | None) -> None:
-        """Record a change of an accepted job, if a crash would lose it."""
+        """Record a change of an accepted job, if the recovery after a crash depends on it."""
         job = change.job
         if result is not None:
             self._granted.discard(job.number)
@@ -124,19 +124,22 @@
         self._writer.put(JobStateChanged(job.number, state, job.submission_count))
 
     def record_grant(self, job: Job, worker: str, lease: str) -> None:
-        """Record that a worker is about to have the job."""
+        """Record that the job is about to be sent to a worker, under this lease."""
         self._granted.add(job.number)
         granted = Lease(lease, worker, self._wall_clock())
         self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submission_count, granted))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back after the commit of all that was recorded so far; never, if there will be none."""
+        """Call back after everything that was recorded so far is committed; never if that fails for good."""
         self._writer.when_durable(callback)
 
-    # ---- From the store ----
+    # ---- Reading from the store ----
 
     async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
-        """For each submission the job with its key or its id. Raises JobRejectedError."""
+        """Return, for each submission, the stored job with its idempotency key or its id.
+
+        Raises JobRejectedError.
+        """
 
         def find(database: Database) -> list[tuple[StoredJob, bool] | None]:
             return [_find_one(database, submission) for submission in submissions]
@@ -145,7 +148,7 @@
         return [job_record(*known) if known else None for known in found]
 
     async def find_record(self, id_: str) -> JobRecord | None:
-        """A job by its id. Raises JobRejectedError."""
+        """Return a stored job by its id; None if it is unknown. Raises JobRejectedError."""
         stored = await self._read(lambda database: database.find(id_))
         return job_record(stored, False) if stored else None
 
@@ -158,7 +161,7 @@
 
 
 def _find_one(database: Database, submission: JobSubmission) -> tuple[StoredJob, bool] | None:
-    """The stored job, and whether its idempotency key found it."""
+    """Return the stored job, and whether it was found by its idempotency key; None if it is unknown."""
     if submission.idempotency_key:
         stored = database.find_by_idempotency_key(submission.tenant, submission.idempotency_key)
         if stored is not None:
@@ -168,7 +171,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """What of a request is stored besides its class and payload."""
+    """Encode the fields of a request that are not stored in columns of their own."""
     fields = {
         "target": request.target,
         "key": request.key,
@@ -179,7 +182,7 @@
 
 
 def decode_request(stored: StoredJob, deadline_s: float) -> Request:
-    """The request of a stored job; `deadline_s` is for running it."""
+    """Decode the request of a stored job; `deadline_s` is the time limit for running it."""
     accepted = stored.accepted
     fields = json.loads(accepted.request)
     return Request(
@@ -197,13 +200,13 @@
 
 
 def decode_dependencies(stored: StoredJob) -> list[Dependency]:
-    """The dependencies of a stored job."""
+    """Decode the dependencies of a stored job."""
     rows = json.loads(stored.accepted.dependencies)
     return [Dependency(id_, DependencyCondition(condition)) for id_, condition in rows]
 
 
 def job_record(stored: StoredJob, by_idempotency_key: bool) -> JobRecord:
-    """A stored job as the queue tells of it."""
+    """Convert a stored job to the queue's record of it."""
     job = _job(stored)
     ended = stored.ended
     if ended is None:
--- a/oxbowyard/durable/recovered_jobs.py
+++ b/oxbowyard/durable/recovered_jobs.py
@@ -1,7 +1,7 @@
-"""The state of a job of an earlier run. No I/O, no clock.
+"""Determines the state in which a job of an earlier run is restored. Has no I/O and no clock.
 
-Before the last byte of a job that must not run twice is sent, its grant is on disk. So a job without a grant
-surely never ran, or may safely run again; one with a grant may have run.
+The grant of a job that must not run twice is on disk before the last byte of the job is sent. So a job
+without a recorded grant never ran, or may safely run again; a job with one may have run.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class UnresolvedDependency(Enum):
-    """A dependency that has no end."""
+    """The state of a dependency for which no outcome is stored."""
 
-    OPEN = "open"
-    UNKNOWN = "unknown"
+    OPEN = "open"  # it has not ended
+    UNKNOWN = "unknown"  # it is not in the store
 
 
 FindOutcome = Callable[[str], JobEnded | UnresolvedDependency]
@@ -31,21 +31,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveredState:
-    """Where a job continues. Times in seconds."""
+    """The state in which a job is restored. Times are seconds."""
 
-    max_wait_s: float  # what is left of it; 0: nothing
+    max_wait_s: float  # the remaining wait; 0: none
     delay_s: float
-    indeterminate_reason: str = ""  # why it may have run
-    dependencies: tuple[Dependency, ...] = ()  # those that have no end
-    failed_dependency: str = ""  # one that did not end as required
+    indeterminate_reason: str = ""  # why it may have run; empty: it may be released
+    dependencies: tuple[Dependency, ...] = ()  # those that have not ended
+    failed_dependency: str = ""  # the id of one that did not end as required
 
 
 def recovered_state(
     stored: StoredJob, dependencies: Sequence[Dependency], find_outcome: FindOutcome, now: float
 ) -> RecoveredState:
-    """The state of a stored job; `now` is Unix time in seconds.
+    """Return the state in which to restore a stored job; `now` is Unix time in seconds.
 
-    The clock may have stepped while no program ran: what is left is never more than what there was.
+    The system's clock may have stepped back since, so the remaining times are limited to the original ones.
     """
     accepted = stored.accepted
     elapsed_s = max(now - accepted.accepted_at, 0.0)
@@ -53,14 +53,14 @@
     delay_s = max(accepted.delay_s - elapsed_s, 0.0)
     if stored.state in GRANTED_STATES:
         return RecoveredState(max_wait_s, 0.0, indeterminate_reason(stored.lease))
-    still_open = []
+    open_dependencies = []
     for dependency in dependencies:
         end = find_outcome(dependency.id)
         if end is UnresolvedDependency.OPEN:
-            still_open.append(dependency)
+            open_dependencies.append(dependency)
         elif isinstance(end, UnresolvedDependency) or not _is_satisfied_by(end, dependency):
             return RecoveredState(max_wait_s, delay_s, failed_dependency=dependency.id)
-    return RecoveredState(max_wait_s, delay_s, dependencies=tuple(still_open))
+    return RecoveredState(max_wait_s, delay_s, dependencies=tuple(open_dependencies))
 
 
 def _is_satisfied_by(end: JobEnded, dependency: Dependency) -> bool:
@@ -68,7 +68,7 @@
 
 
 def indeterminate_reason(lease: Lease | None) -> str:
-    """What an operator needs to find out whether a job ran: the worker, and when it was granted."""
+    """Return the reason of an indeterminate job: the worker and the time of the grant, for an operator."""
     if lease is None:
         return "it may have run before this scheduler stopped"
     at = datetime.fromtimestamp(lease.granted_at, UTC).isoformat(timespec="seconds")
--- a/oxbowyard/durable/recovery.py
+++ b/oxbowyard/durable/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the jobs of earlier runs back into the queue, page by page, while it serves already."""
+"""Restores the jobs of earlier runs from the store into the queue, page by page, while the queue serves."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 log = logging.getLogger("oxbowyard.durable")
 
-QUEUE_FULL_RETRY_S = 0.1  # before looking again whether memory has room for more jobs
-READ_RETRY_INTERVAL_S = 0.5  # after a read that a failing disk did not answer
+QUEUE_FULL_RETRY_S = 0.1  # between checks whether the queue has room for more jobs
+READ_RETRY_INTERVAL_S = 0.5  # after a read that failed on the disk
 
 Page = list[tuple[StoredJob, RecoveredState]]
 T = TypeVar("T")
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class RecoveryCounts:
-    """What became of the jobs of earlier runs."""
+    """Counters of the jobs of earlier runs, by how they were restored."""
 
     resumed: int = 0
     indeterminate: int = 0
@@ -37,9 +37,9 @@
 
 
 class Recovery:
-    """One start's recovery: it begins when it is made, and is over when all jobs are read back.
+    """The recovery at one start of the program. The queue counts as recovering until all jobs are restored.
 
-    A store that is lost meanwhile leaves it unfinished: what was not read back is not known.
+    If the store is lost meanwhile, the queue stays in recovery, because the other jobs are not known.
     """
 
     def __init__(
@@ -50,16 +50,17 @@
         page_size: int,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
+        """`deadlines_s` are the deadlines by class; `wall_clock` is Unix time in seconds."""
         self._queue = queue
         self._writer = writer
-        self._deadlines_s = deadlines_s  # by class
+        self._deadlines_s = deadlines_s
         self._page_size = page_size
         self._wall_clock = wall_clock
         self.counts = RecoveryCounts()
         queue.intake.is_recovering = True
 
     async def run(self) -> None:
-        """Read all jobs back. While memory is full, the rest stays on disk."""
+        """Restore all jobs. While the queue is full, the remaining ones stay on disk."""
         started_at = time.monotonic()
         try:
             await self._read_all()
@@ -104,7 +105,7 @@
         return await self._read(read)
 
     async def _read(self, query: Callable[[Database], T]) -> T:
-        """Read from the store, again and again while it may heal; raises StoreError once it will not."""
+        """Read from the store, with retries; raises StoreError once it has failed for good."""
         while True:
             try:
                 return await self._writer.read(query)
@@ -117,7 +118,7 @@
     def _restore(self, stored: StoredJob, state: RecoveredState) -> None:
         accepted = stored.accepted
         deadline_s = self._deadlines_s.get(accepted.job_class)
-        if deadline_s is None:  # the settings have changed: it stays in the store, for later ones
+        if deadline_s is None:  # the class was removed from the settings, and may be added again
             self.counts.unknown_class += 1
             log.warning(
                 "job left in the store, unknown class: job=%s class=%s", accepted.id, accepted.job_class
