--- a/oxbowyard/store/__init__.py
+++ b/oxbowyard/store/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs on disk: records, the SQLite file, and the thread that commits in groups."""
+"""The store of durable jobs: its records, its SQLite file, and the thread that commits changes in groups."""
--- a/oxbowyard/store/__main__.py
+++ b/oxbowyard/store/__main__.py
@@ -1,4 +1,4 @@
-"""Stores by hand: `python -m oxbowyard.store check FILE | snapshot FILE TARGET | restore SNAPSHOT FILE`."""
+"""Manage stores: `python -m oxbowyard.store check FILE | snapshot FILE TARGET | restore SNAPSHOT FILE`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def main() -> int:
-    """Run one command; return 1, with one line on standard error, if the store is faulty."""
+    """Run one command; print one line to standard error and return 1 if it fails on the store."""
     parser = argparse.ArgumentParser(prog="python -m oxbowyard.store", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    commands.add_parser("check", help="look at every page").add_argument("file", type=Path)
+    commands.add_parser("check", help="check every page of a store").add_argument("file", type=Path)
     for name, first, second, text in (
-        ("snapshot", "file", "target", "copy a store, also one in service"),
-        ("restore", "snapshot", "file", "put a snapshot in the place of a store that is not in service"),
+        ("snapshot", "file", "target", "copy a store, which may be in use"),
+        ("restore", "snapshot", "file", "replace a store that is not in use by a snapshot"),
     ):
         command = commands.add_parser(name, help=text)
         command.add_argument(first, type=Path)
@@ -34,7 +34,7 @@
     except StoreError as error:
         print(f"store: {error}", file=sys.stderr)
         return 1
-    print(f"{options.command}: whole, {jobs} jobs")
+    print(f"{options.command}: ok, {jobs} jobs")
     return 0
 
 
--- a/oxbowyard/store/backup.py
+++ b/oxbowyard/store/backup.py
@@ -1,4 +1,4 @@
-"""Copies of a store: checked, taken online, and put back in its place."""
+"""Checks a store, copies it while it is in use, and restores it from a copy."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def snapshot(path: Path, target: Path) -> int:
-    """Copy a store, also one in service, check the copy and return its number of jobs. Raises StoreError.
+    """Copy a store, which may be in use, check the copy and return its number of jobs. Raises StoreError.
 
-    The copy appears under its name only once it is complete.
+    The copy is renamed to `target` only once it is complete and checked.
     """
     if not path.is_file():
         raise StoreError(StoreFailure.FOREIGN, f"no file {path.name}")
@@ -56,7 +56,7 @@
 def restore(snapshot: Path, target: Path) -> int:
     """Replace a store that no program has open by a checked snapshot, and return its number of jobs.
 
-    The old store is kept beside it as `.before-restore`. Raises StoreError.
+    The old store stays beside it with the suffix `.before-restore`. Raises StoreError.
     """
     lock = StoreLock(lock_path(target), take_over=False)
     try:
--- a/oxbowyard/store/database.py
+++ b/oxbowyard/store/database.py
@@ -1,8 +1,8 @@
-"""The store on SQLite: write-ahead log, every commit on disk before it counts.
+"""The store in SQLite, with a write-ahead log and commits that are on disk when they return.
 
-One thread uses a `Database`. Two programs never have one store open: a lock file is held, and each opening
-raises the store's epoch. A program that was stopped and presumed dead finds the epoch raised at its next
-transaction, and is fenced: nothing that it wants to write is written.
+A `Database` is used by one thread. Two programs never write to one store: each holds a lock file, and
+increments the store's epoch when it opens the store. A program that was stopped and presumed dead finds
+another epoch in its next transaction and is fenced: it can write nothing more.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
     StoreFailure,
 )
 
-BUSY_TIMEOUT_MS = 2_000  # a snapshot or a reader holds no lock within the database for this long
-CHECKPOINT_PAGES = 1_000  # of the log before a checkpoint: some 4 MiB
-MAX_BYTES_CHECKED_AT_OPEN = 32 << 20  # a larger file would take seconds, and is checked when it is copied
-MIN_PAGES = 64
+BUSY_TIMEOUT_MS = 2_000  # longer than a snapshot or a reader locks the database
+CHECKPOINT_PAGES = 1_000  # size of the log that causes a checkpoint, about 4 MiB
+MAX_BYTES_CHECKED_AT_OPEN = 32 << 20  # a larger store takes seconds; it is checked when it is copied
+MIN_PAGES = 64  # lower bound of max_page_count
 
-Connect = Callable[[Path], Any]  # returns a sqlite3.Connection, or one that fails as a test wants
+Connect = Callable[[Path], Any]  # returns a sqlite3.Connection, or in tests one with injected faults
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """The ordinary connection; used by one thread, which need not be the one that opened it."""
+    """Connect to the file. The connection may be used by another thread than this one, but only by one."""
     return sqlite3.connect(path, isolation_level=None, check_same_thread=False, cached_statements=64)
 
 
@@ -47,14 +47,14 @@
     def __init__(
         self, path: Path, max_bytes: int = 0, take_over: bool = False, connect: Connect = connect
     ) -> None:
-        """Open or create it; `max_bytes` 0 is no limit. Raises StoreError."""
+        """Open or create the store; `max_bytes` 0 means no limit. Raises StoreError."""
         self.path = path
         self._max_bytes = max_bytes
         self._connect = connect
         self._lock = StoreLock(lock_path(path), take_over)
         try:
             self._db = self._open()
-            self.epoch = self._raise_epoch()
+            self.epoch = self._increment_epoch()
         except BaseException:
             self._lock.release()
             raise
@@ -111,25 +111,25 @@
 
     def _migrate(self, db: Any, version: int) -> None:
         while version < schema.SCHEMA_VERSION:
-            with _transaction(db):  # a step and its version go together: a crash between repeats nothing
+            with _transaction(db):  # a migration and its version are committed together
                 for statement in schema.MIGRATIONS[version].split(";"):
                     db.execute(statement)
                 db.execute(f"PRAGMA user_version = {version + 1}")
             version += 1
 
-    def _raise_epoch(self) -> int:
+    def _increment_epoch(self) -> int:
         with store_errors(), _transaction(self._db):
             self._db.execute(schema.INCREMENT_EPOCH)
             return fetch_scalar(self._db, schema.SELECT_EPOCH)
 
     def reopen(self) -> None:
-        """After a disk error: read what is on disk, since what is in memory may not be there."""
+        """Reopen the file after a disk error, because cached pages may differ from those on disk."""
         with store_errors():
             self._db.close()
         self._db = self._open()
 
     def close(self) -> None:
-        """Checkpoint the log and release the store."""
+        """Checkpoint the log, close the file and release the lock."""
         try:
             self._db.close()
         finally:
@@ -138,14 +138,14 @@
     # ---- Writing ----
 
     def apply(self, changes: Sequence[Change]) -> None:
-        """Write all changes, or none: they are on disk when this returns. Raises StoreError."""
+        """Commit all changes or none of them; they are on disk when this returns. Raises StoreError."""
         with self._fenced_transaction():
             for change in changes:
                 self._write(change)
 
     @contextmanager
     def _fenced_transaction(self) -> Iterator[None]:
-        """A transaction that fails if a successor has opened the store. Raises StoreError."""
+        """Run a transaction; raise StoreError if a successor has opened the store."""
         with store_errors(), _transaction(self._db):
             if fetch_scalar(self._db, schema.SELECT_EPOCH) != self.epoch:
                 raise StoreError(StoreFailure.FENCED, "a successor has opened the store")
@@ -159,13 +159,13 @@
                 values = (change.state.value, change.submission_count, change.number)
                 self._db.execute(schema.UPDATE_STATE_KEEP_LEASE, values)
             case JobStateChanged(lease=lease):
-                held = (lease.token, lease.worker, lease.granted_at) if lease else (None, None, None)
+                lease_values = (lease.token, lease.worker, lease.granted_at) if lease else (None, None, None)
                 state = (change.state.value, change.submission_count)
-                self._db.execute(schema.UPDATE_STATE, (*state, *held, change.number))
+                self._db.execute(schema.UPDATE_STATE, (*state, *lease_values, change.number))
             case JobEnded():
-                self._end(change)
+                self._end_job(change)
 
-    def _end(self, change: JobEnded) -> None:
+    def _end_job(self, change: JobEnded) -> None:
         values = (
             change.outcome,
             change.run_state,
@@ -179,7 +179,7 @@
         self._db.execute(schema.END_JOB, values)
 
     def prune(self, ended_before: float, max_results: int, max_deletions: int) -> int:
-        """Delete results that are too old, or too many, up to a number; return how many were deleted.
+        """Delete results that are too old or too many, at most `max_deletions`; return how many were deleted.
 
         Raises StoreError.
         """
@@ -190,44 +190,44 @@
             if remaining > 0:
                 deleted += self._db.execute(schema.DELETE_OLD_RESULTS, (math.inf, remaining)).rowcount
         if deleted:
-            with store_errors():  # the file shrinks by as much
+            with store_errors():  # frees the pages, so that the file shrinks
                 self._db.execute(f"PRAGMA incremental_vacuum({max_deletions})")
         return int(deleted)
 
     # ---- Reading ----
 
     def find(self, id_: str) -> StoredJob | None:
-        """A job by its id. Raises StoreError, as do the other queries."""
-        return self._one(schema.SELECT_BY_ID, (id_,))
+        """Return a job by its id; None if it is unknown. Raises StoreError, as all queries do."""
+        return self._select_job(schema.SELECT_BY_ID, (id_,))
 
     def find_by_idempotency_key(self, tenant: str, key: str) -> StoredJob | None:
-        """A job by its idempotency key."""
-        return self._one(schema.SELECT_BY_IDEMPOTENCY_KEY, (tenant, key))
+        """Return a job by its idempotency key; None if it is unknown."""
+        return self._select_job(schema.SELECT_BY_IDEMPOTENCY_KEY, (tenant, key))
 
-    def _one(self, query: str, values: tuple[object, ...]) -> StoredJob | None:
+    def _select_job(self, query: str, values: tuple[object, ...]) -> StoredJob | None:
         with store_errors():
             row = self._db.execute(query, values).fetchone()
         return schema.stored_job(row) if row else None
 
     def unfinished_jobs(self, after: int, limit: int) -> list[StoredJob]:
-        """Jobs without a final result, in the order of acceptance, with numbers above `after`."""
+        """Return up to `limit` jobs that have not ended, by their numbers, which are above `after`."""
         with store_errors():
             rows = self._db.execute(schema.SELECT_OPEN, (after, limit))
             return [schema.stored_job(row) for row in rows]
 
     def last_number(self) -> int:
-        """The highest number of a job; 0 if there is none."""
+        """Return the highest number of a job; 0 if there is no job."""
         with store_errors():
             return fetch_scalar(self._db, schema.LAST_NUMBER)
 
     def count_by_state(self) -> dict[StoredState, int]:
-        """The number of jobs in each state."""
+        """Return the number of jobs in each state."""
         with store_errors():
             return {StoredState(state): count for state, count in self._db.execute(schema.COUNT_BY_STATE)}
 
 
 def fetch_scalar(db: Any, query: str) -> int:
-    """The one number that a query returns."""
+    """Run a query that returns a single number, and return that number."""
     return int(db.execute(query).fetchone()[0])
 
 
--- a/oxbowyard/store/errors.py
+++ b/oxbowyard/store/errors.py
@@ -1,4 +1,4 @@
-"""SQLite's and the system's errors as `StoreError`."""
+"""Converts errors of SQLite and of the operating system to `StoreError`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @contextmanager
 def store_errors() -> Iterator[None]:
-    """Raise StoreError for an error of SQLite or of the system."""
+    """Convert an error of SQLite or of the operating system to a StoreError."""
     try:
         yield
     except sqlite3.Error as error:
--- a/oxbowyard/store/lock.py
+++ b/oxbowyard/store/lock.py
@@ -1,4 +1,4 @@
-"""The lock file that keeps a store open in one program at a time."""
+"""The lock file that prevents two programs from opening the same store."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class StoreLock:
-    """Held as long as the program has the store open; the system releases it when the program dies.
+    """A lock that is held while the store is open; the operating system releases it if the program dies.
 
-    With `take_over` the lock file of a program that is stopped or hangs is replaced: the store's epoch fences
-    that program. Raises StoreError if another program holds the lock.
+    With `take_over` the lock file is replaced, although a stopped or hanging program may hold it: the store's
+    epoch fences that program. Raises StoreError if another program holds the lock.
     """
 
     def __init__(self, path: Path, take_over: bool) -> None:
@@ -35,5 +35,5 @@
 
 
 def lock_path(store: Path) -> Path:
-    """The lock file of a store."""
+    """Return the path of a store's lock file."""
     return store.with_name(store.name + ".lock")
--- a/oxbowyard/store/pending_read.py
+++ b/oxbowyard/store/pending_read.py
@@ -1,4 +1,4 @@
-"""A query that waits for the store's thread, and whoever waits for its answer on the event loop."""
+"""A query that the event loop awaits and the store's thread runs."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class PendingRead(Generic[T]):
-    """Made on the event loop; answered once, on the store's thread or where it can't be queued."""
+    """A query with its future result, which is set by the store's thread, or at once if that has ended."""
 
     def __init__(self, query: Callable[[Database], T]) -> None:
         self._query = query
-        self._answer: Future[T] = Future()
+        self._future: Future[T] = Future()
 
     async def result(self) -> T:
-        """Wait for the answer; raises what the query raised, or the error of `fail`."""
-        return await asyncio.wrap_future(self._answer)
+        """Wait for the result. Raises the exception of the query, or the error of `fail`."""
+        return await asyncio.wrap_future(self._future)
 
     def execute(self, database: Database) -> None:
-        """Run the query, unless nobody waits for it any more."""
-        if not self._answer.set_running_or_notify_cancel():
+        """Run the query, unless its caller was cancelled."""
+        if not self._future.set_running_or_notify_cancel():
             return
         try:
             result = self._query(database)
-        except BaseException as error:  # whatever it is belongs to the caller
-            self._answer.set_exception(error)
+        except BaseException as error:  # any exception is raised in the caller
+            self._future.set_exception(error)
         else:
-            self._answer.set_result(result)
+            self._future.set_result(result)
 
     def fail(self, error: StoreError) -> None:
-        """Answer with an error, unless it is answered or nobody waits for it any more."""
-        if not self._answer.done() and self._answer.set_running_or_notify_cancel():
-            self._answer.set_exception(error)
+        """Fail with an error, unless there is a result or the caller was cancelled."""
+        if not self._future.done() and self._future.set_running_or_notify_cancel():
+            self._future.set_exception(error)
--- a/oxbowyard/store/record.py
+++ b/oxbowyard/store/record.py
@@ -1,6 +1,6 @@
-"""What is stored of a job, the changes to it, and how a store may fail. Times are Unix seconds.
+"""The records of stored jobs, the changes to them, and the failures of a store. Times are Unix seconds.
 
-The field names of these records are not stored; `schema` names the columns. The values of `StoredState` are.
+The names of the fields are not stored, as `schema` names the columns, but the values of `StoredState` are.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 
 class StoredState(Enum):
-    """Where a stored job was last known to be."""
+    """The last recorded state of a job."""
 
-    WAITING = "waiting"  # for its dependencies, its time or its turn: it never began
-    SUBMITTED = "asked"  # with the core; without a grant it never began
-    GRANTED = "granted"  # a worker may have it: from here on it may have run
+    WAITING = "waiting"  # waits for its dependencies, its start time or its turn; it never ran
+    SUBMITTED = "asked"  # submitted to the core; without a grant it never ran
+    GRANTED = "granted"  # a worker may have received it; from here on it may have run
     STARTED = "started"  # a worker reported its start
-    INDETERMINATE = "doubt"  # it may have run, and nobody knows how it ended
+    INDETERMINATE = "doubt"  # it may have run, and its outcome is unknown
     ENDED = "ended"
 
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """A grant to a worker; a result that arrives late is matched by its token."""
+    """A grant of a job to a worker. A late result must carry its token."""
 
     token: str
     worker: str
@@ -31,27 +31,27 @@
 
 @dataclass(slots=True, frozen=True)
 class JobAccepted:
-    """A job was accepted: all that is needed to continue with it after a crash."""
+    """An accepted job, with everything that is needed to restore it after a crash."""
 
-    number: int  # the order of acceptance
+    number: int  # ascending in the order of acceptance
     id: str
     job_class: str
     tenant: str
     idempotency_key: str
-    fingerprint: bytes  # of the request: the same key with another request is an error
+    fingerprint: bytes  # hash of the request; a reused key with another request is rejected
     accepted_at: float
     max_wait_s: float
     delay_s: float
-    wait_for_idle: bool  # it runs only while the fleet is quiet
+    wait_for_idle: bool  # it is released only while the fleet is idle
     priority: float | None
     dependencies: bytes  # JSON
-    request: bytes  # JSON: what a front needs besides the payload
+    request: bytes  # JSON: the request without its class and payload
     payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class JobStateChanged:
-    """A job is in another state; with a lease if a worker has it now."""
+    """A job has changed its state; `lease` is set if it was granted to a worker."""
 
     number: int
     state: StoredState
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobEnded:
-    """A job has its one final result. `resolved_by` names the operator who set it, if one did."""
+    """A job has ended with this result. `resolved_by` names the operator who resolved it, if one did."""
 
     number: int
     outcome: str
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredJob:
-    """A job as the store has it."""
+    """A job as it is stored."""
 
     accepted: JobAccepted
     state: StoredState
@@ -88,26 +88,26 @@
 
 
 class StoreFailure(Enum):
-    """Why a store cannot do what was asked."""
+    """Why an operation of the store failed."""
 
-    LOCKED = "locked"  # another program has it open
-    NEWER = "newer"  # a later release wrote it
+    LOCKED = "locked"  # another program has the store open
+    NEWER = "newer"  # a later release of the program wrote it
     FOREIGN = "foreign"  # it is not a store of this program
     DAMAGED = "damaged"
     READ_ONLY = "read only"
-    FULL = "full"  # the disk, or the size that the settings allow
-    FAILED = "failed"  # the disk reported an error: what it holds is not known
-    FENCED = "fenced"  # a successor has opened it: nothing may be granted or ended here any more
+    FULL = "full"  # the disk is full, or the store has reached its size limit
+    FAILED = "failed"  # the disk reported an error, so its content is uncertain
+    FENCED = "fenced"  # a successor has opened the store; this program must not write any more
 
 
-# No retry helps: the store has to be replaced, or belongs to another program.
+# A retry cannot succeed: the store has to be replaced, or belongs to another program.
 FINAL_FAILURES = frozenset(
     {StoreFailure.FENCED, StoreFailure.DAMAGED, StoreFailure.NEWER, StoreFailure.FOREIGN}
 )
 
 
 class StoreError(Exception):
-    """A store's failure, in one line; nothing of what was asked is stored."""
+    """A failed operation of the store, described in one line; it has stored nothing."""
 
     def __init__(self, failure: StoreFailure, text: str) -> None:
         super().__init__(f"{failure.value}: {' '.join(text.split())}")
--- a/oxbowyard/store/schema.py
+++ b/oxbowyard/store/schema.py
@@ -7,7 +7,7 @@
 
 from .record import JobAccepted, JobEnded, Lease, StoredJob, StoredState
 
-APPLICATION_ID = 0x6F786279  # "oxby": tells our files from others
+APPLICATION_ID = 0x6F786279  # "oxby", which identifies the program's files
 SCHEMA_VERSION = 2
 
 SCHEMA = """
@@ -25,13 +25,13 @@
 CREATE INDEX jobs_open ON jobs (number) WHERE kept != 'ended';
 CREATE INDEX jobs_ended ON jobs (ended_at) WHERE kept = 'ended';
 """
-# From a version to the next. Version 1 did not say who resolved an indeterminate job.
+# From each version to the next. Version 1 did not record who resolved an indeterminate job.
 MIGRATIONS = {1: "ALTER TABLE jobs ADD COLUMN resolved_by TEXT"}
 
-# The columns keep the names of the first release; `record` has the field's. `token` is the idempotency key,
-# `print` the fingerprint, `patience` the longest wait, `quiet` waiting for an idle fleet, `lift` the
-# priority, `parents` the dependencies, `req` the request, `kept` the state, `asks` the submissions,
-# `backend` the worker and `lease` its token.
+# The columns have the names of the first release, because stores of it exist; `record` has the current terms.
+# `token` is the idempotency key, `print` the fingerprint, `patience` the maximum wait, `quiet` waiting for an
+# idle fleet, `lift` the priority, `parents` the dependencies, `req` the request, `kept` the state, `asks` the
+# number of submissions, `ran` the run state, `backend` the worker and `lease` the lease's token.
 COLUMNS = (
     "number, id, job_class, tenant, token, print, taken_at, patience, delay, quiet, lift, parents, req, "
     "payload, kept, asks, lease, backend, granted_at, end, ran, reason, result, retry_after, ended_at, "
@@ -57,7 +57,7 @@
 
 
 def accepted_row(job: JobAccepted) -> tuple[object, ...]:
-    """The values of `INSERT_JOB`: a new job waits, and was never submitted."""
+    """Return the values for `INSERT_JOB`. A new job is waiting, and was never submitted."""
     return (
         job.number,
         job.id,
@@ -79,13 +79,13 @@
 
 
 def stored_job(row: Sequence[Any]) -> StoredJob:
-    """The record of a row of `COLUMNS`."""
+    """Convert a row with the columns of `COLUMNS` to a record."""
     accepted_fields: tuple[Any, ...] = (*row[:9], bool(row[9]), *row[10:14])
     accepted = JobAccepted(*accepted_fields)
-    state, submissions, token, worker, granted_at = row[14:19]
+    state, submission_count, token, worker, granted_at = row[14:19]
     ended = None
     if state == StoredState.ENDED.value:
         ended_fields: tuple[Any, ...] = (accepted.number, *row[19:25], row[25] or "")
         ended = JobEnded(*ended_fields)
     lease = Lease(token, worker, granted_at) if token is not None else None
-    return StoredJob(accepted, StoredState(state), submissions, lease, ended)
+    return StoredJob(accepted, StoredState(state), submission_count, lease, ended)
--- a/oxbowyard/store/writer.py
+++ b/oxbowyard/store/writer.py
@@ -1,4 +1,4 @@
-"""The store's thread: it commits changes in groups, and notifies nobody before theirs are on disk."""
+"""The store's thread, which commits changes in groups and calls back once they are on disk."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 log = logging.getLogger("oxbowyard.store")
 
-MAX_BATCH_CHANGES = 1_000  # in one transaction: an early change must not wait for thousands
-RETRY_INTERVAL_S = 0.5  # after a commit that a full or failing disk did not take
-MAX_CONSECUTIVE_FAILURES = 5  # of a disk, before the store is given up
+MAX_BATCH_CHANGES = 1_000  # per transaction, which bounds the time that a change waits for later ones
+RETRY_INTERVAL_S = 0.5  # after a commit that failed on a full or faulty disk
+MAX_CONSECUTIVE_FAILURES = 5  # disk errors before the store counts as broken
 PRUNE_INTERVAL_S = 1.0
 
 T = TypeVar("T")
-Item = Change | Callable[[], None] | PendingRead[Any]
+QueueItem = Change | Callable[[], None] | PendingRead[Any]
 
 
 class StoreHealth(Enum):
-    """The state of a store in service."""
+    """The health of an open store."""
 
     SERVING = "serving"
-    STALLED = "stalled"  # full or failing: it takes no more work, and retries what it has
-    BROKEN = "broken"  # given up: what is not on disk by now will not be
-    FENCED = "fenced"  # a successor has the store
+    STALLED = "stalled"  # the disk is full or failing; no jobs are accepted, and queued changes are retried
+    BROKEN = "broken"  # given up; changes that are not on disk are lost
+    FENCED = "fenced"  # a successor has opened the store
     CLOSED = "closed"
 
 
@@ -42,15 +42,15 @@
 
 @dataclass(slots=True, frozen=True)
 class PruneLimits:
-    """Which results may be deleted now."""
+    """Limits of one deletion of old results."""
 
-    ended_before: float  # Unix seconds
-    max_results: int
-    max_deletions: int  # in one transaction
+    ended_before: float  # Unix seconds; results of jobs that ended earlier are deleted
+    max_results: int  # the oldest results beyond this number are deleted
+    max_deletions: int  # per transaction
 
 
 class Writer:
-    """Takes changes on the event loop and commits them in groups on its own thread."""
+    """Accepts changes on the event loop and commits them in groups on a thread of its own."""
 
     def __init__(
         self,
@@ -58,15 +58,16 @@
         on_health: Callable[[StoreHealth], None] = lambda health: None,
         prune_limits: Callable[[], PruneLimits] | None = None,
     ) -> None:
+        """Start the thread. `on_health` is called on the event loop when the health changes."""
         self._database = database
         self._on_health = on_health
         self._prune_limits = prune_limits
         self._loop = asyncio.get_running_loop()
         self._wakeup = threading.Condition()
-        self._queue: deque[Item] = deque()
-        self._batch: list[Item] = []  # taken from the queue, and not carried out
-        self._closing = False
-        self._ended = False  # the thread takes nothing more from the queue
+        self._queue: deque[QueueItem] = deque()
+        self._batch: list[QueueItem] = []  # taken from the queue and not completed
+        self._is_closing = False
+        self._has_ended = False  # the thread takes no more items from the queue
         self._failures = 0
         self._next_prune_at = time.monotonic() + PRUNE_INTERVAL_S
         self.health = StoreHealth.SERVING
@@ -75,68 +76,66 @@
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    # ---- From the loop ----
+    # ---- Called on the event loop ----
 
     def put(self, change: Change) -> None:
-        """Queue a change to be committed, in order."""
+        """Queue a change. Changes are committed in the order of these calls."""
         if self.health not in LOST_STATES:
             self._push(change)
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back on the loop once all that was put so far is on disk; never, if it will not be."""
+        """Call back on the event loop once all changes queued so far are on disk; never if they are lost."""
         if self.health not in LOST_STATES:
             self._push(callback)
 
     async def read(self, query: Callable[[Database], T]) -> T:
-        """Query the database, after all that was put so far. Raises StoreError."""
+        """Run a query after the changes queued so far. Raises StoreError."""
         pending = PendingRead(query)
         if not self._push(pending):
             pending.fail(self._lost_error())
         return await pending.result()
 
-    def _push(self, item: Item) -> bool:
-        """Queue an item; False if the thread has ended."""
+    def _push(self, item: QueueItem) -> bool:
+        """Queue an item; return False if the thread has ended."""
         with self._wakeup:
-            if self._ended:
+            if self._has_ended:
                 return False
             self._queue.append(item)
             self._wakeup.notify()
             return True
 
     async def close(self) -> None:
-        """Commit what is queued, then close the store."""
+        """Commit the queued changes, then close the store."""
         with self._wakeup:
-            self._closing = True
+            self._is_closing = True
             self._wakeup.notify()
         await asyncio.to_thread(self._thread.join)
 
-    # ---- On the thread ----
+    # ---- Run on the thread ----
 
     def _run(self) -> None:
         try:
-            while self._take_batch() and self._carry_out_batch():
+            while self._take_batch() and self._execute_batch():
                 pass
-        except (
-            BaseException
-        ) as error:  # without its thread a store that says "serving" would hang its callers
+        except BaseException as error:  # else callers would hang on a store that seems to serve
             log.exception("internal error in the store's thread")
             self._set_health(StoreHealth.BROKEN, StoreError(StoreFailure.FAILED, repr(error)))
         finally:
-            self._end()
+            self._shut_down()
 
     def _take_batch(self) -> bool:
-        """Wait for items, until old results are due at most; False if there will be none."""
+        """Wait for items, or until the next deletion of old results; return False if the thread must end."""
         with self._wakeup:
             self._wakeup.wait_for(
-                lambda: self._queue or self._closing, max(self._next_prune_at - time.monotonic(), 0.0)
+                lambda: self._queue or self._is_closing, max(self._next_prune_at - time.monotonic(), 0.0)
             )
             self._batch = [self._queue.popleft() for _ in range(min(len(self._queue), MAX_BATCH_CHANGES))]
-            return bool(self._batch) or not self._closing
+            return bool(self._batch) or not self._is_closing
 
-    def _carry_out_batch(self) -> bool:
-        """Commit the changes of the batch in one transaction, then notify whoever waits for them.
+    def _execute_batch(self) -> bool:
+        """Commit the changes of the batch in one transaction, then run its queries and callbacks.
 
-        Returns whether the store can go on.
+        Returns whether the store can continue.
         """
         changes: list[Change] = [
             item for item in self._batch if not callable(item) and not isinstance(item, PendingRead)
@@ -149,11 +148,11 @@
         callbacks = [item for item in self._batch if callable(item)]
         self._batch = []
         if callbacks:
-            self._call_on_loop(_call_all, callbacks)
+            self._call_on_loop(_run_callbacks, callbacks)
         return time.monotonic() < self._next_prune_at or self._prune()
 
     def _commit(self, changes: list[Change]) -> bool:
-        """Commit changes, however often a disk fails that may heal; False if it will not."""
+        """Commit changes, with retries; return False if the store has failed for good."""
         while True:
             try:
                 self._database.apply(changes)
@@ -167,7 +166,7 @@
         return True
 
     def _prune(self) -> bool:
-        """Delete old results; a failure is tried again. Returns whether the store can go on."""
+        """Delete old results; a failure is retried later. Return whether the store can continue."""
         self._next_prune_at = time.monotonic() + PRUNE_INTERVAL_S
         if self._prune_limits is None:
             return True
@@ -180,7 +179,7 @@
         return True
 
     def _is_final(self, error: StoreError) -> bool:
-        """Whether the store is lost with this error; its health says so then."""
+        """Return whether the store has failed for good with this error, and set its health if so."""
         if error.failure not in FINAL_FAILURES:
             return False
         self._set_health(
@@ -189,18 +188,18 @@
         return True
 
     def _may_retry(self, error: StoreError) -> bool:
-        """Whether to retry the changes of a failed commit; waits for the retry interval if so."""
+        """Wait for the retry interval, and return whether to retry a failed commit."""
         if self._is_final(error):
             return False
         self._failures += error.failure is not StoreFailure.FULL
-        if self._failures > MAX_CONSECUTIVE_FAILURES or self._closing:
+        if self._failures > MAX_CONSECUTIVE_FAILURES or self._is_closing:
             self._set_health(StoreHealth.BROKEN, error)
             return False
         self._set_health(StoreHealth.STALLED, error)
-        with self._wakeup:  # what is queued meanwhile cuts nothing short
-            self._wakeup.wait_for(lambda: self._closing, RETRY_INTERVAL_S)
+        with self._wakeup:  # items that are queued meanwhile must not shorten the interval
+            self._wakeup.wait_for(lambda: self._is_closing, RETRY_INTERVAL_S)
         if error.failure is StoreFailure.FULL:
-            return self._prune()  # results whose time is over may be all that fills it
+            return self._prune()  # deleting old results may free enough space
         try:
             self._database.reopen()
         except StoreError as reopen_error:
@@ -228,14 +227,14 @@
         except RuntimeError:
             if not self._loop.is_closed():
                 raise
-            # Nobody is left to be told.
+            # The event loop is closed, so there are no callers left to notify.
 
     def _lost_error(self) -> StoreError:
         return StoreError(StoreFailure.FAILED, f"the store is {self.health.value}")
 
-    def _end(self) -> None:
+    def _shut_down(self) -> None:
         with self._wakeup:
-            self._ended = True
+            self._has_ended = True
             remaining = [*self._batch, *self._queue]
             self._queue.clear()
         if self.health not in LOST_STATES:
@@ -250,7 +249,7 @@
             log.exception("store could not be closed")
 
 
-def _call_all(callbacks: list[Callable[[], None]]) -> None:
+def _run_callbacks(callbacks: list[Callable[[], None]]) -> None:
     for callback in callbacks:
         try:
             callback()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -262,7 +262,7 @@
     monkeypatch.setattr("sys.argv", ["store", "check", str(copy)])
     assert command() == 1 and "damaged" in capsys.readouterr().err
     monkeypatch.setattr("sys.argv", ["store", "snapshot", str(path), str(tmp_path / "other.db")])
-    assert command() == 0 and "whole, 199 jobs" in capsys.readouterr().out
+    assert command() == 0 and "ok, 199 jobs" in capsys.readouterr().out
 
 
 def test_the_size_that_the_settings_allow_is_a_full_store(tmp_path: Path) -> None:
