--- a/oxbowyard/durable/journal.py
+++ b/oxbowyard/durable/journal.py
@@ -99,7 +99,7 @@
         job = change.job
         if result is not None:
             self._granted.discard(job.number)
-            self._writer.put(self._ended(job, result))
+            self._writer.put(self._ended_record(job, result))
         elif change.state is JobState.STARTED and job.number in self._granted:
             self._put_state(job, StoredState.STARTED)
         elif change.state is JobState.INDETERMINATE:
@@ -108,7 +108,7 @@
             self._granted.discard(job.number)
             self._put_state(job, StoredState.WAITING)
 
-    def _ended(self, job: Job, result: JobResult) -> JobEnded:
+    def _ended_record(self, job: Job, result: JobResult) -> JobEnded:
         return JobEnded(
             job.number,
             result.outcome.value,
--- a/oxbowyard/waiting/job.py
+++ b/oxbowyard/waiting/job.py
@@ -79,7 +79,7 @@
 
 
 class JobRejectedError(Exception):
-    """A submission is rejected as a whole. `retry_after_s` is 0 if a retry cannot succeed."""
+    """A submission is rejected with all its jobs. `retry_after_s` is 0 if a retry cannot succeed."""
 
     def __init__(self, code: RejectionCode, text: str, retry_after_s: float = 0.0) -> None:
         super().__init__(text)
--- a/oxbowyard/waiting/job_queue.py
+++ b/oxbowyard/waiting/job_queue.py
@@ -191,7 +191,7 @@
         """
         if not by or outcome not in (None, JobOutcome.SERVED, JobOutcome.FAILED):
             raise ValueError(
-                f"cannot resolve job {id_}: expected an operator and the outcome None, SERVED or FAILED, "
+                f"cannot resolve job {id_}: expected an operator's name and outcome None, SERVED or FAILED, "
                 f"got by={by!r} outcome={outcome}"
             )
         return self._resolve(id_, by, outcome, body, reason)
