--- a/oxbowyard/durable/journal.py
+++ b/oxbowyard/durable/journal.py
@@ -1,4 +1,4 @@
-"""The journal of waiting jobs on a store: each change is on disk before anybody is told of it."""
+"""The journal of waiting jobs in a store: each change is on disk before it is acknowledged or acted on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ..core.request import Request, RunState
 from ..store.database import Database
 from ..store.record import JobAccepted, JobEnded, JobStateChanged, Lease, StoredJob, StoredState, StoreError
-from ..store.writer import LOST, Health, Writer
+from ..store.writer import LOST_STATES, StoreHealth, Writer
 from ..waiting.job import (
     Dependency,
     DependencyCondition,
@@ -23,25 +23,25 @@
     RejectionCode,
     StateChanged,
 )
+from ..waiting.journal import JobRecord
 from ..waiting.journal import LeaseTable as LeaseTableProtocol
-from ..waiting.journal import RecalledJob
 from .leases import LeaseTable
 from .recovered_jobs import GRANTED_STATES, indeterminate_reason
 
 T = TypeVar("T")
 QUERY_RETRY_AFTER_S = 1.0
 REJECTION_REASONS = {
-    Health.STALLED: "the store takes nothing: its disk is full or failing",
-    Health.BROKEN: "the store is broken",
-    Health.FENCED: "another scheduler has this store",
-    Health.CLOSED: "the store is closed",
+    StoreHealth.STALLED: "the store takes nothing: its disk is full or failing",
+    StoreHealth.BROKEN: "the store is broken",
+    StoreHealth.FENCED: "another scheduler has this store",
+    StoreHealth.CLOSED: "the store is closed",
 }
-# A job in one of these after its grant has surely never run.
+# A granted job that returns to one of these states never ran.
 NEVER_RAN_STATES = (JobState.SCHEDULED, JobState.READY, JobState.AWAITING_IDLE)
 
 
 class DurableJournal:
-    """Translates the policy's changes to records of the store, and the store's jobs to those of the queue."""
+    """Converts the policy's changes to records of the store, and stored jobs to jobs of the queue."""
 
     is_durable = True
 
@@ -52,27 +52,27 @@
         lease_s: float | None = None,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """`lease_s` None: silent workers are not noticed. `wall_clock` is Unix time in seconds."""
+        """`lease_s` None: silent workers are not detected. `wall_clock` is Unix time in seconds."""
         self.leases: LeaseTableProtocol | None = None
         if lease_s is not None:
             self.leases = LeaseTable(lease_s * 1000)
         self._writer = writer
         self._wall_clock = wall_clock
         self.run_id = run_id
-        self._granted: set[int] = set()  # jobs whose grant is recorded: their starts are recorded too
+        self._granted: set[int] = set()  # numbers of jobs with a recorded grant; records their starts too
 
     def rejection_reason(self) -> str:
-        """Why no more work is accepted; empty: it is."""
+        """Return why no durable jobs are accepted; empty if they are."""
         return REJECTION_REASONS.get(self._writer.health, "")
 
     def failure_reason(self) -> str:
-        """Why nothing will be recorded any more; empty: it will."""
-        return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST else ""
+        """Return why the journal has failed for good; empty if it has not."""
+        return REJECTION_REASONS[self._writer.health] if self._writer.health in LOST_STATES else ""
 
-    # ---- To the store ----
+    # ---- Writing to the store ----
 
     def record_accepted(self, job: Job, submission: JobSubmission) -> None:
-        """Record an accepted job."""
+        """Record an accepted job with everything that is needed to restore it."""
         request = submission.request
         assert request is not None
         dependencies = [[d.id, d.condition.value] for d in submission.dependencies]
@@ -95,11 +95,11 @@
         self._writer.put(accepted)
 
     def record_change(self, change: StateChanged, result: JobResult | None) -> None:
-        """Record a change of an accepted job, if a crash would lose it."""
+        """Record a change of an accepted job, if the recovery after a crash depends on it."""
         job = change.job
         if result is not None:
             self._granted.discard(job.number)
-            self._writer.put(self._ended(job, result))
+            self._writer.put(self._ended_record(job, result))
         elif change.state is JobState.STARTED and job.number in self._granted:
             self._put_state(job, StoredState.STARTED)
         elif change.state is JobState.INDETERMINATE:
@@ -108,7 +108,7 @@
             self._granted.discard(job.number)
             self._put_state(job, StoredState.WAITING)
 
-    def _ended(self, job: Job, result: JobResult) -> JobEnded:
+    def _ended_record(self, job: Job, result: JobResult) -> JobEnded:
         return JobEnded(
             job.number,
             result.outcome.value,
@@ -121,33 +121,36 @@
         )
 
     def _put_state(self, job: Job, state: StoredState) -> None:
-        self._writer.put(JobStateChanged(job.number, state, job.submissions))
+        self._writer.put(JobStateChanged(job.number, state, job.submission_count))
 
     def record_grant(self, job: Job, worker: str, lease: str) -> None:
-        """Record that a worker is about to have the job."""
+        """Record that the job is about to be sent to a worker, under this lease."""
         self._granted.add(job.number)
         granted = Lease(lease, worker, self._wall_clock())
-        self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submissions, granted))
+        self._writer.put(JobStateChanged(job.number, StoredState.GRANTED, job.submission_count, granted))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Call back after the commit of all that was recorded so far; never, if there will be none."""
+        """Call back after everything that was recorded so far is committed; never if that fails for good."""
         self._writer.when_durable(callback)
 
-    # ---- From the store ----
+    # ---- Reading from the store ----
 
-    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[RecalledJob | None]:
-        """For each submission the job with its key or its id. Raises JobRejectedError."""
+    async def find_existing(self, submissions: Sequence[JobSubmission]) -> Sequence[JobRecord | None]:
+        """Return, for each submission, the stored job with its idempotency key or its id.
+
+        Raises JobRejectedError.
+        """
 
         def find(database: Database) -> list[tuple[StoredJob, bool] | None]:
             return [_find_one(database, submission) for submission in submissions]
 
         found = await self._read(find)
-        return [recalled_job(*known) if known else None for known in found]
+        return [job_record(*known) if known else None for known in found]
 
-    async def recall(self, id_: str) -> RecalledJob | None:
-        """A job by its id. Raises JobRejectedError."""
+    async def find_record(self, id_: str) -> JobRecord | None:
+        """Return a stored job by its id; None if it is unknown. Raises JobRejectedError."""
         stored = await self._read(lambda database: database.find(id_))
-        return recalled_job(stored, False) if stored else None
+        return job_record(stored, False) if stored else None
 
     async def _read(self, query: Callable[[Database], T]) -> T:
         try:
@@ -158,9 +161,9 @@
 
 
 def _find_one(database: Database, submission: JobSubmission) -> tuple[StoredJob, bool] | None:
-    """The stored job, and whether its idempotency key found it."""
+    """Return the stored job, and whether it was found by its idempotency key; None if it is unknown."""
     if submission.idempotency_key:
-        stored = database.by_idempotency_key(submission.tenant, submission.idempotency_key)
+        stored = database.find_by_idempotency_key(submission.tenant, submission.idempotency_key)
         if stored is not None:
             return stored, True
     stored = database.find(submission.id)
@@ -168,7 +171,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """What of a request is stored besides its class and payload."""
+    """Encode the fields of a request that are not stored in columns of their own."""
     fields = {
         "target": request.target,
         "key": request.key,
@@ -179,7 +182,7 @@
 
 
 def decode_request(stored: StoredJob, deadline_s: float) -> Request:
-    """The request of a stored job; `deadline_s` is for running it."""
+    """Decode the request of a stored job; `deadline_s` is the time limit for running it."""
     accepted = stored.accepted
     fields = json.loads(accepted.request)
     return Request(
@@ -197,13 +200,13 @@
 
 
 def decode_dependencies(stored: StoredJob) -> list[Dependency]:
-    """The dependencies of a stored job."""
+    """Decode the dependencies of a stored job."""
     rows = json.loads(stored.accepted.dependencies)
     return [Dependency(id_, DependencyCondition(condition)) for id_, condition in rows]
 
 
-def recalled_job(stored: StoredJob, by_idempotency_key: bool) -> RecalledJob:
-    """A stored job as the queue tells of it."""
+def job_record(stored: StoredJob, by_idempotency_key: bool) -> JobRecord:
+    """Convert a stored job to the queue's record of it."""
     job = _job(stored)
     ended = stored.ended
     if ended is None:
@@ -211,15 +214,15 @@
             job.state = JobState.INDETERMINATE
             job.run_state = RunState.MAY_BE_RUNNING
             job.reason = indeterminate_reason(stored.lease)
-        return RecalledJob(job, None, by_idempotency_key)
+        return JobRecord(job, None, by_idempotency_key)
     job.state = JobState.ENDED
     job.outcome = JobOutcome(ended.outcome)
-    job.run_state = RunState(ended.ran)
+    job.run_state = RunState(ended.run_state)
     job.reason = ended.reason
     result = JobResult(
         job.outcome, job.run_state, ended.result, ended.reason, ended.retry_after_s, ended.resolved_by
     )
-    return RecalledJob(job, result, by_idempotency_key)
+    return JobRecord(job, result, by_idempotency_key)
 
 
 def _job(stored: StoredJob) -> Job:
@@ -240,5 +243,5 @@
         fingerprint=accepted.fingerprint,
         request=None,
         durable=True,
-        submissions=stored.submissions,
+        submission_count=stored.submission_count,
     )
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -53,7 +53,7 @@
         self._functions = functions
         self._submitting: set[asyncio.Task[None]] = set()
         self._submitters: dict[Job, list[_Submitter]] = {}  # of jobs that are being stored
-        queue.adopters.append(self.adopt)
+        queue.recovery_handlers.append(self.adopt)
         queue.intake.journal_lost_callbacks.append(self._end_waits_for_stored_jobs)
 
     def is_durable(self, submission: Submission) -> bool:
@@ -124,7 +124,7 @@
                 self._table.remove(job)
                 return existing[0].job.id
         handle = self._submit(job, request, options)
-        await self._queue.intake.durable()
+        await self._queue.intake.wait_until_durable()
         return handle
 
     def _submit(self, job: Job, request: Request, options: WaitOptions) -> str:
@@ -140,7 +140,7 @@
     def adopt(self, request: Request) -> tuple[Request, Callable[[JobResult], None]] | None:
         """Take back a recovered job under its old handle; None if it is not a Gearman job.
 
-        The pair is what the queue expects of an adopter: the request to submit, and what its end calls.
+        The pair is what the queue expects of a handler: the request to submit, and what its end calls.
         """
         function = self._functions.get(request.target)
         if function is None or function.job_class.name != request.job_class:
--- a/oxbowyard/waiting/acceptance.py
+++ b/oxbowyard/waiting/acceptance.py
@@ -1,19 +1,19 @@
-"""Accepting jobs: from a client's submission, or from the store after a restart. No I/O, no clock."""
+"""Accepts jobs from a client's submission, or from the store after a restart. Has no I/O and no clock."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from .dependencies import topological_order
-from .held_jobs import check_submission, queue_full
+from .held_jobs import check_submissions, queue_full_error
 from .job import Job, JobOutcome, JobRejectedError, JobState, JobSubmission, RejectionCode, StateChanged
 from .policy_state import PolicyState, end_job, mark_indeterminate, set_timer, unblock
 
 
 def find_repeated(state: PolicyState, submissions: Sequence[JobSubmission]) -> list[Job]:
-    """The jobs that were submitted before with the same idempotency keys; none if the submission is new.
+    """Return the jobs that were submitted before with the same idempotency keys; empty for a new submission.
 
-    Raises JobRejectedError if only some were, or if a key was used with other content.
+    Raises JobRejectedError if only some of the keys are known, or if a key was used with other content.
     """
     known = [_find_one_repeated(state, submission) for submission in submissions]
     found = [job for job in known if job is not None]
@@ -34,11 +34,11 @@
 
 
 def accept_jobs(state: PolicyState, now: float, submissions: Sequence[JobSubmission]) -> list[Job]:
-    """Accept all jobs or none. Raises JobRejectedError."""
+    """Accept all jobs or none of them. Raises JobRejectedError."""
     if state.is_stopping:
         text = "this scheduler takes no more jobs"
-        raise queue_full(state.settings, RejectionCode.STOPPING, text)
-    check_submission(submissions, state.settings, state.classes, state.jobs, state.held)
+        raise queue_full_error(state.settings, RejectionCode.STOPPING, text)
+    check_submissions(submissions, state.settings, state.classes, state.jobs, state.held)
     accepted = {}
     for submission, depth in topological_order(submissions, state.jobs.get, state.settings):
         state.last_number += 1
@@ -49,15 +49,21 @@
 
 
 def restore_job(
-    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, failure: str
+    state: PolicyState,
+    now: float,
+    submission: JobSubmission,
+    number: int,
+    submission_count: int,
+    failure: str,
 ) -> Job:
-    """Take back a job that never began, with the wait and delay that are left to it.
+    """Restore a job that never ran, with its remaining wait and delay.
 
-    Its open dependencies are here; `failure` says that another one did not end as required. No limit applies:
-    it was accepted. Without any wait left it ends as expired.
+    The submission names only the dependencies that have not ended; `failure` says which other one did not end
+    as required. No limits are checked, because the job was accepted before. A job without any wait left ends
+    as expired.
     """
     job = _add_job(state, now, submission, number, 0)
-    job.submissions = submissions
+    job.submission_count = submission_count
     if failure:
         end_job(state, job, now, JobOutcome.DEPENDENCY_FAILED, failure)
     elif job.wait_deadline_ms <= now:
@@ -69,11 +75,11 @@
 
 
 def restore_indeterminate_job(
-    state: PolicyState, now: float, submission: JobSubmission, number: int, submissions: int, reason: str
+    state: PolicyState, now: float, submission: JobSubmission, number: int, submission_count: int, reason: str
 ) -> Job:
-    """Take back a job that may have run, and whose end nobody reported."""
+    """Restore a job that may have run and whose outcome was never reported."""
     job = _add_job(state, now, submission, number, 0)
-    job.submissions = submissions
+    job.submission_count = submission_count
     mark_indeterminate(state, job, reason)
     return job
 
@@ -86,7 +92,7 @@
 
 
 def _add_job(state: PolicyState, now: float, submission: JobSubmission, number: int, depth: int) -> Job:
-    class_settings = state.settings.of(submission.job_class)
+    class_settings = state.settings.for_class(submission.job_class)
     job = Job(
         submission.id,
         submission.job_class,
