--- a/oxbowyard/clients/client_connections.py
+++ b/oxbowyard/clients/client_connections.py
@@ -15,7 +15,7 @@
 from .connection import Connection, Phase
 from .connection_set import ConnectionSet
 from .errors import MethodNotAllowedError, RequestError
-from .eviction import select_evicted
+from .eviction import select_connection_to_evict
 from .request_handler import serve_request
 from .responses import error_response
 
@@ -62,7 +62,7 @@
         self._is_up = is_up
         self._body_memory = BodyMemory(max_body_memory_bytes)
         self._jobs_handler = jobs_handler
-        self._closing = False
+        self._is_draining = False
         self._all_closed: asyncio.Future[None] | None = None  # awaited by `close`
 
     def on_connection_lost(self, connection: Connection) -> None:
@@ -77,7 +77,7 @@
         Returns whether there was one that may be closed.
         """
         now = asyncio.get_running_loop().time()
-        evicted = select_evicted(self._open, self._max_connections, now)
+        evicted = select_connection_to_evict(self._open, self._max_connections, now)
         if evicted is None:
             return False
         self._evict(evicted)
@@ -85,11 +85,11 @@
 
     def start_draining(self) -> None:
         """From now on each response closes its connection."""
-        self._closing = True
+        self._is_draining = True
 
     def stop_draining(self) -> None:
         """Connections stay open again after their responses."""
-        self._closing = False
+        self._is_draining = False
 
     def close_idle(self) -> None:
         """Close the connections that wait for a further request, unless one has arrived unread.
@@ -125,7 +125,7 @@
         except Exception:
             log.exception("internal error while answering a client: path=%s", request.path)
             response = web.Response(status=500, text="internal fault\n")
-        if self._closing:
+        if self._is_draining:
             response.force_close()
         return response
 
@@ -140,5 +140,5 @@
     def _readiness(self, request: BaseRequest) -> web.StreamResponse:
         if request.method not in ("GET", "HEAD"):
             raise MethodNotAllowedError("ask with GET")
-        up = self._is_up() and not self._closing
+        up = self._is_up() and not self._is_draining
         return web.Response(status=200 if up else 503, text="up\n" if up else "not up\n")
--- a/oxbowyard/clients/connection.py
+++ b/oxbowyard/clients/connection.py
@@ -27,7 +27,7 @@
     RESPONSE_READ_TIMEOUT_S,
     UNREAD_REQUEST_TIMEOUT_S,
 )
-from .responses import KeepAliveResponse, bare_response
+from .responses import KeepAliveResponse, empty_response
 
 READ_RETRY_S = 0.02  # until what was unread at a timeout has been read, or the timeout holds
 DISCONNECT_POLL_S = 0.025  # between checks of a connection whose reading is paused
@@ -65,7 +65,7 @@
     return True
 
 
-def _is_error(request: BaseRequest, response: StreamResponse) -> bool:
+def _must_close(request: BaseRequest, response: StreamResponse) -> bool:
     """Whether what follows the request on its connection may not be a request."""
     is_client_error = 400 <= response.status < 500 and not isinstance(response, KeepAliveResponse)
     return is_client_error or not request.content.is_eof()
@@ -82,25 +82,25 @@
         request_deadline: When the request being read must be complete, likewise.
         body: The body being read by a handler; None at other times.
         is_half_closed: Whether the client has closed its side.
-        has_requested: Whether a complete request for a job has come.
+        has_sent_request: Whether a complete request for a job has come.
     """
 
     __slots__ = (
         "_closes_when_idle",
         "_discards_input",
         "_drained",
+        "_has_checked_unread",
         "_head_bytes",
         "_owner",
         "_pipelined_bytes",
         "_response_count",
         "_timer",
-        "_unread_checked",
         "body",
-        "has_requested",
+        "has_sent_request",
         "is_half_closed",
         "phase",
+        "phase_started_at",
         "request_deadline",
-        "since",
     )
 
     def __init__(self, manager: web.Server, owner: ConnectionOwner) -> None:
@@ -119,30 +119,30 @@
         self._head_bytes = 0  # of a head that is not complete
         self._pipelined_bytes = 0  # that came while a response was pending
         self._drained: asyncio.Event | None = None
-        self._unread_checked = False  # the phase has timed out, and what was unread then is being read
+        self._has_checked_unread = False  # the phase has timed out, and what was unread then is being read
         self._closes_when_idle = False
         self._discards_input = False  # too much was pipelined: this response is the last
         self.body: StreamReader | None = None
         self.is_half_closed = False
-        self.has_requested = False
+        self.has_sent_request = False
         self.phase = Phase.SILENT
-        self.since = self._loop.time()
-        self.request_deadline = self.since + REQUEST_TIMEOUT_S
+        self.phase_started_at = self._loop.time()
+        self.request_deadline = self.phase_started_at + REQUEST_TIMEOUT_S
 
     # ---- Phases ----
 
-    def _enter(self, phase: Phase, timeout_at: float | None = None) -> None:
+    def _enter_phase(self, phase: Phase, timeout_at: float | None = None) -> None:
         self.phase = phase
-        self.since = self._loop.time()
-        self._unread_checked = False
+        self.phase_started_at = self._loop.time()
+        self._has_checked_unread = False
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None if timeout_at is None else self._loop.call_at(timeout_at, self._on_timeout)
 
     def on_request_complete(self) -> None:
         """The request was read to its end: from here on its response is pending, without a time limit."""
-        self.has_requested = True
-        self._enter(Phase.RESPONDING)
+        self.has_sent_request = True
+        self._enter_phase(Phase.RESPONDING)
         self._check_paused_reading()
 
     def is_client_connected(self) -> bool:
@@ -170,8 +170,8 @@
         self._timer = None
         if self.phase is Phase.READING and self._is_response_pending:
             return  # the reader of its body has the same deadline
-        if self.phase in READ_BEFORE_CLOSE and not self._unread_checked and is_readable(self.transport):
-            self._unread_checked = True  # once: a client that keeps sending is closed all the same
+        if self.phase in READ_BEFORE_CLOSE and not self._has_checked_unread and is_readable(self.transport):
+            self._has_checked_unread = True  # once: a client that keeps sending is closed all the same
             self._timer = self._loop.call_later(READ_RETRY_S, self._on_timeout)
             return
         self._owner.counts[f"timed out while {self.phase.value}"] += self.phase is not Phase.KEEP_ALIVE
@@ -203,7 +203,10 @@
     def close_when_idle(self) -> None:
         """Close once no response is pending. A request that has come, read or not, is answered first."""
         self._closes_when_idle = True
-        is_new = self.phase is Phase.SILENT and self._loop.time() < self.since + UNREAD_REQUEST_TIMEOUT_S
+        is_new = (
+            self.phase is Phase.SILENT
+            and self._loop.time() < self.phase_started_at + UNREAD_REQUEST_TIMEOUT_S
+        )
         if self.phase not in (Phase.SILENT, Phase.KEEP_ALIVE) or self.transport is None:
             return  # its response closes it, or its timeout; or it is closed
         if is_new or is_readable(self.transport):
@@ -214,7 +217,7 @@
     def evict(self) -> None:
         """Close at once, since the descriptor is needed for a new connection."""
         if self.phase is Phase.READING and not self._is_response_pending and self.transport is not None:
-            self.transport.write(bare_response(HTTPStatus.REQUEST_TIMEOUT))
+            self.transport.write(empty_response(HTTPStatus.REQUEST_TIMEOUT))
         self.force_close()
 
     # ---- Callbacks of the transport ----
@@ -224,7 +227,7 @@
         # The transport's default would give one client four times as much of the loop's turn.
         transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
         super().connection_made(transport)
-        self._enter(Phase.SILENT, self.request_deadline)
+        self._enter_phase(Phase.SILENT, self.request_deadline)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """The connection has ended; `exc` is None after an orderly close."""
@@ -240,10 +243,10 @@
         if self.phase is Phase.DRAINING or self._discards_input:
             return
         if self.phase is Phase.SILENT:
-            self._enter(Phase.READING, self.request_deadline)
+            self._enter_phase(Phase.READING, self.request_deadline)
         elif self.phase is Phase.KEEP_ALIVE and data:  # aiohttp calls this with none to parse what it holds
             self.request_deadline = self._loop.time() + REQUEST_TIMEOUT_S
-            self._enter(Phase.READING, self.request_deadline)
+            self._enter_phase(Phase.READING, self.request_deadline)
         super().data_received(data)
         if self.phase is Phase.RESPONDING:
             self._pipelined_bytes += len(data)
@@ -280,28 +283,28 @@
         self, request: BaseRequest, resp: StreamResponse, start_time: float | None
     ) -> tuple[StreamResponse, bool]:
         """Write a response. After an error, drop what the client still sends before the connection closes."""
-        is_error = _is_error(request, resp)
-        if is_error or self._discards_input:  # what follows may not be a request, or was dropped
+        must_close = _must_close(request, resp)
+        if must_close or self._discards_input:  # what follows may not be a request, or was dropped
             resp.force_close()
-            self._owner.counts["bad requests" if is_error else "too much sent ahead"] += 1
-        self._enter(Phase.RESPONDING, self._loop.time() + RESPONSE_READ_TIMEOUT_S)
+            self._owner.counts["bad requests" if must_close else "too much sent ahead"] += 1
+        self._enter_phase(Phase.RESPONDING, self._loop.time() + RESPONSE_READ_TIMEOUT_S)
         result = await super().finish_response(request, resp, start_time)
         self._response_count += 1
-        if (is_error or self._discards_input) and self.transport is not None and not self.is_half_closed:
+        if (must_close or self._discards_input) and self.transport is not None and not self.is_half_closed:
             self._drained = asyncio.Event()
             self._drain()
             await self._drained.wait()
         elif resp.keep_alive:
-            self._await_next_request()
+            self._prepare_next_request()
         return result
 
-    def _await_next_request(self) -> None:
+    def _prepare_next_request(self) -> None:
         self._pipelined_bytes = 0
         if self._is_response_pending:  # a pipelined request
             self.request_deadline = self._loop.time() + REQUEST_TIMEOUT_S
-            self._enter(Phase.READING, self.request_deadline)
+            self._enter_phase(Phase.READING, self.request_deadline)
         else:
-            self._enter(Phase.KEEP_ALIVE, self._loop.time() + KEEP_ALIVE_TIMEOUT_S)
+            self._enter_phase(Phase.KEEP_ALIVE, self._loop.time() + KEEP_ALIVE_TIMEOUT_S)
             if self._closes_when_idle:  # the shutdown began after this response was made
                 self._loop.call_soon(self.close_when_idle)
 
@@ -309,13 +312,13 @@
         """Answer with an error what never became a request of aiohttp's."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(bare_response(status))
+        self.transport.write(empty_response(status))
         self._drain()
 
     def _drain(self) -> None:
         """Close our side after an error. To close both at once would reset a client that still sends."""
         assert self.transport is not None
-        self._enter(Phase.DRAINING, self._loop.time() + DRAIN_TIMEOUT_S)
+        self._enter_phase(Phase.DRAINING, self._loop.time() + DRAIN_TIMEOUT_S)
         if self.transport.can_write_eof():
             self.transport.write_eof()
         self.transport.resume_reading()  # it may be paused by a body that is not read any more
--- a/oxbowyard/clients/connection_set.py
+++ b/oxbowyard/clients/connection_set.py
@@ -26,7 +26,7 @@
         self.server = web.Server(handler, handler_cancellation=True)
 
     def make_connection(self) -> asyncio.Protocol:
-        """The protocol of a new connection; `free` says whether one may be accepted."""
+        """The protocol of a new connection; `available_connections` says whether one may be accepted."""
         connection = Connection(self.server, self)
         self._open[connection] = None
         return connection
@@ -36,7 +36,7 @@
         self._open.pop(connection, None)
 
     @property
-    def free(self) -> int:
+    def available_connections(self) -> int:
         """How many more connections may be accepted."""
         return max(self._max_connections - len(self._open), 0)
 
--- a/oxbowyard/clients/eviction.py
+++ b/oxbowyard/clients/eviction.py
@@ -25,7 +25,7 @@
 
 def has_no_request(connection: Connection) -> bool:
     """Whether the client has not sent a request for a job so far, and is not sending one now."""
-    idle = connection.phase is Phase.KEEP_ALIVE and not connection.has_requested
+    idle = connection.phase is Phase.KEEP_ALIVE and not connection.has_sent_request
     return connection.phase is Phase.SILENT or idle
 
 
@@ -55,7 +55,7 @@
 )
 
 
-def select_evicted(
+def select_connection_to_evict(
     connections: Collection[Connection], max_connections: int, now: float
 ) -> Connection | None:
     """Select the connection to close.
@@ -82,12 +82,12 @@
 ) -> Connection | None:
     for rule in rules:
         matching = (connection for connection in connections if rule.matches(connection))
-        oldest = min(matching, key=lambda connection: connection.since, default=None)
-        if oldest is not None and now - oldest.since >= rule.min_age_s and _is_read(oldest):
+        oldest = min(matching, key=lambda connection: connection.phase_started_at, default=None)
+        if oldest is not None and now - oldest.phase_started_at >= rule.min_age_s and _is_fully_read(oldest):
             return oldest
     return None
 
 
-def _is_read(connection: Connection) -> bool:
+def _is_fully_read(connection: Connection) -> bool:
     """Whether all that came has been read: closed before, a whole request would be lost."""
     return connection.phase is Phase.DRAINING or not connection.has_unread_request
--- a/oxbowyard/clients/job_documents.py
+++ b/oxbowyard/clients/job_documents.py
@@ -110,7 +110,7 @@
     next: int | None
 
 
-def view_of(recalled: RecalledJob, position: int | None = None) -> JobView:
+def job_view(recalled: RecalledJob, position: int | None = None) -> JobView:
     """What a client is shown of a job with its result; `position` is its place in its class's queue."""
     job, result = recalled.job, recalled.result
     view = JobView(job.id, job.job_class, job.state.value, position, job.submissions)
--- a/oxbowyard/clients/job_routes.py
+++ b/oxbowyard/clients/job_routes.py
@@ -25,9 +25,9 @@
     PageView,
     ResolutionDocument,
     decode_document,
+    job_view,
     json_response,
     rejection_response,
-    view_of,
 )
 from .job_parsing import (
     Query,
@@ -40,7 +40,7 @@
 )
 from .request_handler import check_body_size, read_body
 from .request_parsing import split_target
-from .responses import STATUS, KeepAliveResponse, answer_headers
+from .responses import STATUS_BY_ANSWER, KeepAliveResponse, answer_headers
 
 # None: the job never ran and is released again.
 LATE_OUTCOMES = {"done": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "returned": None}
@@ -110,16 +110,16 @@
         views = await self._submit(submissions)
         if is_batch:
             return json_response(202, PageView(views, None))
-        return _accepted(views[0])
+        return _accepted_response(views[0])
 
     async def _submit_raw(self, request: BaseRequest, job_class: str, body: bytes) -> web.Response:
         views = await self._submit([self._parser.parse_raw(request, job_class, body)])
-        return _accepted(views[0])
+        return _accepted_response(views[0])
 
     async def _submit(self, submissions: list[Submission]) -> list[JobView]:
         existing = await self._queue.intake.find_existing(submissions)
         if existing is not None:
-            return [view_of(recalled) for recalled in existing]
+            return [job_view(recalled) for recalled in existing]
         jobs = self._queue.submit(submissions)
         await self._queue.intake.durable()
         return [self._view(job) for job in jobs]
@@ -130,7 +130,7 @@
         recalled = await self._wait_for_end(job_id, query)
         if self._queue.find(job_id) is recalled.job:
             return json_response(200, self._view(recalled.job))
-        return json_response(200, view_of(recalled))
+        return json_response(200, job_view(recalled))
 
     async def _result(self, job_id: str, query: Query) -> web.Response:
         recalled = await self._wait_for_end(job_id, query)
@@ -164,12 +164,12 @@
     async def _respond_durably(self, job_id: str, is_accepted: bool) -> web.Response:
         await self._queue.intake.durable()
         recalled = await self._recall(job_id)
-        return json_response(200 if is_accepted else 409, view_of(recalled))
+        return json_response(200 if is_accepted else 409, job_view(recalled))
 
     async def _cancel(self, job_id: str) -> web.Response:
         job = self._queue.cancel(job_id)
         if job is None:
-            return json_response(409, view_of(await self._recall(job_id)))
+            return json_response(409, job_view(await self._recall(job_id)))
         if job.durable and job.outcome is not None:
             await self._queue.intake.durable()
         return json_response(200 if job.outcome is not None else 202, self._view(job))
@@ -192,10 +192,10 @@
     def _view(self, job: Job) -> JobView:
         has_position = job.state in (JobState.READY, JobState.AWAITING_IDLE)
         position = self._queue.position(job) if has_position else None
-        return view_of(RecalledJob(job, self._queue.result(job.id)), position)
+        return job_view(RecalledJob(job, self._queue.result(job.id)), position)
 
 
-def _accepted(view: JobView) -> web.Response:
+def _accepted_response(view: JobView) -> web.Response:
     response = json_response(202, view)
     response.headers["Location"] = f"{JOBS_PATH}/{view.id}"
     return response
@@ -210,4 +210,4 @@
     if result.outcome is not JobOutcome.SERVED:
         never_ran = "; it never ran" if result.run_state is RunState.NEVER_RAN else ""
         body = f"{result.reason}{never_ran}\n".encode()
-    return web.Response(status=STATUS[answer.kind], headers=headers, body=body)
+    return web.Response(status=STATUS_BY_ANSWER[answer.kind], headers=headers, body=body)
--- a/oxbowyard/clients/responses.py
+++ b/oxbowyard/clients/responses.py
@@ -10,7 +10,7 @@
 from ..core.request import Answer, AnswerKind
 from .errors import RequestError
 
-STATUS = {AnswerKind.SERVED: 200, AnswerKind.REJECTED: 503, AnswerKind.FAILED: 502}
+STATUS_BY_ANSWER = {AnswerKind.SERVED: 200, AnswerKind.REJECTED: 503, AnswerKind.FAILED: 502}
 BODY_MEMORY_RETRY_AFTER = "1.000"  # seconds
 
 
@@ -28,7 +28,7 @@
 def answer_response(answer: Answer) -> web.Response:
     """The response to a request that the core has answered."""
     body = answer.body if answer.kind is AnswerKind.SERVED else answer.reason.encode()
-    return web.Response(status=STATUS[answer.kind], headers=answer_headers(answer), body=body)
+    return web.Response(status=STATUS_BY_ANSWER[answer.kind], headers=answer_headers(answer), body=body)
 
 
 def error_response(request: BaseRequest, error: RequestError) -> web.Response:
@@ -43,7 +43,7 @@
     return response
 
 
-def bare_response(status: HTTPStatus) -> bytes:
+def empty_response(status: HTTPStatus) -> bytes:
     """The bytes of a response without a body that closes its connection."""
     line = f"HTTP/1.1 {status.value} {status.phrase}"
     return f"{line}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n".encode()
--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -44,8 +44,8 @@
         """Close the connection that is silent longest; returns whether there was one to close."""
         now = asyncio.get_running_loop().time()
         silent = [c for c in self._open if c.phase in (Phase.SILENT, Phase.READING)]
-        longest = min(silent, key=lambda connection: connection.since, default=None)
-        if longest is None or now - longest.since < MIN_SILENCE_S:
+        longest = min(silent, key=lambda connection: connection.phase_started_at, default=None)
+        if longest is None or now - longest.phase_started_at < MIN_SILENCE_S:
             return False
         self._evict(longest)
         return True
--- a/oxbowyard/control/counters.py
+++ b/oxbowyard/control/counters.py
@@ -11,7 +11,7 @@
 from ..discovery.registry import Registry
 
 # The platform's keys; a request whose client has disconnected is counted under none of them.
-KEY_OF_ANSWER = {
+KEY_BY_ANSWER = {
     AnswerKind.SERVED: "fulfilled",
     AnswerKind.REJECTED: "throttled",
     AnswerKind.FAILED: "faulted",
@@ -41,7 +41,7 @@
     answers = sources.measure.answers_by_class()
     by_class: dict[str, object] = {
         key: {job_class: counts[kind] for job_class, counts in answers.items()}
-        for kind, key in KEY_OF_ANSWER.items()
+        for kind, key in KEY_BY_ANSWER.items()
     }
     return by_class | {
         "relayed": sources.relayed.total(),  # attempts, not jobs
--- a/oxbowyard/control/handlers.py
+++ b/oxbowyard/control/handlers.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sources:
+class AdminSources:
     """What the answers are read from, and what the requests act on."""
 
     is_ready: Callable[[], bool]
@@ -34,7 +34,7 @@
 class AdminHandlers:
     """Answers the operators' requests: success is 2xx, refusal 4xx, and 503 a process that is not ready."""
 
-    def __init__(self, sources: Sources) -> None:
+    def __init__(self, sources: AdminSources) -> None:
         self._sources = sources
 
     def __call__(self, method: str, path: str) -> AdminResponse:
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -54,7 +54,7 @@
 
     def bind_clients(self) -> Acceptor:
         """A listener at the clients' address that does not accept yet; raises OSError."""
-        return Acceptor("http", self.config.host, self.config.port, self.sessions, shared=True)
+        return Acceptor("http", self.config.host, self.config.port, self.sessions, reuse_port=True)
 
 
 def build_context(loaded: LoadedConfiguration, take_over: bool) -> ProgramContext:
--- a/oxbowyard/daemon/startup.py
+++ b/oxbowyard/daemon/startup.py
@@ -17,7 +17,7 @@
 
 from ..control.admin_server import AdminConnections
 from ..control.counters import CounterSources, read_counters
-from ..control.handlers import AdminHandlers, Sources
+from ..control.handlers import AdminHandlers, AdminSources
 from ..control.maintenance import SYNC_INTERVAL_S, Maintenance
 from ..listeners.acceptor import Acceptor
 from .context import ProgramContext
@@ -70,12 +70,12 @@
         subsystems.gearman.listen()
 
 
-def _admin_sources(context: ProgramContext, is_ready: Callable[[], bool]) -> Sources:
+def _admin_sources(context: ProgramContext, is_ready: Callable[[], bool]) -> AdminSources:
     subsystems = context.subsystems
     counters = CounterSources(
         subsystems.measure, subsystems.backends.sent_attempts, subsystems.registry, context.reload_counts
     )
-    return Sources(
+    return AdminSources(
         is_ready,
         lambda: read_counters(counters, subsystems.scheduler.open_request_count),
         context.maintenance,
--- a/oxbowyard/gearman/codec.py
+++ b/oxbowyard/gearman/codec.py
@@ -77,10 +77,10 @@
         """The items that the data completes, one by one. Raises StreamError, after those before it, where the
         stream cannot be decoded."""
         self._buffer += data
-        while (item := self._next()) is not None:
+        while (item := self._next_item()) is not None:
             yield item
 
-    def _next(self) -> Packet | TextCommand | None:
+    def _next_item(self) -> Packet | TextCommand | None:
         if not self._buffer:
             return None
         return self._next_packet() if self._buffer[0] == 0 else self._next_line()
--- a/oxbowyard/gearman/config.py
+++ b/oxbowyard/gearman/config.py
@@ -84,29 +84,31 @@
     host, _, port = str(document.get("listen", "")).rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError("listen is not an address")
-    bases = {c.name: c for c in classes}
+    base_classes = {c.name: c for c in classes}
     table = document.get("functions") or {}
     return GearmanConfig(
         host=host,
         port=int(port),
-        max_packet_bytes=_positive(document, "max_packet_bytes", DEFAULT_MAX_PACKET_BYTES),
-        max_connections=_positive(document, "max_connections", DEFAULT_MAX_CONNECTIONS),
-        max_buffered_bytes=_positive(document, "max_buffered_bytes", DEFAULT_MAX_BUFFERED_BYTES),
-        packet_timeout_s=_seconds(document, "packet_within_s", DEFAULT_PACKET_TIMEOUT_S, MAX_TIMEOUT_S),
-        max_queue=_positive(document, "max_queue", DEFAULT_MAX_QUEUE_JOBS),
-        max_held_bytes=_positive(document, "max_held_bytes", DEFAULT_MAX_HELD_BYTES),
-        functions={name: _function(name, row, bases) for name, row in table.items()},
+        max_packet_bytes=_positive_integer(document, "max_packet_bytes", DEFAULT_MAX_PACKET_BYTES),
+        max_connections=_positive_integer(document, "max_connections", DEFAULT_MAX_CONNECTIONS),
+        max_buffered_bytes=_positive_integer(document, "max_buffered_bytes", DEFAULT_MAX_BUFFERED_BYTES),
+        packet_timeout_s=_positive_seconds(
+            document, "packet_within_s", DEFAULT_PACKET_TIMEOUT_S, MAX_TIMEOUT_S
+        ),
+        max_queue=_positive_integer(document, "max_queue", DEFAULT_MAX_QUEUE_JOBS),
+        max_held_bytes=_positive_integer(document, "max_held_bytes", DEFAULT_MAX_HELD_BYTES),
+        functions={name: _function(name, row, base_classes) for name, row in table.items()},
     )
 
 
-def _seconds(row: dict[str, Any], key: str, default: float, maximum: float) -> float:
+def _positive_seconds(row: dict[str, Any], key: str, default: float, maximum: float) -> float:
     value = row.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < maximum:
         raise ValueError(f"{key} must be above 0 and under {maximum:g}")
     return float(value)
 
 
-def _positive(row: dict[str, Any], key: str, default: float) -> int:
+def _positive_integer(row: dict[str, Any], key: str, default: float) -> int:
     """A whole number; of others the fraction is dropped, which must not leave 0."""
     value = row.get(key, default)
     if not _is_number(value) or value < 1:
@@ -119,12 +121,12 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) <= MAX_NUMBER
 
 
-def _function(name: str, row: dict[str, Any], bases: dict[str, JobClass]) -> Function:
-    base = bases.get(row.get("class", ""))
+def _function(name: str, row: dict[str, Any], base_classes: dict[str, JobClass]) -> Function:
+    base = base_classes.get(row.get("class", ""))
     if base is None:
         raise ValueError(f"function {name}: class {row.get('class')!r} is not in the settings")
     job_class = _job_class(name, row, base)
-    max_wait_s = _seconds(row, "patience_s", 0.0, MAX_WAIT_S) if "patience_s" in row else None
+    max_wait_s = _positive_seconds(row, "patience_s", 0.0, MAX_WAIT_S) if "patience_s" in row else None
     queueing = row.get("queueing", False)
     if not isinstance(queueing, bool):
         raise ValueError(f"function {name}: queueing must be true or false")
@@ -133,7 +135,7 @@
 
 def _job_class(name: str, row: dict[str, Any], base: JobClass) -> JobClass:
     """The class of a function's jobs: its base class with the function's own deadline and weight."""
-    deadline_ms = float(_positive(row, "deadline_ms", base.deadline_ms))
+    deadline_ms = float(_positive_integer(row, "deadline_ms", base.deadline_ms))
     priority_weight = row.get("worth", base.priority_weight)
     if not _is_number(priority_weight) or priority_weight < 0:
         raise ValueError(f"function {name}: worth must not be negative")
--- a/oxbowyard/gearman/connection.py
+++ b/oxbowyard/gearman/connection.py
@@ -67,10 +67,10 @@
         self._decoder = Decoder(config.max_packet_bytes)
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None  # for the first packet, and each that has begun
-        self._ended = False  # nothing is sent any more, and what still comes is dropped
+        self._has_ended = False  # nothing is sent any more, and what still comes is dropped
         self._inbox: deque[Packet | TextCommand] = deque()
         self._stream_error: StreamError | None = None  # nothing after it can be decoded
-        self._input_paused = False
+        self._is_input_paused = False
         self.is_silent = True  # nothing complete has come from the peer
         self.accepts_exceptions = False
         self.address = "-"
@@ -97,7 +97,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Called by the loop with bytes from the peer: decode them and handle what is complete."""
-        if self._ended or self._stream_error is not None:
+        if self._has_ended or self._stream_error is not None:
             return
         buffered_before = self._decoder.buffered_bytes
         for item in self._decode(data):
@@ -105,7 +105,7 @@
             self._stop_timer()
             self._inbox.append(item)
         self._handle_inbox()
-        if self._decoder.buffered_bytes and not self._ended:
+        if self._decoder.buffered_bytes and not self._has_ended:
             self._start_timer()
             if not self._owner.may_buffer(self._decoder.buffered_bytes - buffered_before):
                 text = "unfinished packets hold all the memory they may"
@@ -120,22 +120,29 @@
             self._decoder.clear()
 
     def _handle_inbox(self) -> None:
-        while self._inbox and not self._input_paused and self._transport is not None and not self._ended:
+        while (
+            self._inbox and not self._is_input_paused and self._transport is not None and not self._has_ended
+        ):
             self._handler.handle(self._inbox.popleft())
-        if self._stream_error is not None and not self._inbox and not self._input_paused and not self._ended:
+        if (
+            self._stream_error is not None
+            and not self._inbox
+            and not self._is_input_paused
+            and not self._has_ended
+        ):
             self.end(self._stream_error.code, self._stream_error.text)
 
     def pause_input(self) -> None:
         """An answer has to wait, and so has what the peer sent after: answers keep their order."""
-        self._input_paused = True
+        self._is_input_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_input(self) -> None:
         """The answer that the input waited for has been sent."""
-        self._input_paused = False
+        self._is_input_paused = False
         self._handle_inbox()
-        if not self._input_paused and self._transport is not None and not self._transport.is_closing():
+        if not self._is_input_paused and self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     @property
@@ -156,7 +163,7 @@
 
     def send(self, data: bytes) -> None:
         """Write to the peer; one that does not read is disconnected before it fills the memory."""
-        if self._transport is None or self._transport.is_closing() or self._ended:
+        if self._transport is None or self._transport.is_closing() or self._has_ended:
             return
         self._transport.write(data)
         if self._transport.get_write_buffer_size() > MAX_UNREAD_PACKETS * self._config.max_packet_bytes:
@@ -172,7 +179,7 @@
         """
         self._owner.count_error(code)
         self.send(encode_error(code, text))
-        self._ended = True
+        self._has_ended = True
         self._decoder.clear()
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
@@ -190,7 +197,7 @@
         if not unsent_bytes(self._transport):
             self._transport.close()
             return
-        self._ended = True
+        self._has_ended = True
         self._transport.write_eof()
         self._transport.resume_reading()
 
@@ -218,7 +225,7 @@
 
     def _on_timeout(self) -> None:
         self._timer = None
-        if self._ended:
+        if self._has_ended:
             self.close()
         else:
             self.end(ErrorCode.TOO_SLOW, "no whole packet came in time")
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -13,7 +13,7 @@
 from .codec import encode, encode_error
 from .config import Function
 from .errors import ErrorCode, PacketRejectedError
-from .handles import parse_leased
+from .handles import parse_leased_handle
 from .job import DEFERRED_PRIORITIES, PRIORITY_EXTRA, UNIQUE_ENCODING, UNIQUE_EXTRA, Job, JobClient, Priority
 from .job_requests import build_request, digest_key
 from .job_results import send_result
@@ -41,7 +41,7 @@
     """A client whose submission is acknowledged once the job is stored."""
 
     client: JobClient
-    background: bool  # it does not wait for the job's end
+    is_background: bool  # it does not wait for the job's end
 
 
 class DeferredJobs:
@@ -54,11 +54,11 @@
         self._submitting: set[asyncio.Task[None]] = set()
         self._submitters: dict[Job, list[_Submitter]] = {}  # of jobs that are being stored
         queue.adopters.append(self.adopt)
-        queue.intake.journal_lost_callbacks.append(self._end_waits_for_stored_jobs)
+        queue.intake.journal_lost_callbacks.append(self._notify_store_lost)
 
-    def is_durable(self, submission: Submission) -> bool:
+    def must_store(self, submission: Submission) -> bool:
         """Whether the job is stored before its client gets the handle."""
-        return submission.background and bool(self._queue.ids.run_id)
+        return submission.is_background and bool(self._queue.ids.run_id)
 
     def submit(self, job: Job, request: Request, submission: Submission) -> None:
         """Submit a job that is not stored. Raises PacketRejectedError; the table has it no more then."""
@@ -84,7 +84,7 @@
     def join_once_stored(self, job: Job, submission: Submission, client: JobClient) -> None:
         """The client gets the handle of a job that is being stored, or the error, when that is done."""
         client.pause_input()
-        self._submitters[job].append(_Submitter(client, submission.background))
+        self._submitters[job].append(_Submitter(client, submission.is_background))
 
     async def _store(self, job: Job, request: Request, options: WaitOptions) -> None:
         rejection = encode_error(ErrorCode.JOB_QUEUE_FULL, "the job was not stored")
@@ -108,7 +108,7 @@
         """Send the handle of a stored job; a client that waits for the end gets one in any case."""
         client = submitter.client
         client.send(encode(PacketType.JOB_CREATED, handle))
-        if submitter.background or not client.is_connected():
+        if submitter.is_background or not client.is_connected():
             return
         job = self._table.find(handle)
         if job is not None:
@@ -146,7 +146,7 @@
         if function is None or function.job_class.name != request.job_class:
             return None
         unique = request.extras.get(UNIQUE_EXTRA, "").encode(UNIQUE_ENCODING)
-        job = self._table.add(request.id.encode(), function, unique, len(request.payload), background=True)
+        job = self._table.add(request.id.encode(), function, unique, len(request.payload), is_background=True)
         job.durable = True
         priority = Priority(int(request.extras.get(PRIORITY_EXTRA, Priority.NORMAL.value)))
         return build_request(job, request.payload, priority, self._table), self._on_end(job)
@@ -161,13 +161,13 @@
         Returns:
             False if the handle is not that of an indeterminate job's last attempt.
         """
-        attempt = parse_leased(handle)
+        attempt = parse_leased_handle(handle)
         if attempt is None:
             return False
         reason = "" if outcome is JobOutcome.SERVED else "its worker said so, late"
         return self._queue.deliver_late_result(attempt.job_id, attempt.lease, outcome, body, reason)
 
-    def _end_waits_for_stored_jobs(self) -> None:
+    def _notify_store_lost(self) -> None:
         """The ends of stored jobs can't be recorded any more, so nobody will be told of them."""
         for job in self._table.stored_jobs():
             job.send(encode(PacketType.WORK_WARNING, job.handle, b"its end is not known: the store is lost"))
@@ -187,7 +187,7 @@
         submission.function.max_wait_s,
         not_before_unix_s=submission.not_before_unix_s,
         priority=DEFERRED_PRIORITIES[submission.priority],
-        durable=submission.background,
+        durable=submission.is_background,
     )
 
 
--- a/oxbowyard/gearman/front.py
+++ b/oxbowyard/gearman/front.py
@@ -43,7 +43,7 @@
 
     def start_draining(self) -> None:
         """Accept no more jobs and connections; jobs that were accepted go on."""
-        self._jobs.limits.shutting_down = True
+        self._jobs.limits.is_shutting_down = True
         if self._acceptor is not None:
             self._acceptor.close()
 
@@ -60,7 +60,7 @@
     # ---- For the acceptor ----
 
     @property
-    def free(self) -> int:
+    def available_connections(self) -> int:
         """How many more connections may be accepted; always one, which gets an error if it is too many."""
         return max(self.config.max_connections - len(self._connections), 1)
 
--- a/oxbowyard/gearman/handles.py
+++ b/oxbowyard/gearman/handles.py
@@ -21,7 +21,7 @@
     return f"{request_id}.{number}{suffix}".encode()
 
 
-def parse_leased(handle: bytes) -> LeasedAttempt | None:
+def parse_leased_handle(handle: bytes) -> LeasedAttempt | None:
     """Parse the handle of a leased attempt; None if it cannot be one."""
     attempt, _, lease = handle.decode("latin-1").rpartition(".")
     if not attempt:
--- a/oxbowyard/gearman/job.py
+++ b/oxbowyard/gearman/job.py
@@ -61,7 +61,7 @@
     handle: bytes
     function: Function
     unique: bytes
-    background: bool
+    is_background: bool
     payload_bytes: int
     clients: dict[JobClient, None] = field(default_factory=dict)
     task: asyncio.Task[None] | None = None  # serves it, unless it is deferred
@@ -76,7 +76,7 @@
 
     def is_wanted(self) -> bool:
         """Whether it is a background job, or a client still waits for it."""
-        return self.background or any(client.is_connected() for client in self.clients)
+        return self.is_background or any(client.is_connected() for client in self.clients)
 
     def send(self, data: bytes) -> None:
         """Write to all clients that wait for it."""
--- a/oxbowyard/gearman/job_limits.py
+++ b/oxbowyard/gearman/job_limits.py
@@ -16,7 +16,7 @@
         self._config = config
         self._table = table
         self._max_waiting: dict[str, int] = {}  # by function; set by an operator
-        self.shutting_down = False  # no more jobs are accepted
+        self.is_shutting_down = False  # no more jobs are accepted
 
     def set_max_waiting(self, function: str, number: int) -> None:
         """Override the configured number of waiting jobs for a function; 0 or less: no limit."""
@@ -32,7 +32,7 @@
         if self._table.payload_bytes + payload_bytes > self._config.max_held_bytes:
             text = "the jobs that wait hold all the memory they may"
             raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, text)
-        if self.shutting_down:
+        if self.is_shutting_down:
             raise PacketRejectedError(ErrorCode.SHUTTING_DOWN, "this scheduler takes no more jobs")
         limit = self._limit(function.name, deferred)
         if limit != NO_LIMIT and self._table.counts(function.name).waiting >= limit:
--- a/oxbowyard/gearman/job_results.py
+++ b/oxbowyard/gearman/job_results.py
@@ -41,7 +41,7 @@
     if answer.kind is AnswerKind.SERVED:
         job.send(encode(PacketType.WORK_COMPLETE, job.handle, answer.body))
         return
-    if job.background:
+    if job.is_background:
         log.warning(
             "background job not served: job=%s function=%s outcome=%s reason=%s",
             job.id,
--- a/oxbowyard/gearman/job_table.py
+++ b/oxbowyard/gearman/job_table.py
@@ -33,9 +33,9 @@
         self._total: Counter[str] = Counter()  # by function
         self._running: Counter[str] = Counter()  # by function
 
-    def add(self, handle: bytes, function: Function, unique: bytes, size: int, background: bool) -> Job:
+    def add(self, handle: bytes, function: Function, unique: bytes, size: int, is_background: bool) -> Job:
         """Add a job; `size` is that of its workload in bytes."""
-        job = Job(handle, function, unique, background, size)
+        job = Job(handle, function, unique, is_background, size)
         self._by_handle[handle] = job
         self.payload_bytes += size
         self._total[function.name] += 1
@@ -60,11 +60,11 @@
         """The job with this handle."""
         return self._by_handle.get(handle)
 
-    def find_unique(self, function: Function, unique: bytes) -> Job | None:
+    def find_by_unique(self, function: Function, unique: bytes) -> Job | None:
         """The function's job with this unique id; without an id no job is the same as another."""
         return self._by_unique.get((function.name, unique)) if unique else None
 
-    def find_unique_in_any(self, unique: bytes) -> Job | None:
+    def find_by_unique_in_any_function(self, unique: bytes) -> Job | None:
         """The first job of any function with this unique id."""
         return next((job for (_, known), job in self._by_unique.items() if known == unique), None)
 
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -61,12 +61,12 @@
         """
         can_defer = self._deferred is not None
         submission = parse_submission(packet_type, arguments, self._functions, can_defer)
-        same = self._table.find_unique(submission.function, submission.unique)
-        if same is not None and self._deferred is not None and self._deferred.is_being_stored(same):
-            self._deferred.join_once_stored(same, submission, client)
-        elif same is not None and self._may_join(same, submission):
-            self._join(same, client, submission)
-        elif self._deferred is not None and (submission.function.queueing or submission.background):
+        existing = self._table.find_by_unique(submission.function, submission.unique)
+        if existing is not None and self._deferred is not None and self._deferred.is_being_stored(existing):
+            self._deferred.join_once_stored(existing, submission, client)
+        elif existing is not None and self._may_join(existing, submission):
+            self._join(existing, client, submission)
+        elif self._deferred is not None and (submission.function.queueing or submission.is_background):
             self._submit_deferred(self._deferred, submission, client)
         else:
             self._submit_now(submission, client)
@@ -77,7 +77,7 @@
 
         A job that is not stored can't stand for one that has to be.
         """
-        if job.durable or self._deferred is None or not self._deferred.is_durable(submission):
+        if job.durable or self._deferred is None or not self._deferred.must_store(submission):
             return True
         if submission.function.job_class.retry_safety is RetrySafety.IDEMPOTENT:
             return False
@@ -93,7 +93,7 @@
     def _submit_deferred(self, deferred: DeferredJobs, submission: Submission, client: JobClient) -> None:
         job = self._accept(submission, deferred=True)
         request = build_request(job, submission.workload, submission.priority, self._table)
-        if deferred.is_durable(submission):
+        if deferred.must_store(submission):
             deferred.submit_durable(job, request, submission, client)
             return
         deferred.submit(job, request, submission)
@@ -103,12 +103,12 @@
         size = len(submission.workload)
         self.limits.check(submission.function, size, deferred)
         handle = f"{self._handle_prefix}{next(self._numbers)}".encode()
-        return self._table.add(handle, submission.function, submission.unique, size, submission.background)
+        return self._table.add(handle, submission.function, submission.unique, size, submission.is_background)
 
     def _join(self, job: Job, client: JobClient, submission: Submission) -> None:
-        job.background |= submission.background
+        job.is_background |= submission.is_background
         client.send(encode(PacketType.JOB_CREATED, job.handle))
-        if not submission.background:
+        if not submission.is_background:
             self._table.add_client(job, client)
 
     async def _serve(self, job: Job, request: Request) -> None:
@@ -124,7 +124,7 @@
     def remove_client(self, client: JobClient) -> None:
         """A client has disconnected: jobs that nobody else waits for end, but for background jobs."""
         for job in self._table.remove_client(client):
-            if not job.clients and not job.background:
+            if not job.clients and not job.is_background:
                 self._cancel(job)
 
     def _cancel(self, job: Job) -> None:
@@ -149,7 +149,7 @@
 
     def status_by_unique(self, unique: bytes) -> bytes:
         """The answer to GET_STATUS_UNIQUE."""
-        job = self._table.find_unique_in_any(unique)
+        job = self._table.find_by_unique_in_any_function(unique)
         if job is None:
             return encode(PacketType.STATUS_RES_UNIQUE, unique, b"0", b"0", b"0", b"0", b"0")
         clients = b"%d" % len(job.clients)
--- a/oxbowyard/gearman/peer.py
+++ b/oxbowyard/gearman/peer.py
@@ -69,7 +69,7 @@
         """The connection has ended: jobs that only this client waits for end, and so does the worker."""
         self._jobs.remove_client(self._connection)
         if self._worker is not None:
-            self._workers.leave(self._worker)
+            self._workers.unregister(self._worker)
             self._worker = None
 
     def _handle_packet(self, packet: Packet) -> None:
@@ -110,7 +110,7 @@
             case PacketType.SET_CLIENT_ID:
                 self._set_client_id(arguments[0])
             case PacketType.CAN_DO:
-                self._workers.add_ability(self._as_worker(), _checked_name(arguments[0]))
+                self._workers.add_ability(self._as_worker(), _check_name(arguments[0]))
             case PacketType.CAN_DO_TIMEOUT:
                 self._add_limited_ability(arguments[0], arguments[1])
             case PacketType.CANT_DO:
@@ -124,11 +124,11 @@
 
     def _as_worker(self) -> Worker:
         if self._worker is None:
-            self._worker = self._workers.join(self._connection)
+            self._worker = self._workers.register(self._connection)
         return self._worker
 
     def _update_job(self, packet_type: PacketType, arguments: list[bytes]) -> None:
-        if self._worker is not None and self._transport.update(self._worker, packet_type, arguments):
+        if self._worker is not None and self._transport.apply_update(self._worker, packet_type, arguments):
             return
         # The worker may have lost the job to its limit, or sent WORK_FAIL after WORK_EXCEPTION. Or it had the
         # job on an earlier connection or from an earlier process, and that job's outcome is indeterminate.
@@ -146,7 +146,7 @@
         self._connection.send(encode(PacketType.OPTION_RES, option))
 
     def _set_client_id(self, name: bytes) -> None:
-        text = _checked_name(name).decode("utf-8", "replace")
+        text = _check_name(name).decode("utf-8", "replace")
         if not text or not text.isprintable() or " " in text:
             raise PacketRejectedError(ErrorCode.INVALID_CLIENT_ID, "a client id is one printable word")
         self._as_worker().client_id = text
@@ -154,13 +154,13 @@
     def _add_limited_ability(self, function: bytes, limit: bytes) -> None:
         if not limit.isdigit() or len(limit) > MAX_TIMEOUT_DIGITS:
             raise PacketRejectedError(ErrorCode.INVALID_TIMEOUT, "the time-out is not a number of seconds")
-        self._workers.add_ability(self._as_worker(), _checked_name(function), float(limit))
+        self._workers.add_ability(self._as_worker(), _check_name(function), float(limit))
 
     def _send_error(self, code: ErrorCode, text: str) -> None:
         self._connection.send(encode_error(code, text))
 
 
-def _checked_name(name: bytes) -> bytes:
+def _check_name(name: bytes) -> bytes:
     if len(name) > MAX_NAME_BYTES:
         raise PacketRejectedError(ErrorCode.NAME_TOO_LONG, f"a name holds {MAX_NAME_BYTES} bytes at most")
     return name
--- a/oxbowyard/gearman/submission.py
+++ b/oxbowyard/gearman/submission.py
@@ -20,17 +20,17 @@
     """What the type of a packet says of its job."""
 
     priority: Priority
-    background: bool  # the client does not wait for the result
+    is_background: bool  # the client does not wait for the result
 
 
 SUBMISSION_KINDS = {
-    PacketType.SUBMIT_JOB: SubmissionKind(Priority.NORMAL, background=False),
-    PacketType.SUBMIT_JOB_BG: SubmissionKind(Priority.NORMAL, background=True),
-    PacketType.SUBMIT_JOB_HIGH: SubmissionKind(Priority.HIGH, background=False),
-    PacketType.SUBMIT_JOB_HIGH_BG: SubmissionKind(Priority.HIGH, background=True),
-    PacketType.SUBMIT_JOB_LOW: SubmissionKind(Priority.LOW, background=False),
-    PacketType.SUBMIT_JOB_LOW_BG: SubmissionKind(Priority.LOW, background=True),
-    PacketType.SUBMIT_JOB_EPOCH: SubmissionKind(Priority.NORMAL, background=True),
+    PacketType.SUBMIT_JOB: SubmissionKind(Priority.NORMAL, is_background=False),
+    PacketType.SUBMIT_JOB_BG: SubmissionKind(Priority.NORMAL, is_background=True),
+    PacketType.SUBMIT_JOB_HIGH: SubmissionKind(Priority.HIGH, is_background=False),
+    PacketType.SUBMIT_JOB_HIGH_BG: SubmissionKind(Priority.HIGH, is_background=True),
+    PacketType.SUBMIT_JOB_LOW: SubmissionKind(Priority.LOW, is_background=False),
+    PacketType.SUBMIT_JOB_LOW_BG: SubmissionKind(Priority.LOW, is_background=True),
+    PacketType.SUBMIT_JOB_EPOCH: SubmissionKind(Priority.NORMAL, is_background=True),
 }
 
 
@@ -42,7 +42,7 @@
     unique: bytes
     workload: bytes
     priority: Priority
-    background: bool
+    is_background: bool
     not_before_unix_s: float | None = None
 
 
@@ -70,12 +70,12 @@
     if function is None:
         raise PacketRejectedError(ErrorCode.UNKNOWN_FUNCTION, "no such function here")
     if unique == UNIQUE_IS_WORKLOAD:
-        unique = _unique_of(workload)
+        unique = _workload_unique(workload)
     kind = SUBMISSION_KINDS[packet_type]
-    return Submission(function, unique, workload, kind.priority, kind.background, not_before_unix_s)
+    return Submission(function, unique, workload, kind.priority, kind.is_background, not_before_unix_s)
 
 
-def _unique_of(workload: bytes) -> bytes:
+def _workload_unique(workload: bytes) -> bytes:
     """The unique id that stands for a workload: an argument of a packet, which ends at a NUL."""
     return hashlib.sha256(workload).hexdigest().encode() if b"\0" in workload else workload
 
--- a/oxbowyard/gearman/text_commands.py
+++ b/oxbowyard/gearman/text_commands.py
@@ -44,7 +44,7 @@
         lines = []
         for name in self._functions:
             counts = self._jobs.counts(name)
-            lines.append(f"{name}\t{counts.total}\t{counts.running}\t{self._workers.number_able(name)}\n")
+            lines.append(f"{name}\t{counts.total}\t{counts.running}\t{self._workers.count_capable(name)}\n")
         return "".join(lines) + END_OF_LIST
 
     def _list_workers(self) -> str:
--- a/oxbowyard/gearman/worker.py
+++ b/oxbowyard/gearman/worker.py
@@ -30,8 +30,8 @@
     abilities: dict[str, float] = field(default_factory=dict)  # function: its limit in seconds, 0: none
     pending: list[Assignment] = field(default_factory=list)  # assigned, not grabbed yet
     grabbed: dict[bytes, Assignment] = field(default_factory=dict)  # by handle, until it reports their end
-    asleep: bool = False
-    announced: bool = False  # as able to do at least one function of the configuration
+    is_asleep: bool = False
+    is_announced: bool = False  # as able to do at least one function of the configuration
     client_id: str = "-"
 
     @property
@@ -39,7 +39,7 @@
         """Whether it still works on a job that ended without its report: it grabs no other before that."""
         return any(assignment.is_over for assignment in self.grabbed.values())
 
-    def load(self) -> dict[str, float]:
+    def load_report(self) -> dict[str, float]:
         """Its load report, as other backends send it."""
         return {"free_slots": 0.0 if self.grabbed else 1.0, "waiting": float(len(self.pending))}
 
@@ -50,7 +50,7 @@
 
     def sleep(self) -> None:
         """It sleeps until there is a job for it."""
-        self.asleep = True
+        self.is_asleep = True
         self._wake()
 
     def next_pending(self) -> Assignment | None:
@@ -60,7 +60,7 @@
         candidates = (assignment for assignment in self.pending if not assignment.is_over)
         return min(candidates, key=lambda assignment: assignment.priority, default=None)
 
-    def give_back(self, reason: str) -> None:
+    def reject_ungrabbable(self, reason: str) -> None:
         """End the chosen assignments that it will not grab as rejected, so that they go elsewhere."""
         for assignment in list(self.pending):
             if self.holds_ended_job or assignment.request.target not in self.abilities:
@@ -80,6 +80,6 @@
             assignment.end(outcome)
 
     def _wake(self) -> None:
-        if self.asleep and self.pending:
-            self.asleep = False
+        if self.is_asleep and self.pending:
+            self.is_asleep = False
             self.connection.send(encode(PacketType.NOOP))
--- a/oxbowyard/gearman/worker_transport.py
+++ b/oxbowyard/gearman/worker_transport.py
@@ -55,11 +55,11 @@
         # The worker does not know that it is over, and works on.
         if assignment.handle in worker.grabbed and worker.name in self.workers.connected:
             self.workers.announce(worker)
-            worker.give_back("worker still works on a job that is over")
+            worker.reject_ungrabbable("worker still works on a job that is over")
 
     def grab(self, worker: Worker, grab_type: PacketType) -> None:
         """Send the worker its next job, or that there is none."""
-        worker.asleep = False
+        worker.is_asleep = False
         assignment = worker.next_pending()
         if assignment is None:
             worker.connection.send(encode(PacketType.NO_JOB))
@@ -89,7 +89,7 @@
         if worker.name in self.workers.connected:
             self.workers.announce(worker)
 
-    def update(self, worker: Worker, packet_type: PacketType, arguments: list[bytes]) -> bool:
+    def apply_update(self, worker: Worker, packet_type: PacketType, arguments: list[bytes]) -> bool:
         """Apply a worker's WORK packet to the assignment that it names.
 
         Returns:
@@ -116,7 +116,7 @@
         if is_late:
             self.workers.announce(worker)  # it may have its next job now
         reason = packet_type.name.lower()
-        assignment.end(AttemptOutcome(END_RESULTS[packet_type], body, worker.load(), reason))
+        assignment.end(AttemptOutcome(END_RESULTS[packet_type], body, worker.load_report(), reason))
         return not is_late
 
 
--- a/oxbowyard/gearman/workers.py
+++ b/oxbowyard/gearman/workers.py
@@ -28,13 +28,13 @@
         self.connected: dict[str, Worker] = {}  # by name
         self.on_change: UpdateEndpoints = lambda scope, infos, source: None
 
-    def join(self, connection: WorkerConnection) -> Worker:
+    def register(self, connection: WorkerConnection) -> Worker:
         """Add the worker of a connection; it is announced with its first function."""
         worker = Worker(f"{KIND}:{next(self._numbers)}", connection)
         self.connected[worker.name] = worker
         return worker
 
-    def leave(self, worker: Worker) -> None:
+    def unregister(self, worker: Worker) -> None:
         """Remove a worker whose connection has ended."""
         del self.connected[worker.name]
         worker.abilities.clear()
@@ -69,20 +69,20 @@
         configured = [self._functions[name] for name in worker.abilities if name in self._functions]
         names = [function.job_class.name for function in configured]
         classes = frozenset(names + [name + AGED_CLASS_SUFFIX for name in names])
-        if not classes and not worker.announced:
+        if not classes and not worker.is_announced:
             return
-        worker.announced = bool(classes)
+        worker.is_announced = bool(classes)
         readiness = _readiness(worker, bool(classes))
         info = WorkerInfo(worker.name, readiness, kind=KIND, classes=classes, slots=1, private=True)
         self.on_change(Scope.CHANGES, (info,), KIND)
 
-    def number_able(self, function: str) -> int:
+    def count_capable(self, function: str) -> int:
         """How many workers can do a function."""
         return sum(function in worker.abilities for worker in self.connected.values())
 
     def _announce_removal(self, worker: Worker) -> None:
         self.announce(worker)
-        worker.give_back("worker took the function back")
+        worker.reject_ungrabbable("worker took the function back")
 
 
 def _readiness(worker: Worker, is_able: bool) -> Readiness:
--- a/oxbowyard/listeners/acceptor.py
+++ b/oxbowyard/listeners/acceptor.py
@@ -11,11 +11,13 @@
 
 log = logging.getLogger("oxbowyard.listeners")
 
-RETRY_FULL_S = 0.02  # until a full owner is asked again for a place
-RETRY_NO_DESCRIPTOR_S = 0.05  # until a connection is accepted again after the system was out of descriptors
+FULL_RETRY_DELAY_S = 0.02  # until a full owner is asked again for a place
+NO_DESCRIPTOR_RETRY_DELAY_S = (
+    0.05  # until a connection is accepted again after the system was out of descriptors
+)
 MAX_ACCEPTS_AT_ONCE = 16  # then the open connections have their turn of the loop
 BACKLOG = 1024  # connections that the system holds until they are accepted: hundreds may come at once
-OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ConnectionOwner(Protocol):
@@ -24,7 +26,7 @@
     counts: Counter[str]  # of events that have no log line of their own
 
     @property
-    def free(self) -> int:
+    def available_connections(self) -> int:
         """How many more connections may be accepted."""
 
     def evict_idle_connection(self) -> bool:
@@ -51,11 +53,11 @@
     """
 
     def __init__(
-        self, front: str, host: str, port: int, owner: ConnectionOwner, shared: bool = False
+        self, front: str, host: str, port: int, owner: ConnectionOwner, reuse_port: bool = False
     ) -> None:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._listener = socket.create_server(
-            (host.strip("[]"), port), family=family, backlog=BACKLOG, reuse_port=shared
+            (host.strip("[]"), port), family=family, backlog=BACKLOG, reuse_port=reuse_port
         )
         self._listener.setblocking(False)
         self._owner = owner
@@ -78,7 +80,7 @@
         if self._listener.fileno() < 0:
             return
         self._pause()
-        places = self._owner.free
+        places = self._owner.available_connections
         while self._accept(1) and (places > 1 or self._owner.evict_idle_connection()):
             places -= 1
         self._pause()  # `_accept` may have set the timer
@@ -92,10 +94,10 @@
 
     def _on_readable(self) -> None:
         """Accept in one step, so that no connection is lost whatever ends this."""
-        if self._owner.free:
-            self._accept(min(MAX_ACCEPTS_AT_ONCE, self._owner.free))
+        if self._owner.available_connections:
+            self._accept(min(MAX_ACCEPTS_AT_ONCE, self._owner.available_connections))
         elif not self._owner.evict_idle_connection():  # else there is a place in the loop's next turn
-            self._pause(RETRY_FULL_S)
+            self._pause(FULL_RETRY_DELAY_S)
 
     def _pause(self, duration_s: float | None = None) -> None:
         """Accept nothing for so long, or for good."""
@@ -114,10 +116,10 @@
             except BlockingIOError:
                 return False
             except OSError as fault:
-                if fault.errno in OUT_OF_RESOURCES:
+                if fault.errno in RESOURCE_ERRNOS:
                     # The listener stays readable: without a pause this would take the whole processor.
                     self._owner.counts["no descriptor"] += 1
-                    self._pause(RETRY_NO_DESCRIPTOR_S)
+                    self._pause(NO_DESCRIPTOR_RETRY_DELAY_S)
                     return False
                 continue  # that client went before it was accepted
             self._connect(connection)
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -17,7 +17,7 @@
 from oxbowyard.clients.job_documents import BatchDocument, JobDocument, JobView
 from oxbowyard.clients.limits import MAX_BODY_BYTES
 from oxbowyard.clients.request_parsing import DURATION_PATTERN, ID_PATTERN
-from oxbowyard.clients.responses import STATUS
+from oxbowyard.clients.responses import STATUS_BY_ANSWER
 from oxbowyard.core.request import RunState
 from oxbowyard.decision.facade import Result
 from oxbowyard.waiting.job import JobOutcome, JobState
@@ -68,7 +68,7 @@
     assert (
         SUBMIT["requestBody"]["content"]["application/octet-stream"]["schema"]["maxLength"] == MAX_BODY_BYTES
     )
-    assert {str(s) for s in STATUS.values()} <= set(SUBMIT["responses"])
+    assert {str(s) for s in STATUS_BY_ANSWER.values()} <= set(SUBMIT["responses"])
 
 
 def schema(name: str) -> dict[str, Any]:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
 from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
 from oxbowyard.gearman.job_requests import digest_key
-from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
+from oxbowyard.listeners.acceptor import NO_DESCRIPTOR_RETRY_DELAY_S, Acceptor
 
 OTHERS = tuple(
     JobClass(name, latency_objective_ms=1000, deadline_ms=5000) for name in ("label-check", "accession")
@@ -39,7 +39,7 @@
 
 def test_without_a_descriptor_the_acceptor_tries_again_now_and_then() -> None:
     class Sessions:
-        free = 1
+        available_connections = 1
 
         def __init__(self) -> None:
             self.counts: Counter[str] = Counter()
@@ -59,10 +59,10 @@
         with socket.create_connection(acceptor._listener.getsockname()):  # it stays readable all the time
             acceptor._listener = Listener(acceptor._listener)  # type: ignore[assignment]
             acceptor.open()
-            await asyncio.sleep(4.5 * RETRY_NO_DESCRIPTOR_S)
+            await asyncio.sleep(4.5 * NO_DESCRIPTOR_RETRY_DELAY_S)
             acceptor.close()
             assert 2 <= sessions.counts["no descriptor"] <= 6
-            await asyncio.sleep(2 * RETRY_NO_DESCRIPTOR_S)
+            await asyncio.sleep(2 * NO_DESCRIPTOR_RETRY_DELAY_S)
             assert sessions.counts["no descriptor"] <= 6, "once closed it stays closed"
 
     asyncio.run(play())
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -226,14 +226,14 @@
 
 def test_two_listeners_share_the_clients_address() -> None:
     async def play() -> None:
-        first = Acceptor("http", "127.0.0.1", 0, _NoSessions(), shared=True)
+        first = Acceptor("http", "127.0.0.1", 0, _NoSessions(), reuse_port=True)
         port = first._listener.getsockname()[1]
-        second = Acceptor("http", "127.0.0.1", port, _NoSessions(), shared=True)
+        second = Acceptor("http", "127.0.0.1", port, _NoSessions(), reuse_port=True)
         first.close()
         second.close()
         alone = Acceptor("http", "127.0.0.1", 0, _NoSessions())
         try:
-            Acceptor("http", "127.0.0.1", alone._listener.getsockname()[1], _NoSessions(), shared=True)
+            Acceptor("http", "127.0.0.1", alone._listener.getsockname()[1], _NoSessions(), reuse_port=True)
         except OSError:
             pass
         else:
@@ -247,7 +247,7 @@
 class _NoSessions:
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.free = 0
+        self.available_connections = 0
 
     def evict_idle_connection(self) -> bool:
         return False
