--- a/oxbowyard/clients/__init__.py
+++ b/oxbowyard/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections over HTTP: the platform's protocol, and the API of deferred jobs below /jobs."""
+"""HTTP front for clients: the platform's request protocol, and the deferred-job API under /jobs."""
--- a/oxbowyard/clients/body_memory.py
+++ b/oxbowyard/clients/body_memory.py
@@ -1,4 +1,4 @@
-"""Bounds the memory that the bodies of all requests in progress take together."""
+"""Limits the total memory held by the bodies of all requests in progress."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class BodyMemory:
-    """The bytes reserved for bodies, each from when it is announced until its request is answered."""
+    """A budget of bytes for request bodies. A reservation lasts until its request has been answered."""
 
     def __init__(self, max_bytes: int) -> None:
-        """At most `max_bytes` are reserved at a time."""
+        """Create a budget of `max_bytes` bytes."""
         self._max_bytes = max_bytes
         self._reserved_bytes = 0
 
     @contextmanager
     def reserve(self, size_bytes: int) -> Iterator[None]:
-        """Reserve memory within the context.
+        """Reserve `size_bytes` bytes for the duration of the context.
 
         Raises:
-            BodyMemoryFullError: The bound would be exceeded.
+            BodyMemoryFullError: The reservation would exceed the budget.
         """
         if self._reserved_bytes + size_bytes > self._max_bytes:
             raise BodyMemoryFullError("too much is held already")
--- a/oxbowyard/clients/client_connections.py
+++ b/oxbowyard/clients/client_connections.py
@@ -1,4 +1,4 @@
-"""The clients' connections on aiohttp's low-level server. Requests go to the core."""
+"""Client connections on aiohttp's low-level server, which pass requests on to the scheduler core."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 log = logging.getLogger("oxbowyard.clients")
 
 READINESS_PATH = "/up"
-JOBS_PATH = "/jobs"  # of deferred jobs, where they are switched on
+JOBS_PATH = "/jobs"  # served only where deferred jobs are enabled
 
-# Answers a request below JOBS_PATH; raises RequestError.
+# Answers a request under JOBS_PATH. May raise RequestError.
 JobsHandler = Callable[[BaseRequest, BodyMemory | None], Awaitable[web.StreamResponse]]
 
 
 def is_jobs_path(target: str) -> bool:
-    """Whether the request target is one of deferred jobs."""
+    """Return whether the request target belongs to the deferred-job API."""
     path = target.partition("?")[0]
     return path == JOBS_PATH or path.startswith(JOBS_PATH + "/")
 
 
 class ClientConnections(ConnectionSet):
-    """Reads requests from the clients' connections and answers them."""
+    """Reads requests from client connections and answers them."""
 
     def __init__(
         self,
@@ -46,15 +46,15 @@
         max_body_memory_bytes: int,
         jobs_handler: JobsHandler | None = None,
     ) -> None:
-        """Serve clients of one listener.
+        """Create the connection set of one listener.
 
         Args:
-            scheduler: The core that answers requests.
-            classes: The job classes that clients may name; a change of settings replaces them.
-            is_up: Whether the scheduler is ready for clients.
-            max_connections: How many may be open at once.
-            max_body_memory_bytes: How much the bodies of all requests in progress may take together.
-            jobs_handler: Answers requests below `/jobs`; None: deferred jobs are switched off.
+            scheduler: The scheduler core, which answers the requests.
+            classes: The job classes that clients may name. A change of settings replaces them.
+            is_up: Returns whether the scheduler is ready for clients.
+            max_connections: The maximum number of open connections.
+            max_body_memory_bytes: The maximum total size of the bodies of all requests in progress.
+            jobs_handler: Answers requests under `/jobs`; None if deferred jobs are disabled.
         """
         super().__init__(self._handle, max_connections)
         self._scheduler = scheduler
@@ -66,15 +66,16 @@
         self._all_closed: asyncio.Future[None] | None = None  # awaited by `close`
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection from the set."""
         super().on_connection_lost(connection)
         if not self._open and self._all_closed is not None and not self._all_closed.done():
             self._all_closed.set_result(None)
 
     def evict_idle_connection(self) -> bool:
-        """Close the connection that is needed least, whose descriptor is free a moment later.
+        """Close the connection that `clients.eviction` selects, to free its file descriptor.
 
-        Returns whether there was one that may be closed.
+        Returns:
+            Whether there was a connection that may be closed.
         """
         now = asyncio.get_running_loop().time()
         evicted = select_connection_to_evict(self._open, self._max_connections, now)
@@ -84,26 +85,26 @@
         return True
 
     def start_draining(self) -> None:
-        """From now on each response closes its connection."""
+        """Close each connection after its next response."""
         self._is_draining = True
 
     def stop_draining(self) -> None:
-        """Connections stay open again after their responses."""
+        """Keep connections open after their responses again."""
         self._is_draining = False
 
     def close_idle(self) -> None:
-        """Close the connections that wait for a further request, unless one has arrived unread.
+        """Close the keep-alive connections on which no unread request has arrived.
 
-        HTTP lets a server close between requests: a client whose request crosses the close sends it again.
+        HTTP allows a server to close an idle connection: a client whose request crosses the close retries it.
         """
         idle = [c for c in self._open if c.phase is Phase.KEEP_ALIVE and not is_readable(c.transport)]
         for connection in idle:
             connection.force_close()
 
     async def close(self, timeout_s: float) -> None:
-        """Close every connection once no response is pending on it; after `timeout_s`, close all the same.
+        """Close every connection as soon as no response is pending on it, and all of them after `timeout_s`.
 
-        What has arrived unread is read and answered first. No new connection may be accepted any more.
+        Requests that have arrived unread are read and answered first. The listener must be closed by now.
         """
         for connection in list(self._open):
             connection.close_when_idle()
--- a/oxbowyard/clients/errors.py
+++ b/oxbowyard/clients/errors.py
@@ -1,6 +1,6 @@
-"""Errors that a client's request is answered with instead of being passed on to the scheduler.
+"""Errors that answer a client's request before it reaches the scheduler.
 
-The texts are on the wire: they stay as they are.
+Clients receive the texts in the response body, so a change of a text is a change of the protocol.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class RequestError(Exception):
-    """The request is not accepted. It is answered with `status` and `text`, and has not run anywhere."""
+    """The request is rejected with `status` and `text`, and has not run on any worker."""
 
     status = HTTPStatus.INTERNAL_SERVER_ERROR
 
@@ -25,13 +25,13 @@
 
 
 class PathNotFoundError(RequestError):
-    """Nothing is served below the path."""
+    """The path does not exist."""
 
     status = HTTPStatus.NOT_FOUND
 
 
 class MethodNotAllowedError(RequestError):
-    """The path is not served by this method."""
+    """The path does not support the method."""
 
     status = HTTPStatus.METHOD_NOT_ALLOWED
 
@@ -49,6 +49,6 @@
 
 
 class BodyMemoryFullError(RequestError):
-    """The bodies in memory leave no place for this one. A retry does no harm."""
+    """The memory for request bodies is exhausted. The request is safe to retry."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
--- a/oxbowyard/clients/eviction.py
+++ b/oxbowyard/clients/eviction.py
@@ -1,4 +1,4 @@
-"""Which connection is closed for a new one when all that the descriptors allow are open."""
+"""Selects the connection to close for a new one when the limit of open connections is reached."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True, frozen=True)
 class EvictionRule:
-    """Connections that may be closed once they have been in their phase for `min_age_s`."""
+    """A kind of connection that may be closed after `min_age_s` in its current phase."""
 
     matches: Callable[[Connection], bool]
     min_age_s: float
 
 
 def has_no_request(connection: Connection) -> bool:
-    """Whether the client has not sent a request for a job so far, and is not sending one now."""
+    """Return whether the client has sent no job request so far and is not sending one now."""
     idle = connection.phase is Phase.KEEP_ALIVE and not connection.has_sent_request
     return connection.phase is Phase.SILENT or idle
 
@@ -41,14 +41,16 @@
     return connection.phase is Phase.READING
 
 
-# In this order, and of several the one longest in its phase. Never one with a response pending.
+# In order of preference; among several matches, the connection that has been in its phase longest is closed.
+# A connection with a pending response is never closed.
 RULES = (
     EvictionRule(_is_draining, 0.0),
     EvictionRule(has_no_request, MIN_NO_REQUEST_AGE_S),
     EvictionRule(_is_keep_alive, MIN_KEEP_ALIVE_AGE_S),
     EvictionRule(_is_reading, MIN_READING_AGE_S),
 )
-# When none of these matches, unless so many connections have no request that their rule soon will.
+# Used if none of RULES applies, unless so many connections have sent no request that their rule will soon
+# apply.
 RULES_UNDER_PRESSURE = (
     EvictionRule(_is_keep_alive, MIN_AGE_UNDER_PRESSURE_S),
     EvictionRule(_is_reading, MIN_AGE_UNDER_PRESSURE_S),
@@ -58,15 +60,15 @@
 def select_connection_to_evict(
     connections: Collection[Connection], max_connections: int, now: float
 ) -> Connection | None:
-    """Select the connection to close.
+    """Select the connection to close in favour of a new one.
 
     Args:
         connections: The open connections.
-        max_connections: How many may be open.
-        now: The time of the event loop, in seconds.
+        max_connections: The maximum number of open connections.
+        now: The event loop time, in seconds.
 
     Returns:
-        The connection that is needed least; None if none may be closed.
+        The connection to close; None if none may be closed.
     """
     evicted = _first_match(RULES, connections, now)
     if evicted is not None:
@@ -89,5 +91,5 @@
 
 
 def _is_fully_read(connection: Connection) -> bool:
-    """Whether all that came has been read: closed before, a whole request would be lost."""
+    """Return whether no complete request is unread, since closing the connection would lose it."""
     return connection.phase is Phase.DRAINING or not connection.has_unread_request
--- a/oxbowyard/clients/job_documents.py
+++ b/oxbowyard/clients/job_documents.py
@@ -1,7 +1,7 @@
 """The JSON documents of the API of deferred jobs, described in api/openapi-waiting.json.
 
-The attributes are the keys on the wire, which keep the platform's words; `job_parsing` and the functions here
-map them to the code's.
+The attributes have the names of the keys on the wire. `job_parsing` and the functions here map them to the
+names that the rest of the program uses.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
     RejectionCode.CONFLICT: 409,
     RejectionCode.UNKNOWN_JOB: 404,
 }
-INVALID_JOB_STATUS = 422  # for every other code: no retry helps
+INVALID_JOB_STATUS = 422  # for all other codes, where a retry cannot succeed
 
 Document = TypeVar("Document", bound=msgspec.Struct)
 
 
 class DependencyDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """A job to wait for."""
+    """A job that has to end before the submitted one is released."""
 
     id: str
     when: Literal["served", "ended"] = "served"
@@ -50,7 +50,7 @@
 
     class_: str = msgspec.field(name="class")
     id: str | None = None
-    path: str | None = None  # with query, as a worker gets it; else /CLASS, with obj if that is given
+    path: str | None = None  # sent to the worker, with query; default: /CLASS, or /CLASS?obj=OBJ
     obj: str | None = None
     payload: str = ""
     payload_base64: bytes = b""
@@ -66,13 +66,13 @@
 
 
 class BatchDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """Several jobs, of which all are accepted or none."""
+    """A batch of jobs. Either all of them are accepted or none."""
 
     jobs: list[JobDocument]
 
 
 class LateResultDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """A worker's late report of how a job ended that it ran under this lease."""
+    """A worker's late report of the outcome of a job that it ran under this lease."""
 
     lease: str
     state: Literal["done", "failed", "returned"]
@@ -80,7 +80,7 @@
 
 
 class ResolutionDocument(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's statement of how a job of indeterminate outcome ended."""
+    """An operator's resolution of a job whose outcome is indeterminate."""
 
     by: str
     end: Literal["served", "failed", "never_ran"]
@@ -89,29 +89,29 @@
 
 
 class JobView(msgspec.Struct, omit_defaults=True):
-    """What a client is shown of a job."""
+    """The representation of a job in responses."""
 
     id: str
     class_: str = msgspec.field(name="class")
     state: str
-    ahead: int | None = None  # jobs of its class that are released before it
-    asks: int = 0  # submissions to the core
+    ahead: int | None = None  # jobs of its class that will be released before it
+    asks: int = 0  # number of submissions to the scheduler core
     end: str | None = None
     ran: str | None = None
     reason: str | None = None
     retry_after_s: float | None = None
-    by: str | None = None  # the operator who resolved it
+    by: str | None = None  # name of the operator who resolved it
 
 
 class PageView(msgspec.Struct):
-    """A page of a list of jobs."""
+    """One page of the list of jobs."""
 
     jobs: list[JobView]
     next: int | None
 
 
 def job_view(recalled: RecalledJob, position: int | None = None) -> JobView:
-    """What a client is shown of a job with its result; `position` is its place in its class's queue."""
+    """Return the view of a job and its result; `position` is the number of jobs ahead of it in the queue."""
     job, result = recalled.job, recalled.result
     view = JobView(job.id, job.job_class, job.state.value, position, job.submissions)
     if result is not None:
@@ -127,7 +127,7 @@
 
 
 def decode_document(body: bytes, document: type[Document]) -> Document:
-    """Decode a request's body; raises BadRequestError."""
+    """Decode a request body. Raises BadRequestError if it does not match the document type."""
     try:
         return msgspec.json.decode(body, type=document)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -135,12 +135,12 @@
 
 
 def json_response(status: int, view: JobView | PageView) -> web.Response:
-    """The response with one job or a page of them."""
+    """Create the response with one job or one page of jobs."""
     return KeepAliveResponse(status=status, body=msgspec.json.encode(view), content_type=JSON_CONTENT_TYPE)
 
 
 def rejection_response(error: JobRejectedError) -> web.Response:
-    """The response to a submission or a query that the queue rejects."""
+    """Create the response to a submission or query that the queue has rejected."""
     body = msgspec.json.encode({"error": error.code.value, "text": error.text})
     status = REJECTION_STATUS.get(error.code, INVALID_JOB_STATUS)
     response = KeepAliveResponse(status=status, body=body, content_type=JSON_CONTENT_TYPE)
--- a/oxbowyard/clients/job_parsing.py
+++ b/oxbowyard/clients/job_parsing.py
@@ -1,6 +1,7 @@
-"""Parses submissions of deferred jobs, in JSON or as headers with a raw body, for the job queue.
+"""Parses submissions of deferred jobs, either JSON documents or a raw body with headers, for the job queue.
 
-Functions raise BadRequestError for what is malformed and JobRejectedError for what the queue would not take.
+The functions raise BadRequestError for malformed input and JobRejectedError for jobs that the queue would
+reject.
 """
 
 from __future__ import annotations
@@ -42,14 +43,14 @@
 )
 
 PRIORITIES = {"high": HIGH_PRIORITY, "normal": None, "low": LOW_PRIORITY}
-MAX_NAME_LENGTH = 128  # of a tenant or an operator
+MAX_NAME_LENGTH = 128  # characters, of a tenant's or an operator's name
 MAX_UNIX_S = 1e12
 MAX_WAIT_DIGITS = 9
-MAX_PAGE_DIGITS = 24  # of both numbers of a page together
+MAX_PAGE_DIGITS = 24  # of `after` and `limit` together
 FINGERPRINT_BYTES = 16
 LENGTH_PREFIX_BYTES = 8
 FINGERPRINTED_HEADERS = ("wait-", "req-")
-# A repeated submission may differ in these.
+# Headers that may differ when a submission is repeated.
 NOT_FINGERPRINTED_HEADERS = ("req-id:", "req-retry:")
 
 Query = Mapping[str, list[str]]
@@ -60,12 +61,12 @@
     """Parses submissions for one job queue."""
 
     def __init__(self, classes: Collection[str], ids: JobIds) -> None:
-        """`classes` are those that clients may name; `ids` gives ids to jobs without one."""
+        """Create a parser for the job classes `classes`. Jobs submitted without an id get one from `ids`."""
         self._classes = frozenset(classes)
         self._ids = ids
 
     def parse_json(self, http_request: BaseRequest, body: bytes) -> tuple[list[Submission], bool]:
-        """The jobs of a JSON body, and whether it is a batch."""
+        """Parse the jobs of a JSON body. Return them and whether the body is a batch."""
         try:
             decoded = msgspec.json.decode(body)
             is_batch = isinstance(decoded, dict) and "jobs" in decoded
@@ -115,7 +116,7 @@
         return request, wait
 
     def parse_raw(self, http_request: BaseRequest, job_class: str, body: bytes) -> Submission:
-        """The job of a request whose body is its payload and whose headers are its options."""
+        """Parse the job of a request whose body is the payload and whose headers are the options."""
         wait = _header_options(http_request, body)
         headers = http_request.headers
         deadline = single_header(headers, "Req-Deadline")
@@ -146,7 +147,7 @@
         path, query = split_target(target)
         if path[1:].split("/", 1)[0] != job_class or not TARGET_PATTERN.fullmatch(target):
             raise BadRequestError("the path is not one of the class")
-        if job_id is not None and self._ids.is_reserved(job_id):  # it may be the id of a purged job
+        if job_id is not None and self._ids.is_reserved(job_id):  # a purged job may have had this id
             raise JobRejectedError(RejectionCode.DUPLICATE_ID, "ids of this form are given by the scheduler")
         extras = parse_extras(extra)
         return Request(
@@ -208,7 +209,7 @@
 
 
 def fingerprint(*fields: bytes) -> bytes:
-    """A digest of a submission's content. It is stored: the same content has the same digest for good."""
+    """Return a digest of a submission's content. Digests are stored, so the algorithm must not change."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for field in fields:
         digest.update(len(field).to_bytes(LENGTH_PREFIX_BYTES, "big") + field)
@@ -216,7 +217,7 @@
 
 
 def parse_wait_ms(query: Query) -> int:
-    """How many milliseconds the client waits for the job's end."""
+    """Return how long the client waits for the end of the job, in milliseconds."""
     text = query.get("wait_ms", ["0"])[0]
     if not text.isdecimal() or len(text) > MAX_WAIT_DIGITS:
         raise BadRequestError("wait_ms is not a number of milliseconds")
@@ -224,7 +225,7 @@
 
 
 def parse_page(query: Query) -> tuple[int, int]:
-    """Where a page of the list begins, and how many jobs it has at most."""
+    """Return the start of the page and the maximum number of jobs on it."""
     unknown = set(query) - {"state", "class", "tenant", "after", "limit"}
     if unknown:
         raise BadRequestError(f"no such filter: {sorted(unknown)[0]}")
@@ -236,7 +237,7 @@
 
 
 def parse_filter(query: Query) -> Callable[[Job], bool]:
-    """Which jobs a list has."""
+    """Return the predicate that selects the listed jobs."""
     states = query.get("state", [])
     if set(states) - {state.value for state in JobState}:
         raise BadRequestError("no such state")
@@ -249,7 +250,7 @@
 
 
 def parse_operator(text: str) -> str:
-    """The name of the operator who resolves a job."""
+    """Return the name of the operator who resolves a job."""
     if not text or not _is_name(text):
         raise BadRequestError("by is the name of whoever says so")
     return text
@@ -287,7 +288,7 @@
 
 
 def _parse_dependencies(text: str | None) -> tuple[Dependency, ...]:
-    """Dependencies written `ID, ID;ended, ...`."""
+    """Parse dependencies in the form `ID, ID;ended, ...`."""
     dependencies = []
     for entry in (text or "").split(","):
         job_id, _, condition = entry.strip().partition(";")
--- a/oxbowyard/clients/job_routes.py
+++ b/oxbowyard/clients/job_routes.py
@@ -1,6 +1,6 @@
-"""The API of deferred jobs below /jobs: submit, query, list, cancel, resolve.
+"""The deferred-job API under /jobs: submit, query, list, cancel, resolve.
 
-Described in api/openapi-waiting.json. Only imported where the operator's file has the table `[waiting]`.
+Described in api/openapi-waiting.json. Imported only if the operator's file has the table `[waiting]`.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from .request_parsing import split_target
 from .responses import STATUS_BY_ANSWER, KeepAliveResponse, answer_headers
 
-# None: the job never ran and is released again.
+# None: the job never ran, so it is released again.
 LATE_OUTCOMES = {"done": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "returned": None}
 RESOLVED_OUTCOMES = {"served": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "never_ran": None}
 LATE_REASON = "its worker said so, late"
@@ -50,15 +50,15 @@
 
 
 class JobRoutes:
-    """Answers requests below /jobs."""
+    """Answers requests under /jobs."""
 
     def __init__(self, queue: JobQueue, classes: Collection[str], may_resolve: bool = False) -> None:
-        """Serve a queue.
+        """Create the routes for one queue.
 
         Args:
             queue: The queue of deferred jobs.
             classes: The job classes that clients may name.
-            may_resolve: Whether jobs of indeterminate outcome may be resolved over HTTP.
+            may_resolve: Whether operators may resolve jobs of indeterminate outcome over HTTP.
         """
         self._queue = queue
         self._may_resolve = may_resolve
@@ -67,13 +67,13 @@
     async def __call__(
         self, request: BaseRequest, body_memory: BodyMemory | None = None
     ) -> web.StreamResponse:
-        """Answer one request; memory for its body is reserved in `body_memory`. Raises RequestError."""
+        """Answer one request. Memory for its body is reserved in `body_memory`. Raises RequestError."""
         path, query = split_target(request.raw_path)
         segments = path[len(JOBS_PATH) :].strip("/").split("/") if path != JOBS_PATH else []
         max_bytes = self._queue.settings.max_body_bytes
         size_bytes = check_body_size(request, max_bytes)
         with body_memory.reserve(size_bytes) if body_memory else nullcontext():
-            body = await read_body(request, max_bytes)  # of any method: it completes the request
+            body = await read_body(request, max_bytes)  # for every method: this completes the request
             try:
                 return await self._route(request, segments, parse_qs(query), body)
             except JobRejectedError as error:
--- a/oxbowyard/clients/request_handler.py
+++ b/oxbowyard/clients/request_handler.py
@@ -1,4 +1,4 @@
-"""Reads one request from its connection, passes it to the core and writes the response."""
+"""Reads one request from its connection, passes it to the scheduler core and returns the response."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
     classes: Collection[str],
     body_memory: BodyMemory | None = None,
 ) -> web.Response:
-    """Serve one request from its head to its response.
+    """Read, schedule and answer one request.
 
     Args:
-        http_request: The request, whose body has not been read.
-        scheduler: The core that answers it.
-        classes: The job classes that a client may name.
-        body_memory: Where memory for the body is reserved; None: without a bound.
+        http_request: The request; its body must not have been read yet.
+        scheduler: The scheduler core.
+        classes: The job classes that clients may name.
+        body_memory: The budget in which memory for the body is reserved; None for no limit.
 
     Raises:
-        RequestError: The request is not accepted.
+        RequestError: The request is rejected.
     """
-    # Checked before the body is read: a request for an unknown path is answered at once.
+    # Checked before the body is read, so that a request for an unknown path is answered at once.
     path, _ = split_target(http_request.raw_path)
     parse_class(path, single_header(http_request.headers, "Req-Kind"), http_request.method, classes)
     size_bytes = MAX_BODY_BYTES if http_request.content_length is None else http_request.content_length
@@ -56,15 +56,15 @@
 
 
 async def read_body(request: BaseRequest, max_bytes: int = MAX_BODY_BYTES) -> bytes:
-    """Read a request's whole body within its connection's time for the request.
+    """Read the complete body of a request before the connection's deadline for the request.
 
     Raises:
-        BodyTooLargeError: It has more than `max_bytes`.
-        BodyTimeoutError: It did not arrive in time.
-        BadRequestError: The client disconnected within it.
+        BodyTooLargeError: The body has more than `max_bytes` bytes.
+        BodyTimeoutError: The body did not arrive in time.
+        BadRequestError: The client disconnected before the end of the body.
     """
     body = bytearray()
-    # Behind `oxbowyard.middleware` the connection is aiohttp's own, which has no deadline for requests.
+    # With `oxbowyard.middleware` the connection is aiohttp's own, which has no request deadline.
     connection = request.protocol if isinstance(request.protocol, Connection) else None
     deadline = asyncio.get_running_loop().time() + REQUEST_TIMEOUT_S
     if connection is not None:
@@ -91,7 +91,7 @@
 
 
 def check_body_size(request: BaseRequest, max_bytes: int) -> int:
-    """The bytes to reserve for a request's body.
+    """Return the number of bytes to reserve for the body of a request.
 
     Raises:
         BodyTooLargeError: The request announces more than `max_bytes`.
--- a/oxbowyard/clients/request_parsing.py
+++ b/oxbowyard/clients/request_parsing.py
@@ -1,6 +1,6 @@
-"""Parses a client's request: its target and headers into a `Request` of the core.
+"""Parses the target and the headers of a client's request into a `Request` for the scheduler core.
 
-Each function raises BadRequestError for what is malformed.
+The functions raise BadRequestError for malformed input.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def single_header(headers: MultiMapping[str], name: str) -> str | None:
-    """The value of a header that may stand once only; None if it is absent."""
+    """Return the value of a header that must not be repeated; None if it is absent."""
     values = headers.getall(name, [])
     if len(values) > 1:
         raise BadRequestError(f"{name} is repeated")
@@ -33,10 +33,10 @@
 
 
 def parse_class(path: str, kind: str | None, method: str, classes: Collection[str]) -> str:
-    """The job class, which the path and Req-Kind both name.
+    """Return the job class, which the path and the header Req-Kind both name.
 
     Raises:
-        PathNotFoundError: It is none of `classes`.
+        PathNotFoundError: The path does not name one of `classes`.
         MethodNotAllowedError: The method is not POST.
     """
     name = path[1:].split("/", 1)[0]
@@ -52,14 +52,14 @@
 
 
 def parse_id(text: str | None) -> str:
-    """The request's id, which may be forwarded in a header."""
+    """Return the request id, checked to be safe for use in a header."""
     if text is None or not ID_PATTERN.fullmatch(text):
         raise BadRequestError("Req-Id is missing or malformed")
     return text
 
 
 def parse_idempotency_key(text: str | None) -> str:
-    """The idempotency key, which may be forwarded in a header; empty if the client gave none."""
+    """Return the idempotency key, checked to be safe for use in a header; empty if the client sent none."""
     if text is None:
         return ""
     if not IDEMPOTENCY_KEY_PATTERN.fullmatch(text):
@@ -70,13 +70,13 @@
 
 
 def parse_duration(text: str) -> float | None:
-    """A duration such as `480m` (milliseconds) or `5u` (microseconds), in seconds; None if it is none."""
+    """Parse a duration such as `480m` (milliseconds) or `5u` (microseconds) to seconds; None if malformed."""
     match = DURATION_PATTERN.fullmatch(text)
     return float(match[1]) * UNIT_S[match[2]] if match else None
 
 
 def parse_deadline(text: str | None) -> float:
-    """How many seconds the client waits for its answer."""
+    """Return how long the client waits for the answer, in seconds."""
     deadline_s = parse_duration(text or "")
     if deadline_s is None or not 0 < deadline_s <= MAX_DEADLINE_S:
         raise BadRequestError("Req-Deadline is missing or malformed")
@@ -84,7 +84,7 @@
 
 
 def parse_extras(text: str | None) -> dict[str, str]:
-    """The extra values of a request, written `name=value,name=value`."""
+    """Parse the extra values of a request, in the form `name=value,name=value`."""
     pairs = (item.partition("=") for item in (text or "").split(",") if item.strip())
     extras = {}
     for name, separator, value in pairs:
@@ -95,7 +95,7 @@
 
 
 def parse_slots(extras: Mapping[str, str]) -> int:
-    """How many slots of a worker the job takes."""
+    """Return the number of worker slots that the job occupies."""
     text = extras.get("slots", "1")
     try:
         slots = int(float(text))
@@ -107,7 +107,8 @@
 
 
 def split_target(target: str) -> tuple[str, str]:
-    """Path and query. Any other form of target would name another host when it is forwarded."""
+    """Split a target into path and query. Other forms are rejected, because they could name another host when
+    the request is forwarded."""
     if not TARGET_PATTERN.fullmatch(target):
         raise BadRequestError("the target is not a path")
     path, _, query = target.partition("?")
@@ -117,7 +118,7 @@
 def parse_request(
     method: str, target: str, headers: MultiMapping[str], body: bytes, classes: Collection[str]
 ) -> Request:
-    """The whole request as the core takes it; raises RequestError."""
+    """Parse a complete request for the scheduler core. Raises RequestError if it is not valid."""
     path, query = split_target(target)
     name = parse_class(path, single_header(headers, "Req-Kind"), method, classes)
     extras = parse_extras(single_header(headers, "Req-Extra"))
--- a/oxbowyard/clients/responses.py
+++ b/oxbowyard/clients/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients: the core's answers and errors."""
+"""HTTP responses for the answers of the scheduler core and for rejected requests."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 class KeepAliveResponse(web.Response):
-    """A response to a well-formed request: also after a 4xx its connection stays open."""
+    """A response to a well-formed request. The connection stays open even if the status is 4xx."""
 
 
 def answer_headers(answer: Answer) -> dict[str, str]:
-    """The headers beside the body: a rejection says after how many seconds to retry."""
+    """Return the headers for an answer: a rejection has a Retry-After in seconds."""
     if answer.kind is AnswerKind.REJECTED and answer.retry_after_s > 0:
         return {"Retry-After": f"{answer.retry_after_s:.3f}"}
     return {}
 
 
 def answer_response(answer: Answer) -> web.Response:
-    """The response to a request that the core has answered."""
+    """Create the response to a request that the scheduler core has answered."""
     body = answer.body if answer.kind is AnswerKind.SERVED else answer.reason.encode()
     return web.Response(status=STATUS_BY_ANSWER[answer.kind], headers=answer_headers(answer), body=body)
 
 
 def error_response(request: BaseRequest, error: RequestError) -> web.Response:
-    """The response to a request that was not accepted."""
+    """Create the response to a rejected request."""
     response = web.Response(status=error.status, text=error.text + "\n")
     if error.status == HTTPStatus.SERVICE_UNAVAILABLE:
         response.headers["Retry-After"] = BODY_MEMORY_RETRY_AFTER
     if error.status == HTTPStatus.METHOD_NOT_ALLOWED:
         response.headers["Allow"] = "POST"
-    if not request.content.is_eof():  # the rest of its body is not read
+    if not request.content.is_eof():  # the rest of the body will not be read
         response.force_close()
     return response
 
 
 def empty_response(status: HTTPStatus) -> bytes:
-    """The bytes of a response without a body that closes its connection."""
+    """Return the bytes of a response without a body that closes the connection."""
     line = f"HTTP/1.1 {status.value} {status.phrase}"
     return f"{line}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n".encode()
