--- a/oxbowyard/clients/limits.py
+++ b/oxbowyard/clients/limits.py
@@ -17,8 +17,8 @@
 READ_CHUNK_BYTES = 64 * 1024  # read from one connection before the event loop serves the others
 
 # Timeouts. The platform expects an error or a close within 3 s of connecting from a client that sends no
-# complete request, and within 6 s if the client sends 60 MB. REQUEST_TIMEOUT_S is below the first of these, and
-# its sum with DRAIN_TIMEOUT_S below the second.
+# complete request, and within 6 s if the client sends 60 MB. REQUEST_TIMEOUT_S is below the first of these,
+# and its sum with DRAIN_TIMEOUT_S is below the second.
 REQUEST_TIMEOUT_S = 2.4  # from connecting, or the first byte after a response, to the request's last byte
 DRAIN_TIMEOUT_S = 2.0  # for further input after an error: if closed sooner, the client may not read the error
 RESPONSE_READ_TIMEOUT_S = 10.0  # for the client to read its response, which is held in memory meanwhile
--- a/oxbowyard/control/__init__.py
+++ b/oxbowyard/control/__init__.py
@@ -1,1 +1,1 @@
-"""The admin API, on an address of its own: readiness, counters, members, and endpoints in maintenance."""
+"""The admin API, on a separate address: readiness, counters, members, and maintenance of endpoints."""
--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin API's connections, on aiohttp's low-level server: one request each, answered at once."""
+"""The connections of the admin API, on aiohttp's low-level server. Each serves a single request."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 log = logging.getLogger("oxbowyard.control")
 
-MAX_CONNECTIONS = 32  # by default; past it the connection that is silent longest is evicted for a new one
-MIN_SILENCE_S = 0.2  # before a silent connection may be evicted
-MAX_BODY_BYTES = 4096  # requests need no body; one with a larger body is rejected unread
+MAX_CONNECTIONS = 32  # default; beyond it the longest silent connection is evicted
+MIN_SILENCE_S = 0.2  # minimum silence before a connection may be evicted
+MAX_BODY_BYTES = 4096  # no request needs a body; larger ones are rejected without being read
 
 
 @dataclass(slots=True, frozen=True)
 class AdminResponse:
-    """The answer to one request."""
+    """The response to one admin request."""
 
     status: int
     body: bytes = b""
     content_type: str = "text/plain"
 
 
-AdminHandler = Callable[[str, str], AdminResponse]  # method and path to a response
+AdminHandler = Callable[[str, str], AdminResponse]  # from method and path
 
 
 class AdminConnections(ConnectionSet):
-    """The open connections of the admin API. Each answer closes its connection."""
+    """The open connections of the admin API. Each is closed after its response."""
 
     def __init__(self, handler: AdminHandler, max_connections: int = MAX_CONNECTIONS) -> None:
-        """`handler` answers every request; `max_connections` may be open at once."""
+        """Create an empty set of at most `max_connections` connections, whose requests `handler` answers."""
         super().__init__(self._handle, max_connections)
         self._handler = handler
 
     def evict_idle_connection(self) -> bool:
-        """Close the connection that is silent longest; returns whether there was one to close."""
+        """Close the connection that has been silent longest. Return whether one was closed."""
         now = asyncio.get_running_loop().time()
         silent = [c for c in self._open if c.phase in (Phase.SILENT, Phase.READING)]
         longest = min(silent, key=lambda connection: connection.phase_started_at, default=None)
@@ -63,10 +63,10 @@
 
     def _answer(self, request: BaseRequest) -> AdminResponse:
         try:
-            if _has_body(request):  # it is not read: it goes with the connection
+            if _has_body(request):  # the body is discarded when the connection closes
                 return AdminResponse(413, b"a call has no body\n")
             return self._handler(request.method, request.path)
-        except Exception:  # guards the admin API: an error of ours is answered too
+        except Exception:  # an internal error must not leave the request unanswered
             log.exception(
                 "internal error while answering the admin API: method=%s path=%s",
                 request.method,
--- a/oxbowyard/control/cordon_file.py
+++ b/oxbowyard/control/cordon_file.py
@@ -1,4 +1,4 @@
-"""The file of the cordoned endpoints, which a process that replaces this one reads too."""
+"""Stores the cordoned endpoints in a file, which a process that replaces this one also reads."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 log = logging.getLogger("oxbowyard.control")
 
-MAX_CORDONED = 10_000  # uids that are read; a file of more is not one of these
-MAX_UID_BYTES = 2048  # of one uid as JSON: 256 characters that are all escaped
+MAX_CORDONED = 10_000  # limit on the uids read, since a valid file never has more
+MAX_UID_BYTES = 2048  # one uid in JSON: 256 characters, all of them escaped
 MAX_FILE_BYTES = MAX_CORDONED * MAX_UID_BYTES
 
-Version = tuple[int, int]  # a file's modification time in nanoseconds, and its size in bytes
+Version = tuple[int, int]  # modification time in nanoseconds and size in bytes of a file
 ABSENT: Version = (0, 0)
 
 
 class CordonFile:
-    """The cordoned uids, as one JSON list.
+    """The uids of the cordoned endpoints, stored as a JSON list.
 
-    Each change reads the file anew and replaces it as a whole, so that two processes of one scheduler that
-    take requests at the same time each keep the other's.
+    Each change reads the file again and replaces it atomically, so that two processes of one scheduler that
+    serve admin requests at the same time preserve each other's changes.
     """
 
     def __init__(self, path: Path) -> None:
@@ -30,10 +30,11 @@
         self._read_version: Version | None = None
 
     def read(self) -> frozenset[str] | None:
-        """The uids that the file names, none where it is absent.
+        """Read the file if it has changed since the last call.
 
-        None where nothing has changed since the last call, or the file can't be read: what was read before
-        then stays in force.
+        Returns:
+            The uids in the file, an empty set if it does not exist. None if it is unchanged or cannot be
+            read; the uids that were read before then remain in force.
         """
         version = self._current_version()
         if version is None or version == self._read_version:
@@ -42,9 +43,9 @@
         return frozenset() if version == ABSENT else self._parse()
 
     def update(self, uid: str, cordoned: bool, fallback: frozenset[str] = frozenset()) -> None:
-        """Add or remove one uid and leave the rest as it is in the file now.
+        """Add or remove one uid, and preserve the other uids in the file.
 
-        `fallback`: the rest where the file can't be read. An error of the disk is logged.
+        `fallback` replaces the other uids if the file cannot be read. A failure to write is logged.
         """
         self._read_version = None
         in_file = self.read()
@@ -58,10 +59,10 @@
             status = self.path.stat()
             return status.st_mtime_ns, status.st_size
         except FileNotFoundError:
-            # Without its folder the disk may be gone; else nothing is cordoned yet, or all was uncordoned.
+            # If the directory is missing too, the disk may not be mounted. Otherwise nothing is cordoned.
             return ABSENT if self.path.parent.is_dir() else None
         except OSError as error:
-            if self._read_version is not None:  # once, not at every look
+            if self._read_version is not None:  # log it once, not on every call
                 _log_unreadable(error)
             self._read_version = None
             return None
@@ -71,8 +72,8 @@
             with self.path.open("rb") as file:
                 found = orjson.loads(file.read(MAX_FILE_BYTES))
             if not isinstance(found, list):
-                raise ValueError("no list")
-        except (OSError, ValueError) as error:  # cut short, or not one of these files
+                raise ValueError(f"expected a JSON list, found {type(found).__name__}")
+        except (OSError, ValueError) as error:  # truncated, or not a cordon file
             _log_unreadable(error)
             return None
         return frozenset(uid for uid in found[:MAX_CORDONED] if isinstance(uid, str))
@@ -82,7 +83,7 @@
         try:
             temporary.write_bytes(orjson.dumps(sorted(uids)))
             os.replace(temporary, self.path)
-        except OSError as error:  # in this process the cordon is in force all the same
+        except OSError as error:  # the cordon still takes effect in this process
             log.error("cordon file not written: error=%s", error)
 
 
--- a/oxbowyard/control/counters.py
+++ b/oxbowyard/control/counters.py
@@ -1,4 +1,4 @@
-"""The counters that the admin API shows, counted from the start of the process."""
+"""The counters that the admin API reports, counted since the start of the process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ..core.service_measure import ServiceMeasure
 from ..discovery.registry import Registry
 
-# The platform's keys; a request whose client has disconnected is counted under none of them.
+# The keys are the platform's. A request whose client has disconnected is counted under none of them.
 KEY_BY_ANSWER = {
     AnswerKind.SERVED: "fulfilled",
     AnswerKind.REJECTED: "throttled",
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ConfigurationReloads:
-    """How many configurations SIGHUP has brought into force, and how many were rejected as a whole."""
+    """The number of configurations that SIGHUP has loaded, and of those that were rejected completely."""
 
     accepted: int = 0
     invalid: int = 0
@@ -28,16 +28,16 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterSources:
-    """What the counters are read from."""
+    """The objects that provide the counters."""
 
     measure: ServiceMeasure
-    relayed: Counter[str]  # attempts sent whole, by class
+    relayed: Counter[str]  # attempts sent completely, by class
     registry: Registry
     reloads: ConfigurationReloads
 
 
 def read_counters(sources: CounterSources, open_requests: int) -> Mapping[str, object]:
-    """All counters by the platform's keys; `open_requests` are accepted and not answered yet."""
+    """Return all counters by the platform's keys. `open_requests` is the number of unanswered requests."""
     answers = sources.measure.answers_by_class()
     by_class: dict[str, object] = {
         key: {job_class: counts[kind] for job_class, counts in answers.items()}
--- a/oxbowyard/control/handlers.py
+++ b/oxbowyard/control/handlers.py
@@ -1,4 +1,4 @@
-"""The admin API's requests: their paths, and what each asks of the program."""
+"""The request handlers of the admin API."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 @dataclass(slots=True, frozen=True)
 class AdminSources:
-    """What the answers are read from, and what the requests act on."""
+    """The objects that the admin API reads and changes."""
 
     is_ready: Callable[[], bool]
     counters: Callable[[], Mapping[str, object]]
     maintenance: Maintenance | None = None
-    members: Callable[[], Mapping[str, object]] | None = None  # where schedulers know each other
+    members: Callable[[], Mapping[str, object]] | None = None  # None if membership is disabled
 
 
 class AdminHandlers:
-    """Answers the operators' requests: success is 2xx, refusal 4xx, and 503 a process that is not ready."""
+    """Answers admin requests: 2xx on success, 4xx on rejection, 503 while the process is not ready."""
 
     def __init__(self, sources: AdminSources) -> None:
         self._sources = sources
 
     def __call__(self, method: str, path: str) -> AdminResponse:
-        """Answer one request; an unknown path gets 404, a wrong method 405."""
+        """Answer one request: 404 for an unknown path, 405 for a wrong method."""
         if path == READY_PATH:
             return _require_get(method) or self._ready()
         if path == COUNTERS_PATH:
@@ -55,7 +55,7 @@
         return AdminResponse(503, b"not ready\n")
 
     def _set_maintenance(self, method: str, rest: str) -> AdminResponse:
-        """Cordon or uncordon one endpoint; `rest` of the path is UID/offline or UID/online."""
+        """Cordon or uncordon one endpoint. `rest` is the rest of the path, UID/offline or UID/online."""
         uid, _, wanted = rest.rpartition("/")
         if wanted not in (OFFLINE, ONLINE) or not _is_uid(uid):
             return NOT_FOUND
@@ -79,5 +79,5 @@
 
 
 def _require_get(method: str) -> AdminResponse | None:
-    """The refusal of another method; None for GET and HEAD."""
+    """Return None for GET and HEAD, else the 405 response."""
     return None if method in ("GET", "HEAD") else AdminResponse(405, b"ask with GET\n")
--- a/oxbowyard/control/maintenance.py
+++ b/oxbowyard/control/maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance mode: endpoints that the operators have cordoned get nothing new until they are uncordoned."""
+"""Maintenance mode: cordoned endpoints receive no new jobs until the operators uncordon them."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 log = logging.getLogger("oxbowyard.control")
 
-SYNC_INTERVAL_S = 0.2  # between looks at the file: a request to the other process binds here within 1 s
+SYNC_INTERVAL_S = 0.2  # a change by another process must take effect here within 1 s
 
 UpdateEndpoints = Callable[[Scope, tuple[WorkerInfo, ...]], None]
 
 
 class Maintenance:
-    """Cordons and uncordons endpoints, here and, through the file, in a process that runs beside this one."""
+    """Cordons and uncordons endpoints, in this process and, through the file, in one that runs beside it."""
 
     def __init__(
         self, registry: Registry, update_endpoints: UpdateEndpoints, file: CordonFile | None = None
     ) -> None:
-        """`update_endpoints` tells the decisions of each endpoint that changes."""
+        """Manage the endpoints of `registry`; `update_endpoints` passes each change on to the dispatcher."""
         self._registry = registry
         self._update_endpoints = update_endpoints
         self._file = file
-        # Called with uid and whether it is cordoned, for all changes but those of `apply_from_peer`.
+        # Called with the uid and whether it is cordoned, for all changes except those by `apply_from_peer`.
         self.on_change: Callable[[str, bool], None] = lambda uid, cordoned: None
 
     @property
     def cordoned(self) -> frozenset[str]:
-        """The uids that are cordoned now."""
+        """The uids of the cordoned endpoints."""
         return frozenset(self._registry.cordoned)
 
     def cordon(self, uid: str) -> bool:
-        """Send nothing new to an endpoint from now on; returns False for one that is not known."""
+        """Stop sending new jobs to an endpoint. Return False if the endpoint is not known."""
         return self._change(uid, cordoned=True)
 
     def uncordon(self, uid: str) -> bool:
-        """Use an endpoint again as discovery says; returns False for one that is not known."""
+        """Use an endpoint again according to discovery. Return False if the endpoint is not known."""
         return self._change(uid, cordoned=False)
 
     def apply_from_peer(self, uid: str, cordoned: bool) -> None:
-        """Do what another scheduler was asked to; an endpoint that is not listed yet drains once it is."""
+        """Apply a change made at another scheduler. An endpoint not listed yet is cordoned once it is."""
         if cordoned == (uid in self._registry.cordoned):
             return
         if cordoned and len(self._registry.cordoned) >= MAX_CORDONED:
             log.error(
-                "cordon of another scheduler not applied, too many already: uid=%s cordoned=%d",
+                "cordon from another scheduler not applied, too many cordoned endpoints: uid=%s cordoned=%d",
                 uid,
                 MAX_CORDONED,
             )
@@ -57,7 +57,7 @@
         self._save(uid, cordoned)
 
     def sync_from_file(self) -> None:
-        """Apply what the other process has changed in the file."""
+        """Apply the changes that another process has made to the file."""
         in_file = self._file.read() if self._file is not None else None
         if in_file is None:
             return
--- a/oxbowyard/listeners/__init__.py
+++ b/oxbowyard/listeners/__init__.py
@@ -1,1 +1,1 @@
-"""Listening sockets, and what the system knows of a connection. Both fronts and the admin API use them."""
+"""Listening sockets and queries of the kernel's socket state, for both fronts and the admin API."""
--- a/oxbowyard/listeners/acceptor.py
+++ b/oxbowyard/listeners/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections as far as their owner has places for them; the others wait in the system's backlog."""
+"""Accepts TCP connections up to their owner's limit; further ones wait in the kernel's backlog."""
 
 from __future__ import annotations
 
@@ -11,45 +11,43 @@
 
 log = logging.getLogger("oxbowyard.listeners")
 
-FULL_RETRY_DELAY_S = 0.02  # until a full owner is asked again for a place
-NO_DESCRIPTOR_RETRY_DELAY_S = (
-    0.05  # until a connection is accepted again after the system was out of descriptors
-)
-MAX_ACCEPTS_AT_ONCE = 16  # then the open connections have their turn of the loop
-BACKLOG = 1024  # connections that the system holds until they are accepted: hundreds may come at once
+FULL_RETRY_DELAY_S = 0.02  # after the owner had no connection available and none to evict
+NO_DESCRIPTOR_RETRY_DELAY_S = 0.05  # after accept() failed for lack of descriptors or memory
+MAX_ACCEPTS_AT_ONCE = 16  # before the event loop serves the open connections again
+BACKLOG = 1024  # connections that the kernel queues: several hundred may arrive at once
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ConnectionOwner(Protocol):
-    """Who holds the accepted connections."""
+    """The owner of the accepted connections."""
 
-    counts: Counter[str]  # of events that have no log line of their own
+    counts: Counter[str]  # events that are counted instead of logged one by one
 
     @property
     def available_connections(self) -> int:
-        """How many more connections may be accepted."""
+        """The number of further connections that may be accepted."""
 
     def evict_idle_connection(self) -> bool:
-        """Close the connection that is needed least; False if none may be closed."""
+        """Close an idle connection to make room for a new one. Return False if none may be closed."""
 
     def make_connection(self) -> asyncio.Protocol:
-        """The protocol of a new connection."""
+        """Create the protocol of a new connection."""
 
 
 class Acceptor:
     """A listening TCP socket.
 
-    It is bound when it is made, and accepts from `open` to `close`.
+    The constructor binds the address. Connections are accepted from `open` until `close`.
 
     Args:
-        front: The name of what listens, for the log.
+        front: The name of the listener in the log.
         host: An IPv4 or IPv6 address, the latter with or without brackets.
-        port: The port; 0 takes a free one.
-        owner: Who holds the connections.
-        shared: Whether another process of this program may bind the same address, to replace this one.
+        port: The port; 0 for any free one.
+        owner: The owner of the accepted connections.
+        reuse_port: Whether the process that replaces this one may bind the same address meanwhile.
 
     Raises:
-        OSError: The address can't be bound.
+        OSError: The address cannot be bound.
     """
 
     def __init__(
@@ -63,44 +61,44 @@
         self._owner = owner
         self._loop = asyncio.get_running_loop()
         self._resume_timer: asyncio.TimerHandle | None = None
-        self._connecting: set[asyncio.Task[object]] = set()  # accepted, and not with their protocol yet
+        self._connecting: set[asyncio.Task[object]] = set()  # accepted, protocol not set up yet
         log.info("%s listens on %s:%d", front, *self._listener.getsockname()[:2])
 
     def open(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._resume_timer = None
         self._loop.add_reader(self._listener, self._on_readable)
 
     def close(self) -> None:
-        """Accept what the system holds by now, and then no more: it would reset what it still holds.
+        """Accept the connections in the backlog, then close the listening socket.
 
-        Beyond the owner's free places each connection takes the place of an idle one, so that descriptors
-        stay few.
+        The kernel resets connections that are still in the backlog when the socket closes. Once the owner is
+        at its limit, an idle connection is evicted for each further one, so that descriptors do not run out.
         """
         if self._listener.fileno() < 0:
             return
         self._pause()
-        places = self._owner.available_connections
-        while self._accept(1) and (places > 1 or self._owner.evict_idle_connection()):
-            places -= 1
+        available = self._owner.available_connections
+        while self._accept(1) and (available > 1 or self._owner.evict_idle_connection()):
+            available -= 1
         self._pause()  # `_accept` may have set the timer
         self._listener.close()
 
     async def close_and_wait(self) -> None:
-        """Close, and wait until every accepted connection is with its protocol."""
+        """Close, and wait until the protocol of every accepted connection has been set up."""
         self.close()
         while self._connecting:
             await asyncio.wait(self._connecting)
 
     def _on_readable(self) -> None:
-        """Accept in one step, so that no connection is lost whatever ends this."""
+        """Accept connections without awaiting, so that a cancellation cannot lose one of them."""
         if self._owner.available_connections:
             self._accept(min(MAX_ACCEPTS_AT_ONCE, self._owner.available_connections))
-        elif not self._owner.evict_idle_connection():  # else there is a place in the loop's next turn
+        elif not self._owner.evict_idle_connection():  # if one was evicted, the next loop iteration accepts
             self._pause(FULL_RETRY_DELAY_S)
 
     def _pause(self, duration_s: float | None = None) -> None:
-        """Accept nothing for so long, or for good."""
+        """Stop accepting, for `duration_s` or permanently."""
         self._loop.remove_reader(self._listener)
         if self._resume_timer is not None:
             self._resume_timer.cancel()
@@ -109,19 +107,19 @@
             self._resume_timer = self._loop.call_later(duration_s, self.open)
 
     def _accept(self, max_connections: int) -> bool:
-        """Accept some connections; return whether more may wait."""
+        """Accept up to `max_connections`. Return whether the backlog may contain more."""
         for _ in range(max_connections):
             try:
                 connection = self._listener.accept()[0]
             except BlockingIOError:
                 return False
-            except OSError as fault:
-                if fault.errno in RESOURCE_ERRNOS:
-                    # The listener stays readable: without a pause this would take the whole processor.
+            except OSError as error:
+                if error.errno in RESOURCE_ERRNOS:
+                    # The listener stays readable, so without a pause the event loop would spin.
                     self._owner.counts["no descriptor"] += 1
                     self._pause(NO_DESCRIPTOR_RETRY_DELAY_S)
                     return False
-                continue  # that client went before it was accepted
+                continue  # the client disconnected before it was accepted
             self._connect(connection)
         return True
 
@@ -133,6 +131,6 @@
 
     def _on_connected(self, task: asyncio.Task[object]) -> None:
         self._connecting.discard(task)
-        fault = None if task.cancelled() else task.exception()
-        if fault is not None and not isinstance(fault, OSError):  # OSError: the client ended it meanwhile
-            log.error("accepted connection not set up: %r", fault, exc_info=fault)
+        error = None if task.cancelled() else task.exception()
+        if error is not None and not isinstance(error, OSError):  # OSError: the client disconnected meanwhile
+            log.error("accepted connection not set up: %r", error, exc_info=error)
--- a/oxbowyard/listeners/disconnects.py
+++ b/oxbowyard/listeners/disconnects.py
@@ -1,7 +1,7 @@
-"""What the system knows of a connection before the event loop has read it.
+"""Queries the kernel for the state of a connection, ahead of what the event loop has read.
 
-A busy loop, or a connection whose reading is paused, notices bytes and a disconnect late. Before a step that
-can't be undone, the system is asked. Each function is a system call; none of them blocks.
+If the event loop is busy or reading is paused, data and disconnects are noticed late. These functions are
+therefore called before a step that cannot be undone. Each makes one system call that does not block.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 
 def peer_disconnected(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the peer has closed, half-closed or reset the connection, whatever it sent before."""
+    """Return whether the peer has closed, half-closed or reset the connection, even if data is unread."""
     return _is_ready(transport, DISCONNECTED)
 
 
 def is_readable(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether bytes or a disconnect have come that the loop has not read yet."""
+    """Return whether data or a disconnect has arrived that the event loop has not read yet."""
     return _is_ready(transport, select.POLLIN)
 
 
 def unread_bytes(transport: asyncio.BaseTransport | None) -> int:
-    """The bytes that have come and that the loop has not read yet; 0 where the system does not say."""
+    """Return the number of received bytes that the event loop has not read yet; 0 if it is unknown."""
     return _queued_bytes(transport, termios.FIONREAD)
 
 
 def unsent_bytes(transport: asyncio.WriteTransport) -> int:
-    """The bytes written that the peer's system has not acknowledged yet: a reset would lose them."""
+    """Return the number of written bytes that the peer has not acknowledged; a reset would lose them."""
     return transport.get_write_buffer_size() + _queued_bytes(transport, termios.TIOCOUTQ)
 
 
@@ -46,7 +46,7 @@
 
 
 def _is_ready(transport: asyncio.BaseTransport | None, events: int) -> bool:
-    """Whether one of the events holds; of a closed connection each of them does."""
+    """Return whether one of the poll events is set. On a closed connection, all of them count as set."""
     socket = transport.get_extra_info("socket") if transport is not None else None
     if socket is None or (descriptor := socket.fileno()) < 0:
         return True
--- a/oxbowyard/middleware/__init__.py
+++ b/oxbowyard/middleware/__init__.py
@@ -1,4 +1,4 @@
-"""Middleware for web frameworks over the core."""
+"""Middleware that serves requests with the scheduler core inside a web framework."""
 
 from .aiohttp import scheduling
 
--- a/oxbowyard/middleware/aiohttp.py
+++ b/oxbowyard/middleware/aiohttp.py
@@ -1,4 +1,4 @@
-"""aiohttp middleware: requests for a class go to the core, all others to the application's own handlers."""
+"""aiohttp middleware: requests for a job class go to the scheduler core, all others to the application."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 
 def scheduling(scheduler: Scheduler, classes: Collection[str]) -> Middleware:
-    """Middleware that schedules POST /CLASS, in the daemon's form, before the application sees it.
+    """Create a middleware that schedules POST /CLASS requests, which have the same form as for the daemon.
 
-    Run the application with `handler_cancellation=True`: otherwise a disconnect does not cancel the request.
+    Run the application with `handler_cancellation=True`: otherwise a client's disconnect does not cancel
+    its request.
 
     Args:
-        scheduler: The core that answers the requests.
-        classes: The job classes; every other path goes to the application's own handlers.
+        scheduler: The scheduler core, which answers the requests.
+        classes: The names of the job classes. All other paths go to the application's handlers.
     """
     names = frozenset(classes)
 
