--- a/oxbowyard/gearman/__init__.py
+++ b/oxbowyard/gearman/__init__.py
@@ -1,1 +1,1 @@
-"""The Gearman front: clients that submit jobs, workers that are backends."""
+"""The Gearman front: clients submit jobs over the Gearman protocol, and connected workers are backends."""
--- a/oxbowyard/gearman/assignment.py
+++ b/oxbowyard/gearman/assignment.py
@@ -1,4 +1,4 @@
-"""An assignment: one attempt of a job at a Gearman worker, from chosen to ended."""
+"""An assignment: one attempt of a job at a Gearman worker, from its selection to its outcome."""
 
 from __future__ import annotations
 
@@ -14,54 +14,54 @@
 
 @dataclass(slots=True, eq=False)
 class Assignment:
-    """One attempt at a worker: the worker is chosen first, and grabs the job later."""
+    """One attempt of a job at a worker. The worker is selected first and grabs the job later."""
 
-    handle: bytes  # its own, unlike the job's: an earlier attempt may still end
+    handle: bytes  # of this attempt, not of the job: a worker may still report an earlier one
     request: Request
     context: AttemptContext
     outcome: asyncio.Future[AttemptOutcome]
     is_sent: bool = False
-    timeout: asyncio.TimerHandle | None = None  # the worker's own limit for the function
+    timeout: asyncio.TimerHandle | None = None  # of the worker's own time limit for the function
 
     @property
     def priority(self) -> int:
-        """Its place among the assignments of a worker, the lowest first."""
+        """The priority among the assignments of a worker. The lowest number is grabbed first."""
         return int(self.request.extras.get(PRIORITY_EXTRA, Priority.NORMAL.value))
 
     @property
     def is_over(self) -> bool:
-        """Whether the attempt has its outcome."""
+        """Whether the outcome of the attempt is set."""
         return self.outcome.done()
 
     def end(self, outcome: AttemptOutcome) -> None:
-        """Set the outcome; one that is set already stays."""
+        """Set the outcome, unless one is set already."""
         self.cancel_timeout()
         if not self.outcome.done():
             self.outcome.set_result(outcome)
 
     def end_if_too_late(self) -> None:
-        """End it unsent if its client has disconnected, read already or not, or its time is over."""
+        """End the assignment unsent if its client has disconnected, it was cancelled or its time is over."""
         if not self.is_over and (reason := reason_not_to_send(self.request, self.context)):
             self.end(AttemptOutcome(Result.NOT_SENT, reason=reason))
 
     def mark_sent(self) -> None:
-        """The job goes to the worker now: from here on it may run."""
+        """Record that the job is being sent to the worker, and may run from now on."""
         self.is_sent = True
         self.context.written = True
 
     def start_timeout(self, limit_s: float) -> None:
-        """End the attempt as failed after the worker's own limit; 0: there is none."""
+        """Make the attempt fail after the worker's own time limit. With a limit of 0 there is none."""
         if limit_s > 0:
             outcome = AttemptOutcome(Result.ERROR, reason="worker's own limit")
             self.timeout = asyncio.get_running_loop().call_later(limit_s, self.end, outcome)
 
     def cancel_timeout(self) -> None:
-        """Stop the timer of the worker's own limit."""
+        """Stop the timer of the worker's own time limit."""
         if self.timeout is not None:
             self.timeout.cancel()
 
     def encode(self, grab_type: PacketType) -> bytes:
-        """The packet that answers a grab of this type."""
+        """Return the packet that answers a grab of this type."""
         function = self.request.target.encode()
         unique = self.request.extras.get(UNIQUE_EXTRA, "").encode(UNIQUE_ENCODING)
         payload = self.request.payload
--- a/oxbowyard/gearman/codec.py
+++ b/oxbowyard/gearman/codec.py
@@ -1,4 +1,4 @@
-"""The codec of Gearman's binary packets and text commands. It does no I/O."""
+"""Encodes and decodes Gearman's binary packets and text commands, without doing I/O."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    """One binary packet; its data is not split into arguments yet."""
+    """One binary packet, with its data not yet split into arguments."""
 
-    type: int  # perhaps a number that is no `PacketType`
+    type: int  # not necessarily the value of a `PacketType`
     data: bytes = b""
 
     def arguments(self) -> list[bytes] | None:
-        """The arguments; None if the type is not served or their number is wrong."""
+        """Split the data into arguments; None if the type is not supported or their number is wrong."""
         if self.type not in ARGUMENT_COUNTS:
             return None
         count = ARGUMENT_COUNTS[PacketType(self.type)]
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True, frozen=True)
 class TextCommand:
-    """One line of the text protocol, without its end."""
+    """One line of the text protocol, without the line end."""
 
     text: str
 
 
 def encode(packet_type: PacketType, *arguments: bytes, magic: bytes = RESPONSE_MAGIC) -> bytes:
-    """Encode a packet. What this program sends has the magic of a response."""
+    """Encode a packet, by default with the magic of responses, which this program sends."""
     data = b"\0".join(arguments)
     return HEADER.pack(magic, packet_type, len(data)) + data
 
@@ -55,8 +55,8 @@
     """Decodes a byte stream incrementally.
 
     Args:
-        max_packet_bytes: The largest data of a packet that is accepted.
-        magic: The magic of the packets in this direction.
+        max_packet_bytes: The maximum size of a packet's data.
+        magic: The magic that each packet must begin with.
     """
 
     def __init__(self, max_packet_bytes: int, magic: bytes = REQUEST_MAGIC) -> None:
@@ -66,16 +66,19 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The number of bytes of an item that is not complete yet."""
+        """The number of buffered bytes of an incomplete packet or line."""
         return len(self._buffer)
 
     def clear(self) -> None:
-        """Discard what is buffered."""
+        """Discard the buffered bytes."""
         self._buffer.clear()
 
     def feed(self, data: bytes) -> Iterator[Packet | TextCommand]:
-        """The items that the data completes, one by one. Raises StreamError, after those before it, where the
-        stream cannot be decoded."""
+        """Yield the packets and lines that the data completes.
+
+        Raises:
+            StreamError: The stream cannot be decoded any further. The items before that have been yielded.
+        """
         self._buffer += data
         while (item := self._next_item()) is not None:
             yield item
@@ -91,7 +94,7 @@
         if len(self._buffer) < HEADER.size:
             return None
         _, packet_type, size = HEADER.unpack_from(self._buffer)
-        if size > self._max_packet_bytes:  # known from the header, before the data is buffered
+        if size > self._max_packet_bytes:  # rejected before the data is buffered
             text = f"a packet holds {self._max_packet_bytes} bytes at most"
             raise StreamError(ErrorCode.PACKET_TOO_LARGE, text)
         end = HEADER.size + size
--- a/oxbowyard/gearman/config.py
+++ b/oxbowyard/gearman/config.py
@@ -1,7 +1,7 @@
 """The configuration of the Gearman front: where it listens, its limits and its functions.
 
-It is a TOML file of its own (`deploy/gearman.toml`), or the table `[gearman]` of the operator's file.
-The operator knows the keys, and the texts of the errors.
+It is either a separate TOML file (`deploy/gearman.toml`) or the table `[gearman]` of the operator's file.
+Operators write the keys and read the texts of the errors.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from ..decision.settings import JobClass
 
-KIND = "gearman"  # the kind of all Gearman workers, and the prefix of their names
+KIND = "gearman"  # the kind of all Gearman workers and the prefix of their names
 
 DEFAULT_MAX_PACKET_BYTES = 256 << 10
 DEFAULT_MAX_CONNECTIONS = 256
@@ -27,48 +27,48 @@
 MAX_TIMEOUT_S = 3600.0
 MAX_WAIT_S = 10 * 365 * 86400.0
 MS_PER_S = 1000
-MAX_NUMBER = 1e15  # of any number in the file
+MAX_NUMBER = 1e15  # limit on every number in the file
 
 
 @dataclass(slots=True, frozen=True)
 class Function:
-    """One Gearman function, and the job class that its jobs have."""
+    """One Gearman function and the job class of its jobs."""
 
     name: str
     job_class: JobClass
-    queueing: bool = False  # a rejected job waits and is submitted again; needs the table [waiting]
-    max_wait_s: float | None = None  # how long its jobs may wait; None: as [waiting] says
+    queueing: bool = False  # rejected jobs wait and are submitted again; requires the table [waiting]
+    max_wait_s: float | None = None  # how long its jobs may wait; None for the default of [waiting]
 
     @property
     def deadline_s(self) -> float:
-        """How long a job may take."""
+        """The time limit of a job, in seconds."""
         return self.job_class.deadline_ms / MS_PER_S
 
 
 @dataclass(slots=True, frozen=True)
 class GearmanConfig:
-    """The configuration of the front, checked."""
+    """The validated configuration of the Gearman front."""
 
     host: str
     port: int
     max_packet_bytes: int
     max_connections: int
-    max_buffered_bytes: int  # of incomplete packets, over all connections
-    packet_timeout_s: float  # until a connection's first packet, and for each that has begun
-    max_queue: int  # jobs of one function that wait for a worker
-    max_held_bytes: int  # workloads of all jobs
+    max_buffered_bytes: int  # of incomplete packets, on all connections together
+    packet_timeout_s: float  # for a connection's first packet, and for the rest of each incomplete one
+    max_queue: int  # waiting jobs per function
+    max_held_bytes: int  # total size of the workloads of all jobs
     functions: dict[str, Function]
 
 
 def load(path: Path, classes: Iterable[JobClass]) -> GearmanConfig:
-    """Read the configuration from a file of its own.
+    """Read the configuration from a separate file.
 
     Args:
         path: The TOML file.
-        classes: The job classes of the settings; each function is based on one of them.
+        classes: The job classes of the settings. Each function is based on one of them.
 
     Raises:
-        ValueError: The file cannot be read, or something in it is wrong.
+        ValueError: The file cannot be read or its content is not valid.
     """
     try:
         document = tomllib.loads(path.read_text())
@@ -80,10 +80,10 @@
 
 
 def parse(document: dict[str, Any], classes: Iterable[JobClass]) -> GearmanConfig:
-    """Check a file's content, or the table of the operator's file. Raises ValueError for a fault in it."""
+    """Validate the content of the file or of the table [gearman]. Raises ValueError if it is not valid."""
     host, _, port = str(document.get("listen", "")).rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise ValueError("listen is not an address")
+        raise ValueError(f"listen is not an address of the form HOST:PORT: {document.get('listen')!r}")
     base_classes = {c.name: c for c in classes}
     table = document.get("functions") or {}
     return GearmanConfig(
@@ -104,20 +104,20 @@
 def _positive_seconds(row: dict[str, Any], key: str, default: float, maximum: float) -> float:
     value = row.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < maximum:
-        raise ValueError(f"{key} must be above 0 and under {maximum:g}")
+        raise ValueError(f"{key} must be a number above 0 and below {maximum:g}, not {value!r}")
     return float(value)
 
 
 def _positive_integer(row: dict[str, Any], key: str, default: float) -> int:
-    """A whole number; of others the fraction is dropped, which must not leave 0."""
+    """Return the value of `key` rounded down to an integer, which must be at least 1."""
     value = row.get(key, default)
     if not _is_number(value) or value < 1:
-        raise ValueError(f"{key} must be a number of 1 or more")
+        raise ValueError(f"{key} must be a number of at least 1, not {value!r}")
     return int(value)
 
 
 def _is_number(value: object) -> bool:
-    """Whether it is a number, and neither NaN nor absurdly large."""
+    """Return whether the value is a number, neither NaN nor larger than MAX_NUMBER."""
     return isinstance(value, (int, float)) and not isinstance(value, bool) and abs(value) <= MAX_NUMBER
 
 
@@ -129,16 +129,16 @@
     max_wait_s = _positive_seconds(row, "patience_s", 0.0, MAX_WAIT_S) if "patience_s" in row else None
     queueing = row.get("queueing", False)
     if not isinstance(queueing, bool):
-        raise ValueError(f"function {name}: queueing must be true or false")
+        raise ValueError(f"function {name}: queueing must be true or false, not {queueing!r}")
     return Function(name, job_class, queueing, max_wait_s)
 
 
 def _job_class(name: str, row: dict[str, Any], base: JobClass) -> JobClass:
-    """The class of a function's jobs: its base class with the function's own deadline and weight."""
+    """Return the class of a function's jobs: its base class with the function's own deadline and weight."""
     deadline_ms = float(_positive_integer(row, "deadline_ms", base.deadline_ms))
     priority_weight = row.get("worth", base.priority_weight)
     if not _is_number(priority_weight) or priority_weight < 0:
-        raise ValueError(f"function {name}: worth must not be negative")
+        raise ValueError(f"function {name}: worth must be a number of at least 0, not {priority_weight!r}")
     return replace(
         base,
         name=f"{KIND}:{name}",
--- a/oxbowyard/gearman/connection.py
+++ b/oxbowyard/gearman/connection.py
@@ -1,4 +1,4 @@
-"""A connection of the Gearman front: its buffers, its timers and the order of its answers."""
+"""A connection of the Gearman front: buffers, timers and the order of responses."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 log = logging.getLogger("oxbowyard.gearman")
 
-READ_CHUNK_BYTES = 16 * 1024  # from one peer before the others have their turn: some 1,300 packets
-DRAIN_TIMEOUT_S = 2.0  # after an error that ends a connection, for what the peer still sends
-MAX_UNREAD_PACKETS = 4  # of the largest size; a peer that leaves more unread is disconnected
+READ_CHUNK_BYTES = 16 * 1024  # about 1,300 packets, read from one peer before others are served
+DRAIN_TIMEOUT_S = 2.0  # for further input from the peer after an error that ends the connection
+MAX_UNREAD_PACKETS = 4  # of maximum size; a peer that leaves more unread is disconnected
 
 
 class ConnectionOwner(Protocol):
-    """Who holds all connections, and bounds them."""
+    """The owner of all connections, which enforces the limits that they share."""
 
     def admit(self, connection: Connection) -> bool:
-        """Whether the connection may stay."""
+        """Add a new connection. Return False if there are too many."""
 
     def may_buffer(self, additional_bytes: int) -> bool:
-        """Whether so many more bytes of incomplete packets may be buffered."""
+        """Return whether `additional_bytes` of incomplete packets may be buffered."""
 
     def count_error(self, code: ErrorCode) -> None:
-        """A connection ends with this error."""
+        """Count an error that ends a connection."""
 
     def release(self, connection: Connection) -> None:
-        """The connection has ended; this may be told twice."""
+        """Remove a connection that has ended. May be called twice."""
 
 
 class PacketHandler(Protocol):
-    """What handles the packets and commands of one connection."""
+    """Handles the packets and text commands of one connection."""
 
     def handle(self, item: Packet | TextCommand) -> None:
-        """Handle one item; raises nothing."""
+        """Handle one packet or command. Must not raise."""
 
     def disconnect(self) -> None:
-        """The peer is served no more; this may be called twice."""
+        """Stop serving the peer. May be called twice."""
 
 
 class Connection(asyncio.Protocol):
-    """One client, worker or operator; a connection may be all of them.
+    """The connection of a client, worker or operator. One connection may act in all three roles.
 
     Args:
         config: The front's configuration.
-        owner: Who holds all connections.
-        make_handler: Makes the handler of what the peer sends.
+        owner: The owner of all connections.
+        make_handler: Creates the handler of the connection's packets.
     """
 
     def __init__(
@@ -66,20 +66,20 @@
         self._handler = make_handler(self)
         self._decoder = Decoder(config.max_packet_bytes)
         self._transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None  # for the first packet, and each that has begun
-        self._has_ended = False  # nothing is sent any more, and what still comes is dropped
+        self._timer: asyncio.TimerHandle | None = None  # for the first packet and for incomplete ones
+        self._has_ended = False  # nothing more is sent, and further input is discarded
         self._inbox: deque[Packet | TextCommand] = deque()
-        self._stream_error: StreamError | None = None  # nothing after it can be decoded
+        self._stream_error: StreamError | None = None  # input after it cannot be decoded
         self._is_input_paused = False
-        self.is_silent = True  # nothing complete has come from the peer
+        self.is_silent = True  # no complete packet or command received yet
         self.accepts_exceptions = False
         self.address = "-"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop with a new connection; what the peer is, its packets will tell."""
+        """Set up a new connection. The role of the peer becomes known with its packets."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # With the transport's own size one peer could hold the loop for twenty thousand packets.
+        # With the transport's default size, one peer could block the event loop for 20,000 packets.
         transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
         peer = transport.get_extra_info("peername")
         self.address = str(peer[0]) if peer else "-"
@@ -88,7 +88,7 @@
             self.end(ErrorCode.TOO_MANY_CONNECTIONS, "this scheduler holds all the connections it may")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop when the connection has ended."""
+        """Release the connection after it has ended."""
         self._transport = None
         self._stop_timer()
         self._release()
@@ -96,7 +96,7 @@
     # ---- Receiving ----
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop with bytes from the peer: decode them and handle what is complete."""
+        """Decode data from the peer and handle the complete packets and commands."""
         if self._has_ended or self._stream_error is not None:
             return
         buffered_before = self._decoder.buffered_bytes
@@ -112,7 +112,7 @@
                 self.end(ErrorCode.TOO_MUCH_UNFINISHED, text)
 
     def _decode(self, data: bytes) -> Iterator[Packet | TextCommand]:
-        """What the data completes; an error of the stream waits until that is handled."""
+        """Yield the completed items. A stream error is stored until they have been handled."""
         try:
             yield from self._decoder.feed(data)
         except StreamError as error:
@@ -133,13 +133,13 @@
             self.end(self._stream_error.code, self._stream_error.text)
 
     def pause_input(self) -> None:
-        """An answer has to wait, and so has what the peer sent after: answers keep their order."""
+        """Stop handling input while a response is delayed, so that responses are sent in order."""
         self._is_input_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_input(self) -> None:
-        """The answer that the input waited for has been sent."""
+        """Handle input again after the delayed response has been sent."""
         self._is_input_paused = False
         self._handle_inbox()
         if not self._is_input_paused and self._transport is not None and not self._transport.is_closing():
@@ -147,22 +147,22 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The number of bytes of a packet that is not complete."""
+        """The number of buffered bytes of an incomplete packet."""
         return self._decoder.buffered_bytes
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether something has come from the peer that the loop has not read yet."""
+        """Whether data from the peer has arrived that the event loop has not read yet."""
         return is_readable(self._transport)
 
     def is_connected(self) -> bool:
-        """Whether the peer is still there, also where its disconnect was not read yet."""
+        """Return whether the peer is connected. A disconnect that has not been read yet is noticed too."""
         return not peer_disconnected(self._transport)
 
     # ---- Sending ----
 
     def send(self, data: bytes) -> None:
-        """Write to the peer; one that does not read is disconnected before it fills the memory."""
+        """Send data to the peer. A peer that does not read is disconnected, to limit the memory for it."""
         if self._transport is None or self._transport.is_closing() or self._has_ended:
             return
         self._transport.write(data)
@@ -175,7 +175,8 @@
     def end(self, code: ErrorCode, text: str) -> None:
         """Send an error and end the connection.
 
-        This side is closed first: closing both would reset a peer that still sends, and lose the error.
+        Only the sending side is closed at first: a full close would reset a peer that is still sending, which
+        would then lose the error.
         """
         self._owner.count_error(code)
         self.send(encode_error(code, text))
@@ -188,9 +189,9 @@
         self._release()
 
     def finish(self) -> None:
-        """Close once the peer's system has all that was written, or the peer closes.
+        """Close once the peer has acknowledged all data, or has closed its side.
 
-        Closed while the peer still sends, the connection would be reset, and the unsent rest lost.
+        A close while the peer is still sending would reset the connection and lose the unsent data.
         """
         if self._transport is None or self._transport.is_closing():
             return
@@ -202,7 +203,7 @@
         self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close once all is written."""
+        """Close after the buffered data has been written."""
         if self._transport is not None:
             self._transport.close()
 
@@ -213,7 +214,7 @@
     # ---- Timers ----
 
     def _start_timer(self) -> None:
-        """A packet is due: the first one, or the rest of one that has begun."""
+        """Start the timeout of the first packet, or of the rest of an incomplete one."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(self._config.packet_timeout_s, self._on_timeout)
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -1,4 +1,4 @@
-"""Gearman jobs in the queue of deferred jobs: background jobs, and all jobs of queueing functions."""
+"""Gearman jobs in the queue of deferred jobs: background jobs and all jobs of queueing functions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .packet_types import PacketType
 from .submission import Submission
 
-if TYPE_CHECKING:  # it is imported only where the operator's file has the table [waiting]
+if TYPE_CHECKING:  # at run time it is imported only if the operator's file has [waiting]
     from ..waiting.job_queue import JobQueue
 
 ERROR_CODES = {
@@ -32,43 +32,48 @@
 
 
 def error_code(error: JobRejectedError) -> ErrorCode:
-    """The code that a client gets for a submission that the queue rejects."""
+    """Return the error code for a submission that the queue has rejected."""
     return ERROR_CODES.get(error.code, ErrorCode.JOB_QUEUE_FULL)
 
 
 @dataclass(slots=True, frozen=True)
 class _Submitter:
-    """A client whose submission is acknowledged once the job is stored."""
+    """A client whose submission will be acknowledged once the job is stored."""
 
     client: JobClient
-    is_background: bool  # it does not wait for the job's end
+    is_background: bool  # the client does not wait for the job's end
 
 
 class DeferredJobs:
-    """Submits Gearman jobs to the queue of deferred jobs, and takes back those of an earlier process."""
+    """Submits Gearman jobs to the queue of deferred jobs, and adopts jobs of an earlier process."""
 
     def __init__(self, queue: JobQueue, table: JobTable, functions: Mapping[str, Function]) -> None:
         self._queue = queue
         self._table = table
         self._functions = functions
         self._submitting: set[asyncio.Task[None]] = set()
-        self._submitters: dict[Job, list[_Submitter]] = {}  # of jobs that are being stored
+        self._submitters: dict[Job, list[_Submitter]] = {}  # of the jobs that are being stored
         queue.adopters.append(self.adopt)
         queue.intake.journal_lost_callbacks.append(self._notify_store_lost)
 
     def must_store(self, submission: Submission) -> bool:
-        """Whether the job is stored before its client gets the handle."""
+        """Return whether the job must be stored before its client gets the handle."""
         return submission.is_background and bool(self._queue.ids.run_id)
 
     def submit(self, job: Job, request: Request, submission: Submission) -> None:
-        """Submit a job that is not stored. Raises PacketRejectedError; the table has it no more then."""
+        """Submit a job that is not stored.
+
+        Raises:
+            PacketRejectedError: The job is rejected. It has been removed from the table.
+        """
         self._submit(job, request, _wait_options(submission))
 
     def submit_durable(self, job: Job, request: Request, submission: Submission, client: JobClient) -> None:
-        """Submit a background job; its client gets the handle or an error once the store has it."""
+        """Submit a background job. Its client gets the handle once the job is stored, or else an error."""
         options = _wait_options(submission)
         if submission.unique and submission.function.job_class.retry_safety is not RetrySafety.IDEMPOTENT:
-            # What must not run twice is the same job for a client that got no answer to its first submission.
+            # A client that got no answer may submit again, but a job that is not idempotent must not run
+            # twice.
             options = replace(options, idempotency_key=_idempotency_key(submission))
         job.durable = True
         self._submitters[job] = []
@@ -78,11 +83,11 @@
         task.add_done_callback(self._submitting.discard)
 
     def is_being_stored(self, job: Job) -> bool:
-        """Whether the job is not acknowledged yet, since the store does not have it."""
+        """Return whether the job is not acknowledged yet, because storing it is still in progress."""
         return job in self._submitters
 
     def join_once_stored(self, job: Job, submission: Submission, client: JobClient) -> None:
-        """The client gets the handle of a job that is being stored, or the error, when that is done."""
+        """Send the client the handle of a job that is being stored, or the error, once that is done."""
         client.pause_input()
         self._submitters[job].append(_Submitter(client, submission.is_background))
 
@@ -105,7 +110,7 @@
                 submitter.client.resume_input()
 
     def _acknowledge(self, submitter: _Submitter, handle: bytes) -> None:
-        """Send the handle of a stored job; a client that waits for the end gets one in any case."""
+        """Send the handle of a stored job. A client that waits for a job that has ended gets WORK_FAIL."""
         client = submitter.client
         client.send(encode(PacketType.JOB_CREATED, handle))
         if submitter.is_background or not client.is_connected():
@@ -113,11 +118,11 @@
         job = self._table.find(handle)
         if job is not None:
             self._table.add_client(job, client)
-        else:  # it was the same job as an earlier one, which has ended
+        else:  # the submission repeated an earlier job, which has ended
             client.send(encode(PacketType.WORK_FAIL, handle))
 
     async def _submit_and_store(self, job: Job, request: Request, options: WaitOptions) -> str:
-        """Returns the handle, which is an earlier job's if this is the same one."""
+        """Submit the job and wait until it is stored. Return its handle, or that of the job it repeats."""
         if options.idempotency_key:
             existing = await self._queue.intake.find_existing([(request, options)])
             if existing:
@@ -133,14 +138,16 @@
         except JobRejectedError as error:
             self._table.remove(job)
             raise PacketRejectedError(error_code(error), error.text) from None
-        if accepted.id != request.id:  # the same job as one that was submitted before
+        if accepted.id != request.id:  # the submission repeats an earlier job
             self._table.remove(job)
         return accepted.id
 
     def adopt(self, request: Request) -> tuple[Request, Callable[[JobResult], None]] | None:
-        """Take back a recovered job under its old handle; None if it is not a Gearman job.
+        """Adopt a recovered job under its old handle.
 
-        The pair is what the queue expects of an adopter: the request to submit, and what its end calls.
+        Returns:
+            The request to submit and the callback for its end, as the queue expects from an adopter; None if
+            the job is not a Gearman job.
         """
         function = self._functions.get(request.target)
         if function is None or function.job_class.name != request.job_class:
@@ -152,14 +159,14 @@
         return build_request(job, request.payload, priority, self._table), self._on_end(job)
 
     def cancel(self, job: Job) -> None:
-        """Cancel a job whose clients have all disconnected."""
+        """Cancel a job after all of its clients have disconnected."""
         self._queue.cancel(job.id, "its client left")
 
     def deliver_late_result(self, handle: bytes, outcome: JobOutcome, body: bytes) -> bool:
-        """A worker reports the end of an attempt that is over; it may settle an indeterminate job.
+        """Deliver a worker's report on an attempt that is over, which may resolve an indeterminate job.
 
         Returns:
-            False if the handle is not that of an indeterminate job's last attempt.
+            False if the handle does not name the last attempt of an indeterminate job.
         """
         attempt = parse_leased_handle(handle)
         if attempt is None:
@@ -168,7 +175,7 @@
         return self._queue.deliver_late_result(attempt.job_id, attempt.lease, outcome, body, reason)
 
     def _notify_store_lost(self) -> None:
-        """The ends of stored jobs can't be recorded any more, so nobody will be told of them."""
+        """Send WORK_FAIL to the clients of all stored jobs, whose ends can no longer be recorded."""
         for job in self._table.stored_jobs():
             job.send(encode(PacketType.WORK_WARNING, job.handle, b"its end is not known: the store is lost"))
             job.send(encode(PacketType.WORK_FAIL, job.handle))
--- a/oxbowyard/gearman/errors.py
+++ b/oxbowyard/gearman/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the Gearman front, and their codes as peers see them in ERROR packets."""
+"""The errors of the Gearman front, and the codes that peers receive in ERROR packets."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ErrorCode(Enum):
-    """The first argument of an ERROR packet; the values are on the wire."""
+    """The first argument of an ERROR packet. The values are part of the protocol."""
 
-    EVICTED = "CLOSED_FOR_ROOM"  # an idle connection is closed in favour of a new one
+    EVICTED = "CLOSED_FOR_ROOM"  # an idle connection was closed in favour of a new one
     INTERNAL = "INTERNAL"
     INVALID_CLIENT_ID = "INVALID_CLIENT_ID"
     INVALID_EPOCH = "INVALID_EPOCH"
@@ -31,11 +31,11 @@
 
 
 class GearmanError(Exception):
-    """Something that the peer is told in an ERROR packet.
+    """An error that is sent to the peer in an ERROR packet.
 
     Args:
-        code: What kind of error it is.
-        text: The explanation that the peer gets with it.
+        code: The error code.
+        text: The explanation for the peer.
     """
 
     def __init__(self, code: ErrorCode, text: str) -> None:
@@ -45,8 +45,8 @@
 
 
 class PacketRejectedError(GearmanError):
-    """A packet is well-formed, and what it asks for is not done. The connection goes on."""
+    """The request in a well-formed packet is rejected. The connection stays open."""
 
 
 class StreamError(GearmanError):
-    """The byte stream cannot be decoded any further. The connection has to end."""
+    """The byte stream cannot be decoded any further, so the connection has to close."""
--- a/oxbowyard/gearman/front.py
+++ b/oxbowyard/gearman/front.py
@@ -1,4 +1,4 @@
-"""The Gearman front: the listener and all of its connections."""
+"""The Gearman front: its listener and all of its connections."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from .text_commands import TextCommands
 from .worker_transport import WorkerTransport
 
-FLUSH_TIMEOUT_S = 2.0  # at the end of the program, for peers to read their last answers
+FLUSH_TIMEOUT_S = 2.0  # at the end of the program, for peers to read the last responses
 
 
 class GearmanFront:
-    """Listens, and holds and bounds the connections.
+    """Listens for Gearman peers, and owns and limits their connections.
 
     Args:
-        config: The configuration; no more connections than its `max_connections` are held.
-        jobs: The client side.
-        transport: The worker side.
+        config: The configuration, whose `max_connections` limits the connections.
+        jobs: Serves the clients.
+        transport: Serves the workers.
     """
 
     def __init__(self, config: GearmanConfig, jobs: Jobs, transport: WorkerTransport) -> None:
@@ -33,22 +33,22 @@
         self._commands = TextCommands(config, jobs, transport.workers)
         self._connections: dict[Connection, None] = {}  # oldest first
         self._acceptor: Acceptor | None = None
-        self._all_ended: asyncio.Future[None] | None = None  # set when no connection is left, at the end
-        self.counts: Counter[str] = Counter()  # of errors that have no log line of their own
+        self._all_ended: asyncio.Future[None] | None = None  # during `close`, done when no connection is left
+        self.counts: Counter[str] = Counter()  # errors that are counted instead of logged one by one
 
     def listen(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self._acceptor = Acceptor("gearman", self.config.host, self.config.port, self)
         self._acceptor.open()
 
     def start_draining(self) -> None:
-        """Accept no more jobs and connections; jobs that were accepted go on."""
+        """Stop accepting connections and jobs. Accepted jobs continue."""
         self._jobs.limits.is_shutting_down = True
         if self._acceptor is not None:
             self._acceptor.close()
 
     async def close(self) -> None:
-        """End all connections; the peers have some time to read what was written last, and to close."""
+        """Close all connections, after giving the peers time to read the last responses."""
         for connection in list(self._connections):
             connection.finish()
         if self._connections:
@@ -61,18 +61,18 @@
 
     @property
     def available_connections(self) -> int:
-        """How many more connections may be accepted; always one, which gets an error if it is too many."""
+        """The number of further connections to accept; at least 1, because excess ones are sent an error."""
         return max(self.config.max_connections - len(self._connections), 1)
 
     def make_connection(self) -> asyncio.Protocol:
-        """The protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return Connection(self.config, self, self._make_peer)
 
     def _make_peer(self, connection: Connection) -> Peer:
         return Peer(connection, self._jobs, self._transport, self._commands)
 
     def evict_idle_connection(self) -> bool:
-        """End the oldest connection that has sent nothing complete; False if there is none."""
+        """Close the oldest connection that has not sent a complete packet. Return False if there is none."""
         idle = next((c for c in self._connections if c.is_silent and not c.has_unread_data), None)
         if idle is None:
             return False
@@ -83,14 +83,14 @@
     # ---- For the connections ----
 
     def admit(self, connection: Connection) -> bool:
-        """Hold a new connection, in place of an idle one if need be; False if there are too many."""
+        """Add a new connection, if necessary in place of an idle one. Return False if there are too many."""
         if len(self._connections) >= self.config.max_connections and not self.evict_idle_connection():
             return False
         self._connections[connection] = None
         return True
 
     def may_buffer(self, additional_bytes: int) -> bool:
-        """Whether all connections together may buffer that much more of incomplete packets."""
+        """Return whether all connections together may buffer `additional_bytes` of incomplete packets."""
         if additional_bytes <= 0:
             return True
         return sum(c.buffered_bytes for c in self._connections) <= self.config.max_buffered_bytes
@@ -100,7 +100,7 @@
         self.counts[code.value.lower().replace("_", " ")] += 1
 
     def release(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         self._connections.pop(connection, None)
         if not self._connections and self._all_ended is not None and not self._all_ended.done():
             self._all_ended.set_result(None)
--- a/oxbowyard/gearman/job.py
+++ b/oxbowyard/gearman/job.py
@@ -1,4 +1,4 @@
-"""A job of the Gearman front, its priority, and the clients that wait for it."""
+"""A job of the Gearman front, its priority and the clients that wait for it."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 
 
 class Priority(IntEnum):
-    """The priority of a job, by the packet that submitted it. The numbers are stored with durable jobs."""
+    """The priority of a job, set by its submission. The numbers are stored with durable jobs."""
 
     HIGH = 0
     NORMAL = 1
     LOW = 2
 
 
-# The priorities of deferred jobs; None: by the weight of the job's class.
+# The priorities of deferred jobs. None: the priority follows from the weight of the job's class.
 DEFERRED_PRIORITIES = {Priority.HIGH: HIGH_PRIORITY, Priority.NORMAL: None, Priority.LOW: LOW_PRIORITY}
 
-# The names of a request's extra values that a job needs again at its worker or after a restart.
+# The names of the extra values of a request that hold what a worker or a restart needs of the job.
 UNIQUE_EXTRA = "unique"
 PRIORITY_EXTRA = "priority"
-UNIQUE_ENCODING = "latin-1"  # a unique id is any bytes, an extra value is a text
+UNIQUE_ENCODING = "latin-1"  # maps the arbitrary bytes of a unique id to text and back
 
 
 class JobClient(Protocol):
-    """A client's connection, as its jobs see it."""
+    """The connection of a client, as jobs use it."""
 
-    accepts_exceptions: bool  # whether it asked for WORK_EXCEPTION packets
+    accepts_exceptions: bool  # whether the client asked for WORK_EXCEPTION packets
 
     def send(self, data: bytes) -> None:
-        """Write to the client."""
+        """Send data to the client."""
 
     def is_connected(self) -> bool:
-        """Whether the client is still there."""
+        """Return whether the client is still connected."""
 
     def pause_input(self) -> None:
-        """Handle nothing more from the client until `resume` is called."""
+        """Stop handling input from the client until `resume_input` is called."""
 
     def resume_input(self) -> None:
-        """Handle what the client sends again."""
+        """Handle input from the client again."""
 
 
 @dataclass(slots=True, frozen=True)
 class Progress:
-    """The progress of a job as its worker reported it last, as a fraction in decimal digits."""
+    """The progress that a job's worker has reported last, as a fraction of two decimal numbers."""
 
     numerator: bytes = b"0"
     denominator: bytes = b"0"
@@ -64,21 +64,21 @@
     is_background: bool
     payload_bytes: int
     clients: dict[JobClient, None] = field(default_factory=dict)
-    task: asyncio.Task[None] | None = None  # serves it, unless it is deferred
-    durable: bool = False  # it is stored, or about to be
+    task: asyncio.Task[None] | None = None  # serves the job, unless it is deferred
+    durable: bool = False  # the job is stored, or is being stored
     running: bool = False
     progress: Progress = field(default_factory=Progress)
 
     @property
     def id(self) -> str:
-        """The id of its request."""
+        """The id of the job's request."""
         return self.handle.decode()
 
     def is_wanted(self) -> bool:
-        """Whether it is a background job, or a client still waits for it."""
+        """Return whether the job is a background job or a connected client waits for it."""
         return self.is_background or any(client.is_connected() for client in self.clients)
 
     def send(self, data: bytes) -> None:
-        """Write to all clients that wait for it."""
+        """Send data to all clients that wait for the job."""
         for client in list(self.clients):
             client.send(data)
--- a/oxbowyard/gearman/job_limits.py
+++ b/oxbowyard/gearman/job_limits.py
@@ -1,4 +1,4 @@
-"""The limits that a submission has to meet."""
+"""The limits that a submission must not exceed."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class JobLimits:
-    """Bounds the number of waiting jobs, by function, and the memory of all jobs."""
+    """Limits the number of waiting jobs per function and the memory of all jobs."""
 
     def __init__(self, config: GearmanConfig, table: JobTable) -> None:
         self._config = config
         self._table = table
-        self._max_waiting: dict[str, int] = {}  # by function; set by an operator
-        self.is_shutting_down = False  # no more jobs are accepted
+        self._max_waiting: dict[str, int] = {}  # by function, as set by operators
+        self.is_shutting_down = False  # no further jobs are accepted
 
     def set_max_waiting(self, function: str, number: int) -> None:
-        """Override the configured number of waiting jobs for a function; 0 or less: no limit."""
+        """Override the configured limit of waiting jobs for a function; 0 or less removes the limit."""
         self._max_waiting[function] = max(number, NO_LIMIT)
 
     def reset_max_waiting(self, function: str) -> None:
-        """Return to the configured number of waiting jobs."""
+        """Restore the configured limit of waiting jobs for a function."""
         self._max_waiting.pop(function, None)
 
     def check(self, function: Function, payload_bytes: int, deferred: bool) -> None:
         """Raise PacketRejectedError if a job of this size may not be accepted now."""
-        # Waiting jobs are few but may be large: their number alone would not bound the memory.
+        # Waiting jobs may be large, so a limit on their number alone would not limit the memory.
         if self._table.payload_bytes + payload_bytes > self._config.max_held_bytes:
             text = "the jobs that wait hold all the memory they may"
             raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, text)
@@ -39,5 +39,5 @@
             raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, "too many jobs wait for this function")
 
     def _limit(self, function: str, deferred: bool) -> int:
-        # The queue of deferred jobs has limits of its own.
+        # The queue of deferred jobs enforces its own limits.
         return self._max_waiting.get(function, NO_LIMIT if deferred else self._config.max_queue)
--- a/oxbowyard/gearman/job_requests.py
+++ b/oxbowyard/gearman/job_requests.py
@@ -1,4 +1,4 @@
-"""The core's requests for Gearman jobs."""
+"""Creates the requests to the scheduler core for Gearman jobs."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def digest_key(data: bytes) -> str | None:
-    """A short key for a unique id or a workload, which may be large; None for an empty one."""
+    """Return a short key for a unique id or a workload of any size; None if it is empty."""
     return hashlib.blake2b(data, digest_size=KEY_BYTES).hexdigest() if data else None
 
 
 def build_request(job: Job, workload: bytes, priority: Priority, table: JobTable) -> Request:
-    """The request for a job, which reports its progress to the job's clients and to the table."""
+    """Create the request for a job, which reports progress to the job's clients and to the table."""
     extras = {UNIQUE_EXTRA: job.unique.decode(UNIQUE_ENCODING), PRIORITY_EXTRA: str(priority.value)}
     return Request(
         id=job.id,
--- a/oxbowyard/gearman/job_results.py
+++ b/oxbowyard/gearman/job_results.py
@@ -1,4 +1,4 @@
-"""What a job's clients are sent while it runs, and at its end."""
+"""Sends progress and results of jobs to their clients."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def send_update(job: Job, update: AttemptUpdate) -> None:
-    """Send a worker's update to the job's clients."""
+    """Send a progress update from the worker to the job's clients."""
     if update.kind is UpdateKind.STATUS:
         job.progress = Progress(f"{update.done:g}".encode(), f"{update.total:g}".encode())
         progress = job.progress
@@ -37,7 +37,7 @@
 
 
 def send_answer(job: Job, answer: Answer) -> None:
-    """Send the core's answer to the job's clients."""
+    """Send the scheduler core's answer to the job's clients."""
     if answer.kind is AnswerKind.SERVED:
         job.send(encode(PacketType.WORK_COMPLETE, job.handle, answer.body))
         return
@@ -49,7 +49,7 @@
             answer.kind.value,
             answer.reason,
         )
-    # The protocol has no packet for a rejection: a warning says when to submit the job again.
+    # The protocol has no packet for a rejection, so a warning says when to submit the job again.
     if answer.kind is AnswerKind.REJECTED:
         text = f"refused retry-after={answer.retry_after_s:.3f}"
         job.send(encode(PacketType.WORK_WARNING, job.handle, text.encode()))
--- a/oxbowyard/gearman/job_table.py
+++ b/oxbowyard/gearman/job_table.py
@@ -1,4 +1,4 @@
-"""The jobs that have not ended, by handle, by unique id and by client, with their counts."""
+"""An index of the jobs that have not ended, by handle, unique id and client, with counts per function."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True, frozen=True)
 class JobCounts:
-    """The number of a function's jobs."""
+    """The numbers of a function's jobs."""
 
-    total: int  # that have not ended
-    running: int  # of these, on a worker
+    total: int  # jobs that have not ended
+    running: int  # those of them that a worker runs
 
     @property
     def waiting(self) -> int:
-        """How many are on no worker yet."""
+        """The number of jobs that no worker runs yet."""
         return self.total - self.running
 
 
@@ -26,7 +26,7 @@
     """All jobs that have not ended."""
 
     def __init__(self) -> None:
-        self.payload_bytes = 0  # the workloads of all jobs
+        self.payload_bytes = 0  # total size of the workloads of all jobs
         self._by_handle: dict[bytes, Job] = {}
         self._by_unique: dict[tuple[str, bytes], Job] = {}
         self._by_client: dict[JobClient, dict[Job, None]] = {}
@@ -34,7 +34,7 @@
         self._running: Counter[str] = Counter()  # by function
 
     def add(self, handle: bytes, function: Function, unique: bytes, size: int, is_background: bool) -> Job:
-        """Add a job; `size` is that of its workload in bytes."""
+        """Add a job. `size` is the size of its workload in bytes."""
         job = Job(handle, function, unique, is_background, size)
         self._by_handle[handle] = job
         self.payload_bytes += size
@@ -44,7 +44,7 @@
         return job
 
     def remove(self, job: Job) -> None:
-        """Remove a job that has ended; one that was removed before stays so."""
+        """Remove a job that has ended. Does nothing if it was removed before."""
         if self._by_handle.pop(job.handle, None) is None:
             return
         name = job.function.name
@@ -57,45 +57,45 @@
             del self._by_unique[name, job.unique]
 
     def find(self, handle: bytes) -> Job | None:
-        """The job with this handle."""
+        """Return the job with this handle, or None."""
         return self._by_handle.get(handle)
 
     def find_by_unique(self, function: Function, unique: bytes) -> Job | None:
-        """The function's job with this unique id; without an id no job is the same as another."""
+        """Return the function's job with this unique id, or None. An empty id matches no job."""
         return self._by_unique.get((function.name, unique)) if unique else None
 
     def find_by_unique_in_any_function(self, unique: bytes) -> Job | None:
-        """The first job of any function with this unique id."""
+        """Return the first job of any function with this unique id, or None."""
         return next((job for (_, known), job in self._by_unique.items() if known == unique), None)
 
     def add_client(self, job: Job, client: JobClient) -> None:
-        """A client waits for a job."""
+        """Add a client that waits for a job."""
         job.clients[client] = None
         self._by_client.setdefault(client, {})[job] = None
 
     def remove_client(self, client: JobClient) -> list[Job]:
-        """A client has disconnected; returns the jobs that it waited for."""
+        """Remove a disconnected client. Return the jobs that it waited for."""
         jobs = list(self._by_client.pop(client, ()))
         for job in jobs:
             del job.clients[client]
         return jobs
 
     def stored_jobs(self) -> list[Job]:
-        """The jobs that the store has, or is about to have."""
+        """Return the jobs that are stored or are being stored."""
         return [job for job in self._by_handle.values() if job.durable]
 
     def forget_clients(self, job: Job) -> None:
-        """Nobody waits for the job any more."""
+        """Remove all clients that wait for a job."""
         for client in job.clients:
             self._by_client[client].pop(job, None)
         job.clients.clear()
 
     def set_running(self, job: Job, running: bool) -> None:
-        """A worker has begun a job, or an attempt of it has ended."""
+        """Record that a worker has started a job, or that an attempt of it has ended."""
         if running != job.running and job.handle in self._by_handle:
             self._running[job.function.name] += 1 if running else -1
         job.running = running
 
     def counts(self, function: str) -> JobCounts:
-        """The number of a function's jobs."""
+        """Return the numbers of a function's jobs."""
         return JobCounts(self._total[function], self._running[function])
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -1,4 +1,4 @@
-"""The client side of the Gearman front: jobs from submission to their end, and queries about them."""
+"""The client side of the Gearman front: jobs from their submission to their end, and status queries."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .packet_types import PacketType
 from .submission import Submission, parse_submission
 
-if TYPE_CHECKING:  # it is imported only where the operator's file has the table [waiting]
+if TYPE_CHECKING:  # at run time it is imported only if the operator's file has [waiting]
     from ..waiting.job_queue import JobQueue
 
 log = logging.getLogger("oxbowyard.gearman")
@@ -35,8 +35,8 @@
     Args:
         config: The front's configuration.
         scheduler: Serves the jobs that are not deferred.
-        name: The scheduler's name, a part of each job's handle.
-        queue: The queue of deferred jobs; None: no job is deferred.
+        name: The scheduler's name, which is part of each job's handle.
+        queue: The queue of deferred jobs; None if no job is deferred.
     """
 
     def __init__(
@@ -55,9 +55,10 @@
             self._handle_prefix += queue.ids.run_id
 
     def submit(self, packet_type: PacketType, arguments: list[bytes], client: JobClient) -> None:
-        """Accept a job, or join one with the same unique id, and send the client its handle.
+        """Accept a job or join an existing one with the same unique id, and send its handle to the client.
 
-        Raises PacketRejectedError if the job is not accepted.
+        Raises:
+            PacketRejectedError: The job is rejected.
         """
         can_defer = self._deferred is not None
         submission = parse_submission(packet_type, arguments, self._functions, can_defer)
@@ -72,10 +73,12 @@
             self._submit_now(submission, client)
 
     def _may_join(self, job: Job, submission: Submission) -> bool:
-        """Whether a submission is the same job as one that has not ended; raises PacketRejectedError if it
-        can neither be that nor run beside it.
+        """Return whether a submission may join a job with the same unique id that has not ended.
 
-        A job that is not stored can't stand for one that has to be.
+        A submission that must be stored cannot join a job that is not stored.
+
+        Raises:
+            PacketRejectedError: The submission can neither join the job nor run in addition to it.
         """
         if job.durable or self._deferred is None or not self._deferred.must_store(submission):
             return True
@@ -114,7 +117,7 @@
     async def _serve(self, job: Job, request: Request) -> None:
         try:
             answer = await self._scheduler.serve(request)
-        except Exception:  # its clients get their answer all the same
+        except Exception:  # the clients must get an answer in any case
             log.exception("internal error while serving a job: job=%s", request.id)
             answer = Answer(AnswerKind.FAILED, reason="internal fault")
         finally:
@@ -122,7 +125,7 @@
         send_answer(job, answer)
 
     def remove_client(self, client: JobClient) -> None:
-        """A client has disconnected: jobs that nobody else waits for end, but for background jobs."""
+        """Remove a disconnected client, and cancel the foreground jobs for which no other client waits."""
         for job in self._table.remove_client(client):
             if not job.clients and not job.is_background:
                 self._cancel(job)
@@ -135,20 +138,20 @@
         self._table.remove(job)
 
     def deliver_late_result(self, handle: bytes, outcome: JobOutcome, body: bytes) -> bool:
-        """See `DeferredJobs.deliver_late_result`; False also where no job is deferred."""
+        """See `DeferredJobs.deliver_late_result`. Return False if no job is deferred."""
         return self._deferred is not None and self._deferred.deliver_late_result(handle, outcome, body)
 
     # ---- Queries ----
 
     def status(self, handle: bytes) -> bytes:
-        """The answer to GET_STATUS."""
+        """Return the response to GET_STATUS."""
         job = self._table.find(handle)
         if job is None:
             return encode(PacketType.STATUS_RES, handle, b"0", b"0", b"0", b"0")
         return encode(PacketType.STATUS_RES, handle, *_status_arguments(job))
 
     def status_by_unique(self, unique: bytes) -> bytes:
-        """The answer to GET_STATUS_UNIQUE."""
+        """Return the response to GET_STATUS_UNIQUE."""
         job = self._table.find_by_unique_in_any_function(unique)
         if job is None:
             return encode(PacketType.STATUS_RES_UNIQUE, unique, b"0", b"0", b"0", b"0", b"0")
@@ -156,10 +159,10 @@
         return encode(PacketType.STATUS_RES_UNIQUE, unique, *_status_arguments(job), clients)
 
     def counts(self, function: str) -> JobCounts:
-        """The number of a function's jobs."""
+        """Return the numbers of a function's jobs."""
         return self._table.counts(function)
 
 
 def _status_arguments(job: Job) -> list[bytes]:
-    """That the job is known, whether it runs, and its progress."""
+    """Return the arguments that say that the job is known, whether it is running, and its progress."""
     return [b"1", b"%d" % job.running, job.progress.numerator, job.progress.denominator]
--- a/oxbowyard/gearman/packet_types.py
+++ b/oxbowyard/gearman/packet_types.py
@@ -1,4 +1,4 @@
-"""The packet types of the Gearman protocol, and how many arguments each has."""
+"""The packet types of the Gearman protocol and their numbers of arguments."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PacketType(IntEnum):
-    """The packet types of the published protocol; ERROR packets contain their names."""
+    """The packet types of the published protocol. Texts of ERROR packets contain the names."""
 
     CAN_DO = 1
     CANT_DO = 2
@@ -51,7 +51,7 @@
     STATUS_RES_UNIQUE = 42
 
 
-# The number of arguments of each packet that a client or worker may send; other types are not served.
+# The number of arguments of each packet type that clients and workers may send. Other types are rejected.
 # The last argument extends to the end of the packet and may contain NUL bytes.
 ARGUMENT_COUNTS = {
     PacketType.CAN_DO: 1,
--- a/oxbowyard/gearman/peer.py
+++ b/oxbowyard/gearman/peer.py
@@ -1,4 +1,4 @@
-"""The peer of one connection: dispatches its packets to the client side, the worker side or text commands."""
+"""Dispatches the packets of one connection to the client side, the worker side or the text commands."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 log = logging.getLogger("oxbowyard.gearman")
 
-MAX_NAME_BYTES = 512  # of a function's name or a client's id, which are remembered
-MAX_TIMEOUT_DIGITS = 9  # of a worker's own limit in seconds
+MAX_NAME_BYTES = 512  # of a function name or a client id, which are kept in memory
+MAX_TIMEOUT_DIGITS = 9  # of a worker's own time limit in seconds
 EXCEPTIONS_OPTION = b"exceptions"
 
 LATE_OUTCOMES = {
@@ -40,7 +40,7 @@
 
 
 class Peer:
-    """Handles what one peer sends. It becomes a worker with the first packet that only workers send."""
+    """The peer of one connection, which becomes a worker with the first packet that only workers send."""
 
     def __init__(
         self, connection: Connection, jobs: Jobs, transport: WorkerTransport, commands: TextCommands
@@ -53,7 +53,7 @@
         self._worker: Worker | None = None
 
     def handle(self, item: Packet | TextCommand) -> None:
-        """Handle a packet or a text command; what goes wrong is sent to the peer as an ERROR packet."""
+        """Handle a packet or a text command. Errors are sent to the peer as ERROR packets."""
         try:
             if isinstance(item, TextCommand):
                 self._connection.send(self._commands.answer(item.text).encode())
@@ -66,7 +66,7 @@
             self._send_error(ErrorCode.INTERNAL, "internal fault")
 
     def disconnect(self) -> None:
-        """The connection has ended: jobs that only this client waits for end, and so does the worker."""
+        """Remove the client and worker of a closed connection. Jobs that only this client waits for end."""
         self._jobs.remove_client(self._connection)
         if self._worker is not None:
             self._workers.unregister(self._worker)
@@ -91,7 +91,7 @@
             self._handle_client_packet(packet_type, arguments)
 
     def _handle_client_packet(self, packet_type: PacketType, arguments: list[bytes]) -> None:
-        """Handle a query or an option, or pass on what is a worker's."""
+        """Handle a query or an option, or pass a worker's packet on."""
         match packet_type:
             case PacketType.ECHO_REQ:
                 self._connection.send(encode(PacketType.ECHO_RES, arguments[0]))
@@ -105,7 +105,7 @@
                 self._handle_worker_packet(packet_type, arguments)
 
     def _handle_worker_packet(self, packet_type: PacketType, arguments: list[bytes]) -> None:
-        """Handle what a worker says of itself."""
+        """Handle a packet in which a worker describes its state or abilities."""
         match packet_type:
             case PacketType.SET_CLIENT_ID:
                 self._set_client_id(arguments[0])
@@ -120,7 +120,7 @@
             case PacketType.PRE_SLEEP:
                 self._as_worker().sleep()
             case PacketType.ALL_YOURS:
-                pass  # it promises to serve no other server, and nothing here depends on that
+                pass  # the worker serves no other server, which makes no difference here
 
     def _as_worker(self) -> Worker:
         if self._worker is None:
@@ -130,8 +130,9 @@
     def _update_job(self, packet_type: PacketType, arguments: list[bytes]) -> None:
         if self._worker is not None and self._transport.apply_update(self._worker, packet_type, arguments):
             return
-        # The worker may have lost the job to its limit, or sent WORK_FAIL after WORK_EXCEPTION. Or it had the
-        # job on an earlier connection or from an earlier process, and that job's outcome is indeterminate.
+        # The job may have exceeded the worker's own time limit, or WORK_FAIL follows a WORK_EXCEPTION. Or the
+        # worker got the job on an earlier connection or from an earlier process of this scheduler, and the
+        # outcome of the job is indeterminate.
         body = arguments[1] if packet_type is PacketType.WORK_COMPLETE else b""
         outcome = LATE_OUTCOMES.get(packet_type)
         if outcome is not None and self._jobs.deliver_late_result(arguments[0], outcome, body):
--- a/oxbowyard/gearman/submission.py
+++ b/oxbowyard/gearman/submission.py
@@ -1,4 +1,4 @@
-"""A submission: what a client's SUBMIT_JOB packet asks for."""
+"""Parses the packets with which clients submit jobs."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .packet_types import PacketType
 
 MAX_EPOCH_DIGITS = 12  # of a Unix time in seconds
-UNIQUE_IS_WORKLOAD = b"-"  # this unique id stands for the workload itself
+UNIQUE_IS_WORKLOAD = b"-"  # with this unique id, the workload serves as the unique id
 
 
 @dataclass(slots=True, frozen=True)
 class SubmissionKind:
-    """What the type of a packet says of its job."""
+    """The properties of a job that follow from the type of the packet."""
 
     priority: Priority
     is_background: bool  # the client does not wait for the result
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Submission:
-    """A job as a client submits it."""
+    """A job as submitted by a client."""
 
     function: Function
     unique: bytes
@@ -55,10 +55,10 @@
         packet_type: One of `SUBMISSION_KINDS`.
         arguments: The packet's arguments, as many as its type has.
         functions: The configured functions by name.
-        can_defer: Whether there is a queue of deferred jobs; without it a job cannot have a time.
+        can_defer: Whether there is a queue of deferred jobs, which SUBMIT_JOB_EPOCH requires.
 
     Raises:
-        PacketRejectedError: The time is not one, or the function is not configured.
+        PacketRejectedError: The time is malformed or not supported, or the function is not configured.
     """
     not_before_unix_s = None
     if packet_type is PacketType.SUBMIT_JOB_EPOCH:
@@ -76,7 +76,7 @@
 
 
 def _workload_unique(workload: bytes) -> bytes:
-    """The unique id that stands for a workload: an argument of a packet, which ends at a NUL."""
+    """Return the unique id of a workload: its digest if it contains a NUL, which ends a packet argument."""
     return hashlib.sha256(workload).hexdigest().encode() if b"\0" in workload else workload
 
 
--- a/oxbowyard/gearman/text_commands.py
+++ b/oxbowyard/gearman/text_commands.py
@@ -1,4 +1,4 @@
-"""The text commands of operators."""
+"""The text commands for operators of the Gearman front."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._workers = workers
 
     def answer(self, line: str) -> str:
-        """The text to send back."""
+        """Return the response to a command line."""
         match line.split():
             case ["status"]:
                 return self._status()
--- a/oxbowyard/gearman/worker.py
+++ b/oxbowyard/gearman/worker.py
@@ -1,4 +1,4 @@
-"""One connected Gearman worker: its functions and its assignments."""
+"""A connected Gearman worker with its functions and assignments."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class WorkerConnection(Protocol):
-    """A worker's connection."""
+    """The connection of a worker."""
 
-    address: str  # for operators
+    address: str  # as shown to operators
 
     def send(self, data: bytes) -> None:
-        """Write to the worker."""
+        """Send data to the worker."""
 
 
 @dataclass(slots=True, eq=False)
@@ -27,48 +27,48 @@
 
     name: str
     connection: WorkerConnection
-    abilities: dict[str, float] = field(default_factory=dict)  # function: its limit in seconds, 0: none
-    pending: list[Assignment] = field(default_factory=list)  # assigned, not grabbed yet
-    grabbed: dict[bytes, Assignment] = field(default_factory=dict)  # by handle, until it reports their end
+    abilities: dict[str, float] = field(default_factory=dict)  # time limit in s by function, 0: none
+    pending: list[Assignment] = field(default_factory=list)  # assigned but not grabbed yet
+    grabbed: dict[bytes, Assignment] = field(default_factory=dict)  # by handle, until reported as ended
     is_asleep: bool = False
-    is_announced: bool = False  # as able to do at least one function of the configuration
+    is_announced: bool = False  # as capable of at least one configured function
     client_id: str = "-"
 
     @property
     def holds_ended_job(self) -> bool:
-        """Whether it still works on a job that ended without its report: it grabs no other before that."""
+        """Whether the worker is busy with a job that ended without its report, and grabs no other yet."""
         return any(assignment.is_over for assignment in self.grabbed.values())
 
     def load_report(self) -> dict[str, float]:
-        """Its load report, as other backends send it."""
+        """Return a load report in the form that other backends send."""
         return {"free_slots": 0.0 if self.grabbed else 1.0, "waiting": float(len(self.pending))}
 
     def assign(self, assignment: Assignment) -> None:
-        """Give it an attempt to grab; a sleeping worker is woken up."""
+        """Assign an attempt for the worker to grab, and wake the worker if it sleeps."""
         self.pending.append(assignment)
         self._wake()
 
     def sleep(self) -> None:
-        """It sleeps until there is a job for it."""
+        """Let the worker sleep until there is a job for it."""
         self.is_asleep = True
         self._wake()
 
     def next_pending(self) -> Assignment | None:
-        """The assignment that it grabs next: by priority, then in the order of assignment."""
+        """Return the assignment to grab next, by priority and then in order of assignment; None if none."""
         for assignment in self.pending:
             assignment.end_if_too_late()
         candidates = (assignment for assignment in self.pending if not assignment.is_over)
         return min(candidates, key=lambda assignment: assignment.priority, default=None)
 
     def reject_ungrabbable(self, reason: str) -> None:
-        """End the chosen assignments that it will not grab as rejected, so that they go elsewhere."""
+        """End as rejected the assignments that the worker will not grab, so that the jobs go elsewhere."""
         for assignment in list(self.pending):
             if self.holds_ended_job or assignment.request.target not in self.abilities:
                 self.pending.remove(assignment)
                 assignment.end(AttemptOutcome(Result.FULL, reason=reason))
 
     def end_all(self) -> None:
-        """End all assignments: its connection has ended."""
+        """End all assignments after the worker's connection has ended."""
         for assignment in self.pending:
             outcome = AttemptOutcome(Result.UNREACHABLE, reason="worker left before it took the job")
             assignment.end(outcome)
--- a/oxbowyard/gearman/worker_transport.py
+++ b/oxbowyard/gearman/worker_transport.py
@@ -1,4 +1,4 @@
-"""The backend transport to Gearman workers: an attempt waits until the worker that is chosen grabs it."""
+"""The backend transport to Gearman workers. An attempt waits until the selected worker grabs it."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     PacketType.WORK_FAIL: Result.ERROR,
     PacketType.WORK_EXCEPTION: Result.ERROR,
 }
-MAX_PROGRESS = 1e15  # a number of this size or more is taken for 0
+MAX_PROGRESS = 1e15  # larger numbers in WORK_STATUS count as 0
 
 
 class WorkerTransport:
-    """Carries out attempts at connected workers."""
+    """Makes attempts at connected workers."""
 
     def __init__(self, workers: Workers) -> None:
         self.workers = workers
-        self._numbers = itertools.count(1)  # of attempts
+        self._numbers = itertools.count(1)  # numbers the attempts
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-        """Assign a request to the worker `backend`, and wait until it has grabbed and ended it."""
+        """Assign a request to the worker `backend` and wait for the outcome."""
         worker = self.workers.connected.get(backend)
         if worker is None or request.target not in worker.abilities:
             return AttemptOutcome(Result.NOT_SENT, reason="worker is gone or can't do it any more")
@@ -52,13 +52,13 @@
         assignment.cancel_timeout()
         if assignment in worker.pending:  # cancelled before it was grabbed
             worker.pending.remove(assignment)
-        # The worker does not know that it is over, and works on.
+        # The worker is not notified of the end and continues to work on the job.
         if assignment.handle in worker.grabbed and worker.name in self.workers.connected:
             self.workers.announce(worker)
             worker.reject_ungrabbable("worker still works on a job that is over")
 
     def grab(self, worker: Worker, grab_type: PacketType) -> None:
-        """Send the worker its next job, or that there is none."""
+        """Send the worker its next job, or NO_JOB."""
         worker.is_asleep = False
         assignment = worker.next_pending()
         if assignment is None:
@@ -83,17 +83,17 @@
         assignment.context.on_started()
 
     def _withdraw(self, worker: Worker, assignment: Assignment) -> None:
-        """The assignment ended after it was grabbed and before it was sent; the grab gets its answer."""
+        """Answer a grab whose assignment has ended before it was sent."""
         worker.grabbed.pop(assignment.handle, None)
         worker.connection.send(encode(PacketType.NO_JOB))
         if worker.name in self.workers.connected:
             self.workers.announce(worker)
 
     def apply_update(self, worker: Worker, packet_type: PacketType, arguments: list[bytes]) -> bool:
-        """Apply a worker's WORK packet to the assignment that it names.
+        """Apply a WORK packet to the assignment that it names.
 
         Returns:
-            False if the worker does not have that job, or reports its end after the attempt was over.
+            False if the worker does not have the job, or reports its end after the attempt was over.
         """
         assignment = worker.grabbed.get(arguments[0])
         if assignment is None:
@@ -114,7 +114,7 @@
         del worker.grabbed[assignment.handle]
         body = arguments[1] if packet_type is PacketType.WORK_COMPLETE else b""
         if is_late:
-            self.workers.announce(worker)  # it may have its next job now
+            self.workers.announce(worker)  # the worker may get another job now
         reason = packet_type.name.lower()
         assignment.end(AttemptOutcome(END_RESULTS[packet_type], body, worker.load_report(), reason))
         return not is_late
--- a/oxbowyard/gearman/workers.py
+++ b/oxbowyard/gearman/workers.py
@@ -1,4 +1,4 @@
-"""The connected Gearman workers and their functions, announced as backends."""
+"""The registry of connected Gearman workers, which are announced as backends."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 
 UpdateEndpoints = Callable[[Scope, tuple[WorkerInfo, ...], str], None]
 
-MAX_ABILITIES = 256  # of one worker; each is remembered with its name
+MAX_ABILITIES = 256  # per worker, since the name of each ability is kept in memory
 
 
 class Workers:
     """The registry of all connected workers.
 
-    `on_change` is to be set to what takes changes of the list of backends.
+    Attributes:
+        connected: The connected workers by name.
+        on_change: Called with changes to the list of backends; set by the owner.
     """
 
     def __init__(self, config: GearmanConfig) -> None:
@@ -29,7 +31,7 @@
         self.on_change: UpdateEndpoints = lambda scope, infos, source: None
 
     def register(self, connection: WorkerConnection) -> Worker:
-        """Add the worker of a connection; it is announced with its first function."""
+        """Add the worker of a connection. It is announced with its first function."""
         worker = Worker(f"{KIND}:{next(self._numbers)}", connection)
         self.connected[worker.name] = worker
         return worker
@@ -38,14 +40,16 @@
         """Remove a worker whose connection has ended."""
         del self.connected[worker.name]
         worker.abilities.clear()
-        self.announce(worker)  # first, so that nothing that ends here is tried there again
+        self.announce(worker)  # first, so that no retry of the ended attempts selects this worker
         worker.end_all()
 
     def add_ability(self, worker: Worker, function: bytes, limit_s: float = 0.0) -> None:
-        """The worker can do a function, within its own limit unless that is 0.
+        """Add a function to the worker, with a time limit of the worker's own unless that is 0.
 
-        A worker is never chosen for a function that is not configured. Raises PacketRejectedError if the
-        worker has too many.
+        A worker is never selected for a function that is not configured.
+
+        Raises:
+            PacketRejectedError: The worker has too many functions.
         """
         name = _function_name(function)
         if name not in worker.abilities and len(worker.abilities) >= MAX_ABILITIES:
@@ -55,17 +59,17 @@
         self.announce(worker)
 
     def remove_ability(self, worker: Worker, function: bytes) -> None:
-        """The worker cannot do a function any more."""
+        """Remove a function from the worker."""
         worker.abilities.pop(_function_name(function), None)
         self._announce_removal(worker)
 
     def reset_abilities(self, worker: Worker) -> None:
-        """The worker cannot do any function any more."""
+        """Remove all functions from the worker."""
         worker.abilities.clear()
         self._announce_removal(worker)
 
     def announce(self, worker: Worker) -> None:
-        """Announce the worker as a backend with its functions as they are now, or as gone."""
+        """Announce the worker as a backend with its current functions, or as gone if it has none."""
         configured = [self._functions[name] for name in worker.abilities if name in self._functions]
         names = [function.job_class.name for function in configured]
         classes = frozenset(names + [name + AGED_CLASS_SUFFIX for name in names])
@@ -77,7 +81,7 @@
         self.on_change(Scope.CHANGES, (info,), KIND)
 
     def count_capable(self, function: str) -> int:
-        """How many workers can do a function."""
+        """Return the number of workers that can do a function."""
         return sum(function in worker.abilities for worker in self.connected.values())
 
     def _announce_removal(self, worker: Worker) -> None:
