--- a/oxbowyard/clients/eviction.py
+++ b/oxbowyard/clients/eviction.py
@@ -73,8 +73,8 @@
     evicted = _first_match(RULES, connections, now)
     if evicted is not None:
         return evicted
-    without_request = sum(has_no_request(connection) for connection in connections)
-    if without_request >= MAX_NO_REQUEST_SHARE * max_connections:
+    no_request_count = sum(has_no_request(connection) for connection in connections)
+    if no_request_count >= MAX_NO_REQUEST_SHARE * max_connections:
         return None
     return _first_match(RULES_UNDER_PRESSURE, connections, now)
 
--- a/oxbowyard/control/admin_server.py
+++ b/oxbowyard/control/admin_server.py
@@ -63,7 +63,7 @@
 
     def _answer(self, request: BaseRequest) -> AdminResponse:
         try:
-            if _has_body(request):  # the body is discarded when the connection closes
+            if _has_oversized_body(request):  # the body is discarded when the connection closes
                 return AdminResponse(413, b"a call has no body\n")
             return self._handler(request.method, request.path)
         except Exception:  # an internal error must not leave the request unanswered
@@ -75,6 +75,6 @@
             return AdminResponse(500, b"internal fault\n")
 
 
-def _has_body(request: BaseRequest) -> bool:
-    too_long = (request.content_length or 0) > MAX_BODY_BYTES
-    return too_long or bool(request.headers.get("Transfer-Encoding"))
+def _has_oversized_body(request: BaseRequest) -> bool:
+    is_too_long = (request.content_length or 0) > MAX_BODY_BYTES
+    return is_too_long or bool(request.headers.get("Transfer-Encoding"))
--- a/oxbowyard/gearman/deferred_jobs.py
+++ b/oxbowyard/gearman/deferred_jobs.py
@@ -75,7 +75,7 @@
             # A client that got no answer may submit again, but a job that is not idempotent must not run
             # twice.
             options = replace(options, idempotency_key=_idempotency_key(submission))
-        job.durable = True
+        job.is_durable = True
         self._submitters[job] = []
         self.join_once_stored(job, submission, client)
         task = asyncio.get_running_loop().create_task(self._store(job, request, options))
@@ -154,7 +154,7 @@
             return None
         unique = request.extras.get(UNIQUE_EXTRA, "").encode(UNIQUE_ENCODING)
         job = self._table.add(request.id.encode(), function, unique, len(request.payload), is_background=True)
-        job.durable = True
+        job.is_durable = True
         priority = Priority(int(request.extras.get(PRIORITY_EXTRA, Priority.NORMAL.value)))
         return build_request(job, request.payload, priority, self._table), self._on_end(job)
 
--- a/oxbowyard/gearman/job.py
+++ b/oxbowyard/gearman/job.py
@@ -65,8 +65,8 @@
     payload_bytes: int
     clients: dict[JobClient, None] = field(default_factory=dict)
     task: asyncio.Task[None] | None = None  # serves the job, unless it is deferred
-    durable: bool = False  # the job is stored, or is being stored
-    running: bool = False
+    is_durable: bool = False  # the job is stored, or is being stored
+    is_running: bool = False
     progress: Progress = field(default_factory=Progress)
 
     @property
--- a/oxbowyard/gearman/job_limits.py
+++ b/oxbowyard/gearman/job_limits.py
@@ -26,7 +26,7 @@
         """Restore the configured limit of waiting jobs for a function."""
         self._max_waiting.pop(function, None)
 
-    def check(self, function: Function, payload_bytes: int, deferred: bool) -> None:
+    def check(self, function: Function, payload_bytes: int, is_deferred: bool) -> None:
         """Raise PacketRejectedError if a job of this size may not be accepted now."""
         # Waiting jobs may be large, so a limit on their number alone would not limit the memory.
         if self._table.payload_bytes + payload_bytes > self._config.max_held_bytes:
@@ -34,10 +34,10 @@
             raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, text)
         if self.is_shutting_down:
             raise PacketRejectedError(ErrorCode.SHUTTING_DOWN, "this scheduler takes no more jobs")
-        limit = self._limit(function.name, deferred)
+        limit = self._limit(function.name, is_deferred)
         if limit != NO_LIMIT and self._table.counts(function.name).waiting >= limit:
             raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, "too many jobs wait for this function")
 
-    def _limit(self, function: str, deferred: bool) -> int:
+    def _limit(self, function: str, is_deferred: bool) -> int:
         # The queue of deferred jobs enforces its own limits.
-        return self._max_waiting.get(function, NO_LIMIT if deferred else self._config.max_queue)
+        return self._max_waiting.get(function, NO_LIMIT if is_deferred else self._config.max_queue)
--- a/oxbowyard/gearman/job_table.py
+++ b/oxbowyard/gearman/job_table.py
@@ -50,7 +50,7 @@
         name = job.function.name
         self.payload_bytes -= job.payload_bytes
         self._total[name] -= 1
-        self._running[name] -= job.running
+        self._running[name] -= job.is_running
         for client in job.clients:
             self._by_client.get(client, {}).pop(job, None)
         if self._by_unique.get((name, job.unique)) is job:
@@ -82,7 +82,7 @@
 
     def stored_jobs(self) -> list[Job]:
         """Return the jobs that are stored or are being stored."""
-        return [job for job in self._by_handle.values() if job.durable]
+        return [job for job in self._by_handle.values() if job.is_durable]
 
     def forget_clients(self, job: Job) -> None:
         """Remove all clients that wait for a job."""
@@ -92,9 +92,9 @@
 
     def set_running(self, job: Job, running: bool) -> None:
         """Record that a worker has started a job, or that an attempt of it has ended."""
-        if running != job.running and job.handle in self._by_handle:
+        if running != job.is_running and job.handle in self._by_handle:
             self._running[job.function.name] += 1 if running else -1
-        job.running = running
+        job.is_running = running
 
     def counts(self, function: str) -> JobCounts:
         """Return the numbers of a function's jobs."""
--- a/oxbowyard/gearman/jobs.py
+++ b/oxbowyard/gearman/jobs.py
@@ -80,7 +80,7 @@
         Raises:
             PacketRejectedError: The submission can neither join the job nor run in addition to it.
         """
-        if job.durable or self._deferred is None or not self._deferred.must_store(submission):
+        if job.is_durable or self._deferred is None or not self._deferred.must_store(submission):
             return True
         if submission.function.job_class.retry_safety is RetrySafety.IDEMPOTENT:
             return False
@@ -88,13 +88,13 @@
         raise PacketRejectedError(ErrorCode.JOB_QUEUE_FULL, text)
 
     def _submit_now(self, submission: Submission, client: JobClient) -> None:
-        job = self._accept(submission, deferred=False)
+        job = self._accept(submission, is_deferred=False)
         request = build_request(job, submission.workload, submission.priority, self._table)
         job.task = asyncio.get_running_loop().create_task(self._serve(job, request))
         self._join(job, client, submission)
 
     def _submit_deferred(self, deferred: DeferredJobs, submission: Submission, client: JobClient) -> None:
-        job = self._accept(submission, deferred=True)
+        job = self._accept(submission, is_deferred=True)
         request = build_request(job, submission.workload, submission.priority, self._table)
         if deferred.must_store(submission):
             deferred.submit_durable(job, request, submission, client)
@@ -102,9 +102,9 @@
         deferred.submit(job, request, submission)
         self._join(job, client, submission)
 
-    def _accept(self, submission: Submission, deferred: bool) -> Job:
+    def _accept(self, submission: Submission, is_deferred: bool) -> Job:
         size = len(submission.workload)
-        self.limits.check(submission.function, size, deferred)
+        self.limits.check(submission.function, size, is_deferred)
         handle = f"{self._handle_prefix}{next(self._numbers)}".encode()
         return self._table.add(handle, submission.function, submission.unique, size, submission.is_background)
 
@@ -165,4 +165,4 @@
 
 def _status_arguments(job: Job) -> list[bytes]:
     """Return the arguments that say that the job is known, whether it is running, and its progress."""
-    return [b"1", b"%d" % job.running, job.progress.numerator, job.progress.denominator]
+    return [b"1", b"%d" % job.is_running, job.progress.numerator, job.progress.denominator]
--- a/oxbowyard/gearman/worker_transport.py
+++ b/oxbowyard/gearman/worker_transport.py
@@ -24,7 +24,7 @@
     PacketType.WORK_FAIL: Result.ERROR,
     PacketType.WORK_EXCEPTION: Result.ERROR,
 }
-MAX_PROGRESS = 1e15  # larger numbers in WORK_STATUS count as 0
+MAX_PROGRESS = 1e15  # numbers in WORK_STATUS count as 0 from this size on
 
 
 class WorkerTransport:
