--- a/oxbowyard/clients/connection.py
+++ b/oxbowyard/clients/connection.py
@@ -22,10 +22,10 @@
     MAX_HEADERS,
     MAX_PIPELINED_BYTES,
     MAX_UNREAD_BYTES,
+    MIN_SILENT_AGE_S,
     READ_CHUNK_BYTES,
     REQUEST_TIMEOUT_S,
     RESPONSE_READ_TIMEOUT_S,
-    UNREAD_REQUEST_TIMEOUT_S,
 )
 from .responses import KeepAliveResponse, empty_response
 
@@ -204,10 +204,7 @@
     def close_when_idle(self) -> None:
         """Close as soon as no response is pending. A request that has arrived, even unread, is answered."""
         self._closes_when_idle = True
-        is_new = (
-            self.phase is Phase.SILENT
-            and self._loop.time() < self.phase_started_at + UNREAD_REQUEST_TIMEOUT_S
-        )
+        is_new = self.phase is Phase.SILENT and self._loop.time() < self.phase_started_at + MIN_SILENT_AGE_S
         if self.phase not in (Phase.SILENT, Phase.KEEP_ALIVE) or self.transport is None:
             return  # closed already, or its response or its timeout closes it
         if is_new or is_readable(self.transport):
--- a/oxbowyard/clients/limits.py
+++ b/oxbowyard/clients/limits.py
@@ -22,7 +22,7 @@
 REQUEST_TIMEOUT_S = 2.4  # from connecting, or the first byte after a response, to the request's last byte
 DRAIN_TIMEOUT_S = 2.0  # for further input after an error: if closed sooner, the client may not read the error
 RESPONSE_READ_TIMEOUT_S = 10.0  # for the client to read its response, which is held in memory meanwhile
-UNREAD_REQUEST_TIMEOUT_S = 0.25  # during shutdown, from connecting until a silent connection is closed
+MIN_SILENT_AGE_S = 0.25  # during shutdown, from connecting until a silent connection may be closed
 KEEP_ALIVE_TIMEOUT_S = 300.0  # between requests
 
 # Eviction under connection pressure: the minimum time in a phase before a connection may be closed.
