--- a/oxbowyard/clients/job_routes.py
+++ b/oxbowyard/clients/job_routes.py
@@ -1,6 +1,6 @@
-"""The API of deferred jobs below /jobs: submit, query, list, cancel, resolve.
+"""The deferred-job API under /jobs: submit, query, list, cancel, resolve.
 
-Described in api/openapi-waiting.json. Only imported where the operator's file has the table `[waiting]`.
+Described in api/openapi-waiting.json. Imported only if the operator's file has the table `[waiting]`.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     PageView,
     ResolutionDocument,
     decode_document,
+    job_view,
     json_response,
     rejection_response,
-    view_of,
 )
 from .job_parsing import (
     Query,
@@ -40,9 +40,9 @@
 )
 from .request_handler import check_body_size, read_body
 from .request_parsing import split_target
-from .responses import STATUS, KeepAliveResponse, answer_headers
+from .responses import STATUS_BY_ANSWER, KeepAliveResponse, answer_headers
 
-# None: the job never ran and is released again.
+# None: the job never ran, so it is released again.
 LATE_OUTCOMES = {"done": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "returned": None}
 RESOLVED_OUTCOMES = {"served": JobOutcome.SERVED, "failed": JobOutcome.FAILED, "never_ran": None}
 LATE_REASON = "its worker said so, late"
@@ -50,15 +50,15 @@
 
 
 class JobRoutes:
-    """Answers requests below /jobs."""
+    """Answers requests under /jobs."""
 
     def __init__(self, queue: JobQueue, classes: Collection[str], may_resolve: bool = False) -> None:
-        """Serve a queue.
+        """Create the routes for one queue.
 
         Args:
             queue: The queue of deferred jobs.
             classes: The job classes that clients may name.
-            may_resolve: Whether jobs of indeterminate outcome may be resolved over HTTP.
+            may_resolve: Whether operators may resolve jobs of indeterminate outcome over HTTP.
         """
         self._queue = queue
         self._may_resolve = may_resolve
@@ -67,13 +67,13 @@
     async def __call__(
         self, request: BaseRequest, body_memory: BodyMemory | None = None
     ) -> web.StreamResponse:
-        """Answer one request; memory for its body is reserved in `body_memory`. Raises RequestError."""
+        """Answer one request. Memory for its body is reserved in `body_memory`. Raises RequestError."""
         path, query = split_target(request.raw_path)
         segments = path[len(JOBS_PATH) :].strip("/").split("/") if path != JOBS_PATH else []
         max_bytes = self._queue.settings.max_body_bytes
         size_bytes = check_body_size(request, max_bytes)
         with body_memory.reserve(size_bytes) if body_memory else nullcontext():
-            body = await read_body(request, max_bytes)  # of any method: it completes the request
+            body = await read_body(request, max_bytes)  # for every method: this completes the request
             try:
                 return await self._route(request, segments, parse_qs(query), body)
             except JobRejectedError as error:
@@ -110,16 +110,16 @@
         views = await self._submit(submissions)
         if is_batch:
             return json_response(202, PageView(views, None))
-        return _accepted(views[0])
+        return _accepted_response(views[0])
 
     async def _submit_raw(self, request: BaseRequest, job_class: str, body: bytes) -> web.Response:
         views = await self._submit([self._parser.parse_raw(request, job_class, body)])
-        return _accepted(views[0])
+        return _accepted_response(views[0])
 
     async def _submit(self, submissions: list[Submission]) -> list[JobView]:
         existing = await self._queue.intake.find_existing(submissions)
         if existing is not None:
-            return [view_of(recalled) for recalled in existing]
+            return [job_view(recalled) for recalled in existing]
         jobs = self._queue.submit(submissions)
         await self._queue.intake.wait_until_durable()
         return [self._view(job) for job in jobs]
@@ -130,7 +130,7 @@
         recalled = await self._wait_for_end(job_id, query)
         if self._queue.find(job_id) is recalled.job:
             return json_response(200, self._view(recalled.job))
-        return json_response(200, view_of(recalled))
+        return json_response(200, job_view(recalled))
 
     async def _result(self, job_id: str, query: Query) -> web.Response:
         recalled = await self._wait_for_end(job_id, query)
@@ -164,12 +164,12 @@
     async def _respond_durably(self, job_id: str, is_accepted: bool) -> web.Response:
         await self._queue.intake.wait_until_durable()
         recalled = await self._recall(job_id)
-        return json_response(200 if is_accepted else 409, view_of(recalled))
+        return json_response(200 if is_accepted else 409, job_view(recalled))
 
     async def _cancel(self, job_id: str) -> web.Response:
         job = self._queue.cancel(job_id)
         if job is None:
-            return json_response(409, view_of(await self._recall(job_id)))
+            return json_response(409, job_view(await self._recall(job_id)))
         if job.durable and job.outcome is not None:
             await self._queue.intake.wait_until_durable()
         return json_response(200 if job.outcome is not None else 202, self._view(job))
@@ -192,10 +192,10 @@
     def _view(self, job: Job) -> JobView:
         has_position = job.state in (JobState.READY, JobState.AWAITING_IDLE)
         position = self._queue.position(job) if has_position else None
-        return view_of(JobRecord(job, self._queue.result(job.id)), position)
+        return job_view(JobRecord(job, self._queue.result(job.id)), position)
 
 
-def _accepted(view: JobView) -> web.Response:
+def _accepted_response(view: JobView) -> web.Response:
     response = json_response(202, view)
     response.headers["Location"] = f"{JOBS_PATH}/{view.id}"
     return response
@@ -210,4 +210,4 @@
     if result.outcome is not JobOutcome.SERVED:
         never_ran = "; it never ran" if result.run_state is RunState.NEVER_RAN else ""
         body = f"{result.reason}{never_ran}\n".encode()
-    return web.Response(status=STATUS[answer.kind], headers=headers, body=body)
+    return web.Response(status=STATUS_BY_ANSWER[answer.kind], headers=headers, body=body)
--- a/oxbowyard/gearman/submission.py
+++ b/oxbowyard/gearman/submission.py
@@ -1,4 +1,4 @@
-"""A submission: what a client's SUBMIT_JOB packet asks for."""
+"""Parses the packets with which clients submit jobs."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 from .packet_types import PacketType
 
 MAX_EPOCH_DIGITS = 12  # of a Unix time in seconds
-UNIQUE_IS_WORKLOAD = b"-"  # this unique id stands for the workload itself
+UNIQUE_IS_WORKLOAD = b"-"  # with this unique id, the workload serves as the unique id
 
 
 @dataclass(slots=True, frozen=True)
 class SubmissionKind:
-    """What the type of a packet says of its job."""
+    """The properties of a job that follow from the type of the packet."""
 
     priority: Priority
-    background: bool  # the client does not wait for the result
+    is_background: bool  # the client does not wait for the result
 
 
 SUBMISSION_KINDS = {
-    PacketType.SUBMIT_JOB: SubmissionKind(Priority.NORMAL, background=False),
-    PacketType.SUBMIT_JOB_BG: SubmissionKind(Priority.NORMAL, background=True),
-    PacketType.SUBMIT_JOB_HIGH: SubmissionKind(Priority.HIGH, background=False),
-    PacketType.SUBMIT_JOB_HIGH_BG: SubmissionKind(Priority.HIGH, background=True),
-    PacketType.SUBMIT_JOB_LOW: SubmissionKind(Priority.LOW, background=False),
-    PacketType.SUBMIT_JOB_LOW_BG: SubmissionKind(Priority.LOW, background=True),
-    PacketType.SUBMIT_JOB_EPOCH: SubmissionKind(Priority.NORMAL, background=True),
+    PacketType.SUBMIT_JOB: SubmissionKind(Priority.NORMAL, is_background=False),
+    PacketType.SUBMIT_JOB_BG: SubmissionKind(Priority.NORMAL, is_background=True),
+    PacketType.SUBMIT_JOB_HIGH: SubmissionKind(Priority.HIGH, is_background=False),
+    PacketType.SUBMIT_JOB_HIGH_BG: SubmissionKind(Priority.HIGH, is_background=True),
+    PacketType.SUBMIT_JOB_LOW: SubmissionKind(Priority.LOW, is_background=False),
+    PacketType.SUBMIT_JOB_LOW_BG: SubmissionKind(Priority.LOW, is_background=True),
+    PacketType.SUBMIT_JOB_EPOCH: SubmissionKind(Priority.NORMAL, is_background=True),
 }
 
 
 @dataclass(slots=True, frozen=True)
 class Submission:
-    """A job as a client submits it."""
+    """A job as submitted by a client."""
 
     function: Function
     unique: bytes
     workload: bytes
     priority: Priority
-    background: bool
+    is_background: bool
     not_before_unix_s: float | None = None
 
 
@@ -55,10 +55,10 @@
         packet_type: One of `SUBMISSION_KINDS`.
         arguments: The packet's arguments, as many as its type has.
         functions: The configured functions by name.
-        can_defer: Whether there is a queue of deferred jobs; without it a job cannot have a time.
+        can_defer: Whether there is a queue of deferred jobs, which SUBMIT_JOB_EPOCH requires.
 
     Raises:
-        PacketRejectedError: The time is not one, or the function is not configured.
+        PacketRejectedError: The time is malformed or not supported, or the function is not configured.
     """
     not_before_unix_s = None
     if packet_type is PacketType.SUBMIT_JOB_EPOCH:
@@ -70,13 +70,13 @@
     if function is None:
         raise PacketRejectedError(ErrorCode.UNKNOWN_FUNCTION, "no such function here")
     if unique == UNIQUE_IS_WORKLOAD:
-        unique = _unique_of(workload)
+        unique = _workload_unique(workload)
     kind = SUBMISSION_KINDS[packet_type]
-    return Submission(function, unique, workload, kind.priority, kind.background, not_before_unix_s)
+    return Submission(function, unique, workload, kind.priority, kind.is_background, not_before_unix_s)
 
 
-def _unique_of(workload: bytes) -> bytes:
-    """The unique id that stands for a workload: an argument of a packet, which ends at a NUL."""
+def _workload_unique(workload: bytes) -> bytes:
+    """Return the unique id of a workload: its digest if it contains a NUL, which ends a packet argument."""
     return hashlib.sha256(workload).hexdigest().encode() if b"\0" in workload else workload
 
 
--- a/oxbowyard/gearman/text_commands.py
+++ b/oxbowyard/gearman/text_commands.py
@@ -1,4 +1,4 @@
-"""The text commands of operators."""
+"""The text commands for operators of the Gearman front."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._workers = workers
 
     def answer(self, line: str) -> str:
-        """The text to send back."""
+        """Return the response to a command line."""
         match line.split():
             case ["status"]:
                 return self._status()
@@ -44,7 +44,7 @@
         lines = []
         for name in self._functions:
             counts = self._jobs.counts(name)
-            lines.append(f"{name}\t{counts.total}\t{counts.running}\t{self._workers.number_able(name)}\n")
+            lines.append(f"{name}\t{counts.total}\t{counts.running}\t{self._workers.count_capable(name)}\n")
         return "".join(lines) + END_OF_LIST
 
     def _list_workers(self) -> str:
