--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -16,9 +16,9 @@
 import typer
 
 from ..configuration.check import read_document
-from ..configuration.files import UnreadableFile
+from ..configuration.files import UnreadableFileError
 from ..configuration.platform import PlatformFile
-from ..configuration.sources import values_in_force
+from ..configuration.sources import effective_values
 from ..configuration.validation_errors import ValidationIssue
 from ..gearman.text_commands import VERSION
 from .check import check_file
@@ -90,7 +90,7 @@
     json_: JsonFlag = False,
 ) -> None:
     """The group of schedulers as one of them sees it: who, in which state, since when and why."""
-    from .members import NoAnswer, fetch_members, format_members
+    from .members import AdminApiError, fetch_members, format_members
 
     if admin_address is None and config is not None:
         admin_address = _admin_address(config)
@@ -98,7 +98,7 @@
         _fail("no door: give --door, or a configuration that names one as admin", EXIT_INVALID)
     try:
         view = fetch_members(admin_address)
-    except NoAnswer as error:
+    except AdminApiError as error:
         _fail(str(error), EXIT_FAILED)
     print(json.dumps(view, indent=1) if json_ else "\n".join(format_members(view)))
 
@@ -115,8 +115,8 @@
     if errors:
         _fail(f"{config} has {len(errors)} faults; see: oxbowyard check {config}", EXIT_INVALID)
     try:
-        values = values_in_force(read_document(config), os.environ)
-    except UnreadableFile as error:
+        values = effective_values(read_document(config), os.environ)
+    except UnreadableFileError as error:
         _fail(f"{config}: {error}", EXIT_INVALID)
     if json_:
         rows = [{"key": value.key, "value": value.value, "source": value.source} for value in values]
@@ -149,8 +149,8 @@
 def _admin_address(config: Path) -> str | None:
     """The admin API's address in a platform's file and the environment."""
     try:
-        values = values_in_force(read_document(config), os.environ)
-    except (UnreadableFile, msgspec.ValidationError) as error:
+        values = effective_values(read_document(config), os.environ)
+    except (UnreadableFileError, msgspec.ValidationError) as error:
         _fail(f"{config}: {error}", EXIT_INVALID)
     address = next((value.value for value in values if value.key == "admin"), None)
     return None if address is None else str(address)
--- a/oxbowyard/cli/check.py
+++ b/oxbowyard/cli/check.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ..configuration.check import check_platform, read_document
-from ..configuration.files import UnreadableFile
+from ..configuration.files import UnreadableFileError
 from ..configuration.validation_errors import ValidationIssue
 
 
@@ -14,7 +14,7 @@
     """All errors and notes of a file: the operator's by the suffix .toml, the platform's otherwise."""
     try:
         document = read_document(path)
-    except UnreadableFile as error:
+    except UnreadableFileError as error:
         return [ValidationIssue("", str(error))]
     if path.suffix != ".toml":
         return check_platform(document, environ)
--- a/oxbowyard/cli/members.py
+++ b/oxbowyard/cli/members.py
@@ -13,24 +13,24 @@
 HEAD = ("NAME", "ZONE", "ADDRESS", "STATE", "SINCE", "DOES", "HELD", "SLOTS", "VERSION", "WHY")
 
 
-class NoAnswer(Exception):
+class AdminApiError(Exception):
     """The admin API can't be asked; its text is one line."""
 
 
 def fetch_members(address: str) -> dict[str, Any]:
-    """The view of the scheduler whose admin API is at HOST:PORT. Raises NoAnswer."""
+    """The view of the scheduler whose admin API is at HOST:PORT. Raises AdminApiError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise NoAnswer(f"{address!r} is no address of a door, as 127.0.0.1:18090 is")
+        raise AdminApiError(f"{address!r} is no address of a door, as 127.0.0.1:18090 is")
     status, body = _get(address, host, int(port))
     if status == http.HTTPStatus.NOT_FOUND:
-        raise NoAnswer(f"the scheduler at {address} has no table [membership]")
+        raise AdminApiError(f"the scheduler at {address} has no table [membership]")
     try:
         view = json.loads(body) if status == http.HTTPStatus.OK else None
     except ValueError:
         view = None
     if not isinstance(view, dict) or "members" not in view:
-        raise NoAnswer(f"the door at {address} answered {status}, which is no view of a group")
+        raise AdminApiError(f"the door at {address} answered {status}, which is no view of a group")
     return view
 
 
@@ -41,7 +41,7 @@
         response = connection.getresponse()
         return response.status, response.read(MAX_RESPONSE_BYTES)
     except (OSError, http.client.HTTPException) as error:
-        raise NoAnswer(f"the door at {address} does not answer: {error}") from None
+        raise AdminApiError(f"the door at {address} does not answer: {error}") from None
     finally:
         connection.close()
 
--- a/oxbowyard/configuration/check.py
+++ b/oxbowyard/configuration/check.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from .files import UnreadableFile, read_text
+from .files import UnreadableFileError, read_text
 from .platform import ENVIRONMENT, PATTERNS, PlatformFile
 from .validation_errors import ValidationIssue, validation_issues
 
@@ -16,19 +16,19 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """The document in a file: TOML by its suffix, JSON otherwise. Raises UnreadableFile."""
+    """The document in a file: TOML by its suffix, JSON otherwise. Raises UnreadableFileError."""
     try:
         text = read_text(path)
     except UnicodeDecodeError:
-        raise UnreadableFile("is no text") from None
+        raise UnreadableFileError("is no text") from None
     if not text.strip():
-        raise UnreadableFile("is empty")
+        raise UnreadableFileError("is empty")
     try:
         document = tomllib.loads(text) if path.suffix == ".toml" else json.loads(text)
     except ValueError as error:
-        raise UnreadableFile(str(error)) from None
+        raise UnreadableFileError(str(error)) from None
     if not isinstance(document, dict):
-        raise UnreadableFile("is not a table of keys")
+        raise UnreadableFileError("is not a table of keys")
     return document
 
 
--- a/oxbowyard/configuration/files.py
+++ b/oxbowyard/configuration/files.py
@@ -7,15 +7,15 @@
 MAX_FILE_BYTES = 1 << 20  # a configuration has some thousand; a device or a log is none
 
 
-class UnreadableFile(ValueError):
+class UnreadableFileError(ValueError):
     """The file can't be read or parsed at all; its text says why."""
 
 
 def read_text(path: Path) -> str:
-    """The text in a file. Raises UnreadableFile, or UnicodeDecodeError where it is no text."""
+    """The text in a file. Raises UnreadableFileError, or UnicodeDecodeError where it is no text."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            raise UnreadableFile(f"over {MAX_FILE_BYTES} bytes")
+            raise UnreadableFileError(f"over {MAX_FILE_BYTES} bytes")
         return path.read_text()
     except OSError as error:
-        raise UnreadableFile(f"cannot be read: {error.strerror}") from None
+        raise UnreadableFileError(f"cannot be read: {error.strerror}") from None
--- a/oxbowyard/configuration/sources.py
+++ b/oxbowyard/configuration/sources.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Value:
+class EffectiveValue:
     """One value in force."""
 
     key: str
@@ -22,7 +22,7 @@
     source: str  # "file", "environment LB_X" or "default"
 
 
-def values_in_force(document: Mapping[str, Any], environ: Mapping[str, str]) -> list[Value]:
+def effective_values(document: Mapping[str, Any], environ: Mapping[str, str]) -> list[EffectiveValue]:
     """The values that the program runs with, each with its source; `document` is known to be valid."""
     merged = dict(document)
     for key, variable in ENVIRONMENT.items():
@@ -44,7 +44,7 @@
 
 def _values(
     full: Mapping[str, Any], given: Mapping[str, Any], environ: Mapping[str, str], key: str
-) -> Iterator[Value]:
+) -> Iterator[EffectiveValue]:
     for name, value in full.items():
         below = f"{key}.{name}" if key else name
         here = given.get(name)
@@ -52,7 +52,7 @@
             yield from _values(value, here if isinstance(here, Mapping) else {}, environ, below)
             continue
         variable = "" if key else ENVIRONMENT.get(name, "")
-        yield Value(below, _plain(value), _source(here, variable, environ))
+        yield EffectiveValue(below, _plain(value), _source(here, variable, environ))
 
 
 def _source(given: object, variable: str, environ: Mapping[str, str]) -> str:
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -32,7 +32,7 @@
 from ..gearman.workers import Workers
 from .background_tasks import BackgroundTasks
 from .config import Config
-from .descriptors import Descriptors
+from .descriptors import DescriptorBudget
 from .units import MS_PER_S
 
 if TYPE_CHECKING:  # their libraries may be absent: imported only where the operator's file has the table
@@ -52,18 +52,18 @@
     classes: frozenset[str]  # the names that HTTP clients may use
     measure: ServiceMeasure
     registry: Registry
-    descriptors: Descriptors
+    descriptors: DescriptorBudget
     backends: HttpBackends
     scheduler: Scheduler
     discovery: DiscoveryClient
-    deadlines: dict[str, float]  # by class, in seconds
-    waiting: JobQueue | None = None
+    deadlines_s: dict[str, float]  # by class
+    job_queue: JobQueue | None = None
     gearman: GearmanFront | None = None
     background: BackgroundTasks = field(default_factory=BackgroundTasks)
 
     def start(self) -> None:
         """Begin to watch the list of workers."""
-        self.discovery.restore(self.config.known)
+        self.discovery.restore(self.config.known_endpoints)
         self.background.start(self.discovery.run())
 
     def apply_settings(self, settings: Settings) -> None:
@@ -72,18 +72,18 @@
         settings = _with_functions(settings, self.gearman.config if self.gearman else None)
         self.scheduler.apply_settings(settings)
         self.backends.non_repeatable = _not_idempotent(settings.classes)
-        self.deadlines |= _deadlines_s(settings.classes)
+        self.deadlines_s |= _deadlines_s(settings.classes)
 
-    def slots(self) -> float:
+    def estimate_slots(self) -> float:
         """The estimated number of jobs that the listed workers run at once, of the class that most of them
         run."""
         return max((self.scheduler.capacity(name).slots for name in self.classes), default=0.0)
 
     async def close(self) -> None:
         """Finish all requests and jobs that were taken, then stop everything."""
-        if self.waiting is not None:
-            self.waiting.stop()
-            await self.waiting.wait_until_idle()
+        if self.job_queue is not None:
+            self.job_queue.stop()
+            await self.job_queue.wait_until_idle()
         await self.scheduler.wait_until_idle()
         if self.gearman:
             await self.gearman.close()
@@ -149,8 +149,8 @@
         backends=backends,
         scheduler=scheduler,
         discovery=discovery,
-        deadlines=_deadlines_s(classes.requested),
-        waiting=jobs,
+        deadlines_s=_deadlines_s(classes.requested),
+        job_queue=jobs,
         gearman=front,
     )
 
@@ -185,15 +185,15 @@
     )
 
 
-def _descriptors(config: Config, gearman: GearmanConfig | None) -> Descriptors:
+def _descriptors(config: Config, gearman: GearmanConfig | None) -> DescriptorBudget:
     connections = gearman.max_connections if gearman else 0
-    return Descriptors.share_out(
+    return DescriptorBudget.allocate(
         config.sockets, config.max_held_requests, connections, admin=config.admin is not None
     )
 
 
 def _http_backends(
-    config: Config, settings: Settings, registry: Registry, descriptors: Descriptors
+    config: Config, settings: Settings, registry: Registry, descriptors: DescriptorBudget
 ) -> HttpBackends:
     return HttpBackends(
         registry,
@@ -215,7 +215,7 @@
     transport: BackendTransport,
     clock: Callable[[], float],
     measure: ServiceMeasure,
-    descriptors: Descriptors,
+    descriptors: DescriptorBudget,
 ) -> Scheduler:
     # The discovery client polls for the list where it must; the decisions never need to.
     facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
@@ -241,7 +241,7 @@
     classes: Iterable[JobClass],
     scheduler: Scheduler,
     name: str,
-    descriptors: Descriptors,
+    descriptors: DescriptorBudget,
     durable: DurableStore | None,
     clock: Callable[[], float],
 ) -> JobQueue:
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -38,10 +38,10 @@
     max_held_requests: int  # requests at once
     settings: Settings
     weight_is_per_work: bool  # a class's weight counts per unit of work, not per request
-    known: object = None  # the endpoint list that the file brings, if any
+    known_endpoints: object = None  # the endpoint list that the file brings, if any
     admin: tuple[str, int] | None = None  # the admin API's address, if it is asked for
     load_names: Mapping[str, str] = field(default_factory=dict)
-    shape: frozenset[str] = frozenset()  # the keys that the file has, as paths
+    key_paths: frozenset[str] = frozenset()  # the keys that the file has, as paths
 
 
 # Keys that a file read again need not have: they matter at a start only.
@@ -67,12 +67,12 @@
     return tuple(name for name in RESTART_FIELDS if getattr(old, name) != getattr(new, name))
 
 
-def lacks(old: Config, new: Config) -> str | None:
+def missing_key(old: Config, new: Config) -> str | None:
     """A key that the file in force has and a new one lacks: such a file is cut short or not meant."""
-    return min(old.shape - new.shape, default=None)
+    return min(old.key_paths - new.key_paths, default=None)
 
 
-def shape_of(document: dict[str, Any]) -> frozenset[str]:
+def key_paths_of(document: dict[str, Any]) -> frozenset[str]:
     """The keys of a file: of the top, of the settings and their tables, and those that all classes have."""
     paths = {key for key in document if key not in START_ONLY_KEYS}
     settings = document.get("settings")
@@ -139,10 +139,10 @@
         max_held_requests=int(settings["policyLimits"].get("mostHeld") or DEFAULT_MAX_HELD),
         settings=settings_of(settings),
         weight_is_per_work=settings.get("worthBy") == "work",
-        known=document.get("known"),
+        known_endpoints=document.get("known"),
         admin=address(admin, "admin") if admin else None,
         load_names=load_names(settings),
-        shape=shape_of(document),
+        key_paths=key_paths_of(document),
     )
 
 
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -35,7 +35,7 @@
     loaded: LoadedConfiguration  # at the start; what a reload brings is compared with it
     states: StateMachine
     subsystems: Subsystems
-    sessions: ClientConnections
+    client_connections: ClientConnections
     maintenance: Maintenance
     components: Lifecycle  # of the operator's file
     folder: Path  # for files that concern other processes of this scheduler
@@ -54,7 +54,7 @@
 
     def bind_clients(self) -> Acceptor:
         """A listener at the clients' address that does not accept yet; raises OSError."""
-        return Acceptor("http", self.config.host, self.config.port, self.sessions, shared=True)
+        return Acceptor("http", self.config.host, self.config.port, self.client_connections, shared=True)
 
 
 def build_context(loaded: LoadedConfiguration, take_over: bool) -> ProgramContext:
@@ -77,7 +77,7 @@
         loaded=loaded,
         states=states,
         subsystems=subsystems,
-        sessions=_build_sessions(loaded, subsystems, states),
+        client_connections=_build_client_connections(loaded, subsystems, states),
         maintenance=maintenance,
         components=Lifecycle(_components(loaded, subsystems, membership)),
         folder=folder,
@@ -102,7 +102,7 @@
         yield build_start(loaded.start, subsystems, membership)
 
 
-def _build_sessions(
+def _build_client_connections(
     loaded: LoadedConfiguration, subsystems: Subsystems, states: StateMachine
 ) -> ClientConnections:
     return ClientConnections(
--- a/oxbowyard/daemon/descriptors.py
+++ b/oxbowyard/daemon/descriptors.py
@@ -14,7 +14,7 @@
 DISCOVERY = 4  # two connections to the address in force, two to the one that it moves to
 FILES = 4  # one after the other: the configuration, workers in maintenance, the handover's marks
 ACCEPTED_AT_ONCE = 2  # accepted, and refused a moment later
-FIXED = STANDARD_STREAMS + EVENT_LOOP + LISTENERS + DISCOVERY + FILES + ACCEPTED_AT_ONCE
+RESERVED = STANDARD_STREAMS + EVENT_LOOP + LISTENERS + DISCOVERY + FILES + ACCEPTED_AT_ONCE
 
 # Callers of the admin API at once.
 ADMIN_SHARE = 1 / 16
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Descriptors:
+class DescriptorBudget:
     """How many of each kind one process may hold at once."""
 
     requests: int  # and as many connections to workers
@@ -43,7 +43,9 @@
     tails: int
 
     @classmethod
-    def share_out(cls, limit: int, max_requests: int, gearman: int = 0, admin: bool = True) -> Descriptors:
+    def allocate(
+        cls, limit: int, max_requests: int, gearman: int = 0, admin: bool = True
+    ) -> DescriptorBudget:
         """Share out the descriptors of one process.
 
         `limit` is how many it may have, `max_requests` bounds the requests whatever the descriptors allow,
@@ -51,7 +53,7 @@
         """
         callers = _share(limit, ADMIN_SHARE, MIN_ADMIN, MAX_ADMIN) if admin else 0
         tails = _share(limit, TAILS_SHARE, MIN_TAILS, MAX_TAILS)
-        rest = max(limit - FIXED - callers - tails - gearman, MIN_REST)
+        rest = max(limit - RESERVED - callers - tails - gearman, MIN_REST)
         requests = int(rest * REQUESTS_SHARE)
         return cls(
             requests=max(min(requests, max_requests), 1),
@@ -64,7 +66,7 @@
     @property
     def total(self) -> int:
         """All of them in use at once."""
-        return FIXED + self.requests + self.clients + self.gearman + self.admin + self.tails
+        return RESERVED + self.requests + self.clients + self.gearman + self.admin + self.tails
 
 
 def _share(limit: int, share: float, minimum: int, maximum: int) -> int:
--- a/oxbowyard/daemon/garbage_collection.py
+++ b/oxbowyard/daemon/garbage_collection.py
@@ -16,7 +16,7 @@
 log = logging.getLogger("oxbowyard.daemon")
 
 CHECK_INTERVAL_S = 60.0
-FEW_JOBS = 2_000  # with so many a full pass is short
+MAX_JOBS_FOR_FULL_PASS = 2_000  # with so many a full pass is short
 MAX_PASS_INTERVAL_S = 3600.0  # then a full pass is made whatever is held: reference cycles must not pile up
 NEVER_THRESHOLD = 1 << 30  # young collections until a full pass
 SLOW_PASS_S = 0.05  # a pass beyond this is logged
@@ -40,7 +40,7 @@
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
         started_at = clock()
-        if job_count() > FEW_JOBS and started_at - last_pass_at < MAX_PASS_INTERVAL_S:
+        if job_count() > MAX_JOBS_FOR_FULL_PASS and started_at - last_pass_at < MAX_PASS_INTERVAL_S:
             continue
         gc.collect()
         last_pass_at = clock()
--- a/oxbowyard/daemon/hot_restart.py
+++ b/oxbowyard/daemon/hot_restart.py
@@ -32,7 +32,7 @@
         self._adopted = False
 
     @property
-    def may_say_ready(self) -> bool:
+    def may_report_ready(self) -> bool:
         """Whether the operators may be told that this process is ready."""
         return self.handover.may_report_ready
 
@@ -68,8 +68,8 @@
         context.states.enter(State.HANDING_OVER)
         self.hand_over_estimates()
         await context.acceptor.close_and_wait()
-        context.sessions.start_draining()
-        context.sessions.close_idle()
+        context.client_connections.start_draining()
+        context.client_connections.close_idle()
         await context.components.hand_over()
 
     async def resume(self) -> None:
@@ -81,7 +81,7 @@
             log.error("cannot accept clients again, stopping: error=%s", error)
             context.stop_requested.set()
             return
-        context.sessions.stop_draining()
+        context.client_connections.stop_draining()
         context.acceptor = acceptor
         acceptor.open()
         context.states.enter(State.SERVING)
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -39,12 +39,12 @@
 
 def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> JobsHandler | None:
     """The HTTP front of deferred jobs, if `[waiting]` is there."""
-    if subsystems.waiting is None:
+    if subsystems.job_queue is None:
         return None
     from ..clients.job_routes import JobRoutes
 
     resolve_over_http = durable is not None and durable.resolve_over_http
-    return JobRoutes(subsystems.waiting, subsystems.classes, resolve_over_http)
+    return JobRoutes(subsystems.job_queue, subsystems.classes, resolve_over_http)
 
 
 def build_membership(
@@ -74,7 +74,7 @@
             clock_ms=subsystems.clock,
             state=state,
             open_request_count=lambda: scheduler.open_request_count,
-            slots=subsystems.slots,
+            slots=subsystems.estimate_slots,
             worker_count=lambda: subsystems.registry.listed_count,
             own_faults=scheduler.worker_faults,
             apply_peer_faults=scheduler.apply_peer_faults,
@@ -94,9 +94,9 @@
 
     discovery, registry, config = subsystems.discovery, subsystems.registry, subsystems.config
 
-    def adopt(document: Mapping[str, Any], all_cold: bool, newer_may_be_asked: bool) -> bool:
+    def adopt(document: Mapping[str, Any], all_cold: bool, may_resume: bool) -> bool:
         cold_since = subsystems.clock() if all_cold else None
-        return discovery.adopt(document, cold_since, newer_may_be_asked)
+        return discovery.adopt(document, cold_since, may_resume)
 
     def service_list() -> ServiceList | None:
         revision = discovery.latest_revision
@@ -104,10 +104,10 @@
 
     dependencies = StartDependencies(
         name=config.name,
-        configured=config.settings.scheduler_count,
+        configured_count=config.settings.scheduler_count,
         is_shared_service=config.settings.must_subscribe,
         random=SystemRandom(),
-        known=config.known,
+        known_endpoints=config.known_endpoints,
         adopt=adopt,
         service_list=service_list,
         peers=membership.documents if membership else None,
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -45,7 +45,7 @@
         return (
             context.states.is_serving
             and not context.stop_requested.is_set()
-            and self.hot_restart.may_say_ready
+            and self.hot_restart.may_report_ready
         )
 
     async def run(self) -> int:
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -11,7 +11,7 @@
 
 from ..core.settings_update import plan_settings_update, restart_only_changes
 from ..decision.settings import Settings
-from .config import ConfigurationError, lacks, needs_restart
+from .config import ConfigurationError, missing_key, needs_restart
 from .context import ProgramContext
 from .loading import OPERATOR_TABLES, ConfigurationLoader, LoadedConfiguration
 from .states import State
@@ -49,7 +49,7 @@
     def _load_or_reject(self) -> LoadedConfiguration | None:
         try:
             loaded = self._load()
-            if (missing := lacks(self._context.config, loaded.config)) is not None:
+            if (missing := missing_key(self._context.config, loaded.config)) is not None:
                 raise ConfigurationError(f"the file lacks {missing}")
         except ConfigurationError as error:
             self._context.reload_counts.invalid += 1
@@ -76,7 +76,7 @@
         """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
         Returns the names of the settings that need a restart."""
         needing_restart = restart_only_changes(self.settings, settings)
-        if self._context.subsystems.waiting is not None:  # deferred jobs keep the classes of the start
+        if self._context.subsystems.job_queue is not None:  # deferred jobs keep the classes of the start
             return (*needing_restart, *self._changed_live_settings(settings))
         step = plan_settings_update(self.settings, settings)
         self._cancel_settling()
@@ -106,7 +106,7 @@
         context = self._context
         self.settings = settings
         context.subsystems.apply_settings(settings)
-        context.sessions.classes = frozenset(c.name for c in settings.classes)
+        context.client_connections.classes = frozenset(c.name for c in settings.classes)
         context.longest_deadline_s = max(
             context.longest_deadline_s, *(c.deadline_ms / MS_PER_S for c in settings.classes)
         )
--- a/oxbowyard/daemon/reporting.py
+++ b/oxbowyard/daemon/reporting.py
@@ -30,7 +30,7 @@
     while True:
         await asyncio.sleep(REPORT_INTERVAL_S)
         log_summaries(context)
-        _log_client_errors("http", context.sessions.counts)
+        _log_client_errors("http", context.client_connections.counts)
         if context.subsystems.gearman:
             _log_client_errors("gearman", context.subsystems.gearman.counts)
 
@@ -47,8 +47,8 @@
 
 def _summaries(context: ProgramContext) -> Iterator[str]:
     yield context.subsystems.summary()
-    if context.subsystems.waiting:
-        yield context.subsystems.waiting.summary()
+    if context.subsystems.job_queue:
+        yield context.subsystems.job_queue.summary()
     if context.store:
         yield context.store.summary()
 
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -22,9 +22,9 @@
 async def shut_down(context: ProgramContext, hot_restart: HotRestart) -> None:
     """End the program gracefully, from any state in which it runs."""
     context.states.enter(State.LEAVING)
-    context.sessions.start_draining()
-    if context.subsystems.waiting:
-        context.subsystems.waiting.stop()
+    context.client_connections.start_draining()
+    if context.subsystems.job_queue:
+        context.subsystems.job_queue.stop()
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
     context.states.enter(State.FINISHING)
     await _finish_clients(context)
@@ -53,7 +53,7 @@
     if context.subsystems.gearman:
         context.subsystems.gearman.start_draining()
     longest_s = max(context.longest_deadline_s, context.subsystems.scheduler.max_time_left_s())
-    await context.sessions.close(longest_s + MAX_OVERRUN_S)
+    await context.client_connections.close(longest_s + MAX_OVERRUN_S)
 
 
 def _close_admin(context: ProgramContext) -> None:
--- a/oxbowyard/daemon/startup.py
+++ b/oxbowyard/daemon/startup.py
@@ -63,8 +63,8 @@
     subsystems = context.subsystems
     if context.config.admin is not None:
         handlers = AdminHandlers(_admin_sources(context, is_ready))
-        sessions = AdminConnections(handlers, subsystems.descriptors.admin)
-        context.admin_acceptor = Acceptor("control", *context.config.admin, sessions)
+        connections = AdminConnections(handlers, subsystems.descriptors.admin)
+        context.admin_acceptor = Acceptor("control", *context.config.admin, connections)
         context.admin_acceptor.open()
     if subsystems.gearman:
         subsystems.gearman.listen()
@@ -88,13 +88,13 @@
     background.start(_follow_maintenance(context.maintenance))
     background.start(watch_event_loop_lag())
     background.start(report_periodically(context))
-    jobs = context.subsystems.waiting
+    jobs = context.subsystems.job_queue
     if jobs is None:
         return
     disable_full_passes()
     background.start(run_full_passes(lambda: jobs.held.jobs))
     if context.store is not None:
-        background.start(context.store.recovery(jobs, context.subsystems.deadlines).run())
+        background.start(context.store.recovery(jobs, context.subsystems.deadlines_s).run())
 
 
 async def _follow_maintenance(maintenance: Maintenance) -> None:
--- a/oxbowyard/daemon/states.py
+++ b/oxbowyard/daemon/states.py
@@ -42,7 +42,7 @@
 }
 
 
-class InvalidTransition(RuntimeError):
+class InvalidTransitionError(RuntimeError):
     """A transition that the table does not have: a fault in this package."""
 
 
@@ -63,9 +63,9 @@
         return MEMBERSHIP_STATES[self.current]
 
     def enter(self, state: State) -> None:
-        """Change to another state and log it; raises InvalidTransition."""
+        """Change to another state and log it; raises InvalidTransitionError."""
         if state not in TRANSITIONS[self.current]:
-            raise InvalidTransition(f"{self.current.value} -> {state.value}")
+            raise InvalidTransitionError(f"{self.current.value} -> {state.value}")
         log.info("state %s -> %s", self.current.value, state.value)
         self.current = state
 
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..configuration.files import UnreadableFile, read_text
+from ..configuration.files import UnreadableFileError, read_text
 from ..configuration.validation_errors import ValidationIssue, validation_issues
 from ..decision.settings import JobClass
 from ..durable.settings import DurableSettings
@@ -64,7 +64,7 @@
 def _read(path: Path) -> dict[str, Any]:
     try:
         return tomllib.loads(read_text(path))
-    except (UnreadableFile, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+    except (UnreadableFileError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise OperatorFileError(path.name, [str(error)]) from None
 
 
--- a/oxbowyard/start/component.py
+++ b/oxbowyard/start/component.py
@@ -18,17 +18,17 @@
 from .fetch_admission import FetchAdmission
 from .served_snapshot import ServedSnapshot
 from .snapshot_writer import SnapshotWriter
-from .snapshots import Snapshot, Source, UnusableSnapshot, parse_snapshot
+from .snapshots import Snapshot, Source, UnusableSnapshotError, parse_snapshot
 from .table import StartSettings
 
 log = logging.getLogger("oxbowyard.start")
 
-LIST_QUESTION = "list"  # what peers are asked for, on the wire
+LIST_TOPIC = "list"  # what peers are asked for, on the wire
 SETTLED_VIEW_S = 1.0  # without a new peer: then the view is good enough to compute a rank by
 MAX_SETTLE_S = 4.0  # then a rank is computed in any case
 POLL_INTERVAL_S = 0.1
 PEERS_PER_ASK = 2
-ASK_JITTER = (0.5, 1.5)  # times the interval: the schedulers of a group do not ask all at once
+ASK_JITTER_FACTORS = (0.5, 1.5)  # times the interval: the schedulers of a group do not ask all at once
 
 
 class StartComponent:
@@ -57,7 +57,7 @@
         self._started_at = self._loop.time()
         self._served.adopt_best()
         if (peers := self._peers) is not None:
-            peers.offer(LIST_QUESTION, self._answer_peer)
+            peers.offer(LIST_TOPIC, self._answer_peer)
         self._tasks = [self._loop.create_task(self._wait_for_rank())]
         if self._settings.path is not None:
             writer = SnapshotWriter(Path(self._settings.path), self._settings.site)
@@ -117,12 +117,14 @@
         while not self._admitted.is_set():
             now = self._loop.time()
             names = peers.names() if peers is not None else []
-            if now >= admission.due_at(names, dependencies.configured):
+            if now >= admission.due_at(names, dependencies.configured_count):
                 log.info("asking the list service: schedulers=%d", len(names) + 1)
                 self._admitted.set()
                 return
             if peers is not None and names and now >= next_ask_at:
-                next_ask_at = now + settings.ask_peer_every_s * dependencies.random.uniform(*ASK_JITTER)
+                next_ask_at = now + settings.ask_peer_every_s * dependencies.random.uniform(
+                    *ASK_JITTER_FACTORS
+                )
                 self._ask_peers(peers, names)
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -142,7 +144,7 @@
 
     def _ask_peers(self, peers: Peers, names: list[str]) -> None:
         for name in self._dependencies.random.sample(names, min(len(names), PEERS_PER_ASK)):
-            peers.ask(peers.address(name), LIST_QUESTION, partial(self._receive, name))
+            peers.ask(peers.address(name), LIST_TOPIC, partial(self._receive, name))
 
     def _answer_peer(self) -> bytes | None:
         """The service's list with its age; never a cached list, whose own age would get lost."""
@@ -172,15 +174,15 @@
         """Raises ValueError; its text says why the list is not used."""
         document = orjson.loads(body)
         if not isinstance(document, dict) or document.get("site") != self._settings.site:
-            raise UnusableSnapshot("of another site")
+            raise UnusableSnapshotError("of another site")
         age_s = document.get("age")
         if not isinstance(age_s, (int, float)) or isinstance(age_s, bool):
-            raise UnusableSnapshot("of no age")
+            raise UnusableSnapshotError("of no age")
         snapshot = parse_snapshot(
             Source.PEER, float(age_s), document, self._settings.max_entries, origin=peer
         )
         if snapshot.age_s > self._settings.max_age_s:
-            raise UnusableSnapshot(f"{snapshot.age_s:.0f} s old")
+            raise UnusableSnapshotError(f"{snapshot.age_s:.0f} s old")
         return snapshot
 
     # ---- The list on the disk ----
--- a/oxbowyard/start/dependencies.py
+++ b/oxbowyard/start/dependencies.py
@@ -38,10 +38,10 @@
     """What the program offers to this component."""
 
     name: str  # this scheduler's
-    configured: int  # schedulers, as the settings say
+    configured_count: int  # schedulers, as the settings say
     is_shared_service: bool  # one list service for all schedulers, not an agent on each machine
     random: Random
-    known: object  # the list in the configuration, if any
+    known_endpoints: object  # the list in the configuration, if any
     adopt: Callable[[Mapping[str, Any], bool, bool], bool]  # a list; all are cold; newer may be asked for
     service_list: Callable[[], ServiceList | None]  # None: the service has not answered yet
     peers: Peers | None = None
--- a/oxbowyard/start/fetch_admission.py
+++ b/oxbowyard/start/fetch_admission.py
@@ -47,16 +47,16 @@
     started_at: float  # in seconds of any clock; the results are in the same
     _jitter: float = -1.0  # drawn once, when it is needed first
 
-    def due_at(self, names: Iterable[str], configured: int) -> float:
+    def due_at(self, names: Iterable[str], configured_count: int) -> float:
         """The time from which it may fetch, by the names that are known now.
 
-        Where no other is known, its place is drawn among the `configured` number of schedulers: it can't tell
+        Where no other is known, its place is drawn among the `configured_count` schedulers: it can't tell
         whether it is alone.
         """
         jitter = self._drawn_jitter()
         known = set(names) | {self.own_name}
         if len(known) == 1:
-            others = max(configured - 1, 0)
+            others = max(configured_count - 1, 0)
             return self.started_at + jitter * self.round_s * others / self.batch_size
         return self.due_at_rank(rank(self.own_name, known))
 
--- a/oxbowyard/start/served_snapshot.py
+++ b/oxbowyard/start/served_snapshot.py
@@ -10,7 +10,14 @@
 
 from .dependencies import StartDependencies
 from .snapshot_file import read_snapshot
-from .snapshots import Snapshot, Source, UnusableSnapshot, choose_best, is_worth_replacing, parse_snapshot
+from .snapshots import (
+    Snapshot,
+    Source,
+    UnusableSnapshotError,
+    choose_best,
+    is_worth_replacing,
+    parse_snapshot,
+)
 from .table import StartSettings
 
 log = logging.getLogger("oxbowyard.start")
@@ -49,7 +56,7 @@
         for source, find in ((Source.DISK, self._from_disk), (Source.CONFIG, self._from_configuration)):
             try:
                 snapshot = find()
-            except UnusableSnapshot as error:
+            except UnusableSnapshotError as error:
                 level = logging.INFO if str(error) == NO_FILE else logging.WARNING
                 log.log(level, "cached list not used: source=%s reason=%s", source.value, error)
                 continue
@@ -70,18 +77,18 @@
         )
 
     def _from_configuration(self) -> Snapshot | None:
-        known = self._dependencies.known
-        if known is None:
+        known_endpoints = self._dependencies.known_endpoints
+        if known_endpoints is None:
             return None
-        return parse_snapshot(Source.CONFIG, math.inf, known, self._settings.max_entries)
+        return parse_snapshot(Source.CONFIG, math.inf, known_endpoints, self._settings.max_entries)
 
     def _aged_current(self) -> Snapshot | None:
         return None if self._current is None else self._current.aged(self._clock() - self._adopted_at)
 
     def _adopt(self, snapshot: Snapshot) -> bool:
         all_cold = snapshot.age_s > self._settings.fresh_s
-        newer_may_be_asked = snapshot.age_s <= self._settings.same_service_s
-        if not self._dependencies.adopt(snapshot.document, all_cold, newer_may_be_asked):
+        may_resume = snapshot.age_s <= self._settings.same_service_s
+        if not self._dependencies.adopt(snapshot.document, all_cold, may_resume):
             return False
         self._current = snapshot
         self._adopted_at = self._clock()
--- a/oxbowyard/start/snapshot_file.py
+++ b/oxbowyard/start/snapshot_file.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from .snapshots import Snapshot, Source, UnusableSnapshot, parse_snapshot
+from .snapshots import Snapshot, Source, UnusableSnapshotError, parse_snapshot
 
 FORMAT = 1
 CLOCK_TOLERANCE_S = 60.0  # that a file may be ahead of this machine's clock
@@ -27,13 +27,13 @@
 def read_snapshot(
     path: Path, site: str, now: float, max_age_s: float, max_entries: int, max_bytes: int
 ) -> Snapshot:
-    """The list in the file; `now` is Unix time in seconds. Raises UnusableSnapshot with the reason."""
+    """The list in the file; `now` is Unix time in seconds. Raises UnusableSnapshotError with the reason."""
     document = _parse(_read(path, max_bytes))
     if document.get("site") != site:
-        raise UnusableSnapshot("of another site")
+        raise UnusableSnapshotError("of another site")
     age_s = _age_s(document.get("told_at"), now)
     if age_s > max_age_s:
-        raise UnusableSnapshot(f"{age_s:.0f} s old")
+        raise UnusableSnapshotError(f"{age_s:.0f} s old")
     return parse_snapshot(Source.DISK, age_s, document, max_entries, path.name)
 
 
@@ -63,32 +63,32 @@
 def _read(path: Path, max_bytes: int) -> bytes:
     try:
         if path.stat().st_size > max_bytes:
-            raise UnusableSnapshot(f"over {max_bytes} bytes")
+            raise UnusableSnapshotError(f"over {max_bytes} bytes")
         return path.read_bytes()
     except FileNotFoundError:
-        raise UnusableSnapshot("not there") from None
+        raise UnusableSnapshotError("not there") from None
     except OSError as error:
-        raise UnusableSnapshot(f"can't be read: {error.strerror}") from None
+        raise UnusableSnapshotError(f"can't be read: {error.strerror}") from None
 
 
 def _parse(data: bytes) -> dict[str, Any]:
     body, trailer = data[:-TRAILER_BYTES], data[-TRAILER_BYTES:]
     if not body or trailer != b"\n" + _checksum(body):
-        raise UnusableSnapshot("damaged")
+        raise UnusableSnapshotError("damaged")
     try:
         document = orjson.loads(body)
     except ValueError:
-        raise UnusableSnapshot("damaged") from None
+        raise UnusableSnapshotError("damaged") from None
     if not isinstance(document, dict) or document.get("format") != FORMAT:
-        raise UnusableSnapshot("of another format")
+        raise UnusableSnapshotError("of another format")
     return document
 
 
 def _age_s(told_at: object, now: float) -> float:
     if not isinstance(told_at, (int, float)) or not math.isfinite(told_at):
-        raise UnusableSnapshot("damaged")
+        raise UnusableSnapshotError("damaged")
     if told_at > now + CLOCK_TOLERANCE_S:
-        raise UnusableSnapshot("from the future")
+        raise UnusableSnapshotError("from the future")
     return max(now - told_at, 0.0)
 
 
--- a/oxbowyard/start/snapshots.py
+++ b/oxbowyard/start/snapshots.py
@@ -29,7 +29,7 @@
     CONFIG = "configuration"
 
 
-class UnusableSnapshot(ValueError):
+class UnusableSnapshotError(ValueError):
     """Not a list to serve from; its text says why in a few words."""
 
 
@@ -56,32 +56,32 @@
 def parse_snapshot(
     source: Source, age_s: float, document: object, max_entries: int, origin: str = ""
 ) -> Snapshot:
-    """Check a document; malformed single entries are left to the registry. Raises UnusableSnapshot."""
+    """Check a document; malformed single entries are left to the registry. Raises UnusableSnapshotError."""
     if not isinstance(document, Mapping):
-        raise UnusableSnapshot("no list")
+        raise UnusableSnapshotError("no list")
     revision = _revision(document.get("rev"))
     targets = _targets(document.get("targets"), max_entries)
     if math.isnan(age_s) or age_s < 0:
-        raise UnusableSnapshot("an absurd age")
+        raise UnusableSnapshotError("an absurd age")
     return Snapshot(source, age_s, revision, targets, origin)
 
 
 def _revision(value: object) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < MAX_REVISION:
-        raise UnusableSnapshot("an absurd version")
+        raise UnusableSnapshotError("an absurd version")
     return value
 
 
 def _targets(value: object, max_entries: int) -> tuple[Mapping[str, Any], ...]:
     if not isinstance(value, list) or not all(isinstance(target, Mapping) for target in value):
-        raise UnusableSnapshot("no list of targets")
+        raise UnusableSnapshotError("no list of targets")
     if not value:
-        raise UnusableSnapshot("empty")
+        raise UnusableSnapshotError("empty")
     if len(value) > max_entries:
-        raise UnusableSnapshot(f"{len(value)} entries, over {max_entries}")
+        raise UnusableSnapshotError(f"{len(value)} entries, over {max_entries}")
     names = {target.get("uid") for target in value if isinstance(target.get("uid"), str)}
     if len(names) < len(value):
-        raise UnusableSnapshot("workers named twice, or not at all")
+        raise UnusableSnapshotError("workers named twice, or not at all")
     return tuple(value)
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,11 +15,11 @@
 from stage import ask
 from test_replacement import Stand, free_port, status, wait_until
 
-from oxbowyard.daemon.descriptors import Descriptors
+from oxbowyard.daemon.descriptors import DescriptorBudget
 from oxbowyard.discovery.poll_schedule import NOTIFIED_WITHIN_S
 
 LIMIT = 96
-SHARED = Descriptors.share_out(LIMIT, 20_000)
+SHARED = DescriptorBudget.allocate(LIMIT, 20_000)
 IDLE_MANNERS = {
     "silent": b"",
     "kept": b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n",
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -17,7 +17,7 @@
 from oxbowyard.core.service_measure import ServiceMeasure
 from oxbowyard.daemon.garbage_collection import (
     CHECK_INTERVAL_S,
-    FEW_JOBS,
+    MAX_JOBS_FOR_FULL_PASS,
     MAX_PASS_INTERVAL_S,
     run_full_passes,
 )
@@ -446,7 +446,7 @@
         await stage.until(*(stage.submit(f"j{i}") for i in range(200)))
         await asyncio.sleep(10)
         assert gc.collect() < 50  # not one a request
-        many = [FEW_JOBS + 1]
+        many = [MAX_JOBS_FOR_FULL_PASS + 1]
         passes: list[float] = []
         gc.callbacks.append(lambda phase, info: passes.append(info["generation"] if phase == "start" else -1))
         task = asyncio.create_task(run_full_passes(lambda: many[0]))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from oxbowyard.clients.errors import BodyMemoryFullError
 from oxbowyard.daemon.composition import compose
 from oxbowyard.daemon.config import Config
-from oxbowyard.daemon.descriptors import Descriptors
+from oxbowyard.daemon.descriptors import DescriptorBudget
 from oxbowyard.decision.settings import JobClass, Settings
 from oxbowyard.gearman.config import load as load_gearman
 from oxbowyard.gearman.job_requests import digest_key
@@ -29,11 +29,11 @@
 @pytest.mark.parametrize("admin", [False, True])
 def test_the_descriptors_are_enough_for_all_at_once(sockets: int, admin: bool) -> None:
     """The admin API's 32 callers used to be counted nowhere: more than all that was set aside."""
-    shared = Descriptors.share_out(sockets, 20_000, admin=admin)
+    shared = DescriptorBudget.allocate(sockets, 20_000, admin=admin)
     assert shared.total <= sockets
     if sockets >= 256:  # a third is held by clients for requests
         assert shared.requests >= sockets // 3 and shared.clients > shared.requests
-    with_gearman = Descriptors.share_out(sockets, 20_000, gearman=sockets // 4, admin=admin)
+    with_gearman = DescriptorBudget.allocate(sockets, 20_000, gearman=sockets // 4, admin=admin)
     assert with_gearman.total <= sockets
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -25,7 +25,7 @@
 from oxbowyard.start.snapshots import (
     Snapshot,
     Source,
-    UnusableSnapshot,
+    UnusableSnapshotError,
     choose_best,
     is_worth_replacing,
     parse_snapshot,
@@ -69,7 +69,7 @@
     ({"rev": 1, "targets": [{}]}, "not at all"),
 ])  # fmt: skip
 def test_what_is_no_list_is_told_in_a_few_words(document: object, why: str) -> None:
-    with pytest.raises(UnusableSnapshot, match=why):
+    with pytest.raises(UnusableSnapshotError, match=why):
         parse_snapshot(Source.PEER, 1.0, document, 10)
 
 
@@ -95,10 +95,10 @@
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
-        with pytest.raises(UnusableSnapshot, match="damaged"):
+        with pytest.raises(UnusableSnapshotError, match="damaged"):
             kept(path)
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
-        with pytest.raises(UnusableSnapshot, match="damaged"):
+        with pytest.raises(UnusableSnapshotError, match="damaged"):
             kept(path)
 
 
@@ -109,14 +109,14 @@
         (900.0 - DAY, "a", 2, "86500 s old"), (900.0, "a", 11, "over 10"), (math.nan, "a", 2, "damaged"),
     ):  # fmt: skip
         write_snapshot(path, site, told_at, 7, workers(count))
-        with pytest.raises(UnusableSnapshot, match=why):
+        with pytest.raises(UnusableSnapshotError, match=why):
             kept(path)
-    with pytest.raises(UnusableSnapshot, match="not there"):
+    with pytest.raises(UnusableSnapshotError, match="not there"):
         kept(tmp_path / "none")
-    with pytest.raises(UnusableSnapshot, match="can't be read"):
+    with pytest.raises(UnusableSnapshotError, match="can't be read"):
         kept(tmp_path)
     path.write_bytes(b"x" * (1 << 17))
-    with pytest.raises(UnusableSnapshot, match="over 65536 bytes"):
+    with pytest.raises(UnusableSnapshotError, match="over 65536 bytes"):
         kept(path)
 
 
@@ -191,7 +191,7 @@
     """The version of the list in its file, 0 if there is none of late."""
     try:
         return read_snapshot(member.folder / "list", "default", time.time(), 60.0, 99, 1 << 20).revision
-    except UnusableSnapshot:
+    except UnusableSnapshotError:
         return 0
 
 
@@ -274,10 +274,10 @@
         self.list: ServiceList | None = None
         dependencies = StartDependencies(
             name="m0",
-            configured=4,
+            configured_count=4,
             is_shared_service=True,
             random=Random(1),
-            known=known,
+            known_endpoints=known,
             adopt=self._adopt,
             service_list=lambda: self.list,
             wall_clock=lambda: 1000.0,
--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from oxbowyard.daemon.states import MEMBERSHIP_STATES, TRANSITIONS, InvalidTransition, State, StateMachine
+from oxbowyard.daemon.states import (
+    MEMBERSHIP_STATES,
+    TRANSITIONS,
+    InvalidTransitionError,
+    State,
+    StateMachine,
+)
 from oxbowyard.peers import facts
 
 
@@ -40,7 +46,7 @@
         states.enter(new)
         assert states.current is new and f"state {old.value} -> {new.value}" in caplog.text
         return
-    with pytest.raises(InvalidTransition):
+    with pytest.raises(InvalidTransitionError):
         states.enter(new)
     assert states.current is old and not caplog.text
 
