--- a/oxbowyard/daemon/background_tasks.py
+++ b/oxbowyard/daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""Coroutines that run beside the requests until the program ends."""
+"""Background tasks that run until the program ends."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class BackgroundTasks:
-    """Holds the background tasks of one program, logs one that fails, and cancels them all at the end."""
+    """The background tasks of one program. A task that fails is logged; `stop` cancels all of them."""
 
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine until `stop`. It is not started again when it fails."""
+        """Run a coroutine until `stop`. A coroutine that fails is not restarted."""
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(_log_failure)
         self._tasks.append(task)
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait for them."""
+        """Cancel all tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/oxbowyard/daemon/composition.py
+++ b/oxbowyard/daemon/composition.py
@@ -1,11 +1,12 @@
 """The composition root: builds a scheduler's subsystems, for the daemon and for applications with middleware.
 
-`compose` builds in this order, each subsystem from those before it: service measure, registry of workers,
-file descriptor budget, HTTP transport, Gearman workers, scheduler, discovery client, deferred jobs, Gearman
-front. `Subsystems.start` starts the discovery client. `Subsystems.close` stops in this order: deferred jobs,
-scheduler (both finish what was taken), Gearman front, background tasks, HTTP transport.
+`compose` builds the subsystems in this order, because each depends on those before it: service measure,
+registry of workers, file descriptor budget, HTTP transport, Gearman workers, scheduler, discovery client,
+deferred jobs, Gearman front. `Subsystems.start` starts the discovery client. `Subsystems.close` stops the
+subsystems in this order: deferred jobs, scheduler (both finish the requests and jobs that were accepted),
+Gearman front, background tasks, HTTP transport.
 
-Components of the operator's file that only the daemon has are built in `operator_components`.
+The components of the operator's file that only the daemon has are built in `operator_components`.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from .descriptors import DescriptorBudget
 from .units import MS_PER_S
 
-if TYPE_CHECKING:  # their libraries may be absent: imported only where the operator's file has the table
+if TYPE_CHECKING:  # optional dependencies: imported only if the operator's file has the table
     from ..durable.durable_store import DurableStore
     from ..waiting.job_queue import JobQueue
     from ..waiting.settings import WaitingSettings
 
-MAX_GEARMAN_DESCRIPTORS_SHARE = 1 / 4  # of all: the HTTP front needs the others
+MAX_GEARMAN_DESCRIPTORS_SHARE = 1 / 4  # of all file descriptors; the HTTP front needs the others
 
 
 @dataclass(slots=True)
@@ -48,39 +49,39 @@
     """A scheduler with its discovery client, its workers and, where configured, deferred jobs and Gearman."""
 
     config: Config
-    clock: Callable[[], float]  # Unix time in ms that only advances
-    classes: frozenset[str]  # the names that HTTP clients may use
+    clock: Callable[[], float]  # Unix time in ms, never steps backwards
+    classes: frozenset[str]  # names of the classes that HTTP clients may request
     measure: ServiceMeasure
     registry: Registry
     descriptors: DescriptorBudget
     backends: HttpBackends
     scheduler: Scheduler
     discovery: DiscoveryClient
-    deadlines_s: dict[str, float]  # by class
+    deadlines_s: dict[str, float]  # by class name
     job_queue: JobQueue | None = None
     gearman: GearmanFront | None = None
     background: BackgroundTasks = field(default_factory=BackgroundTasks)
 
     def start(self) -> None:
-        """Begin to watch the list of workers."""
+        """Start to watch the list of workers."""
         self.discovery.restore(self.config.known_endpoints)
         self.background.start(self.discovery.run())
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use the classes and the number of attempts of these settings for requests from now on. The classes
-        of Gearman's functions stay."""
+        """Apply the classes and the number of attempts of these settings to new requests. The classes of the
+        Gearman functions do not change."""
         settings = _with_functions(settings, self.gearman.config if self.gearman else None)
         self.scheduler.apply_settings(settings)
         self.backends.non_repeatable = _not_idempotent(settings.classes)
         self.deadlines_s |= _deadlines_s(settings.classes)
 
     def estimate_slots(self) -> float:
-        """The estimated number of jobs that the listed workers run at once, of the class that most of them
-        run."""
+        """Return the estimated number of jobs that the listed workers run at once, for the class with the
+        largest estimate."""
         return max((self.scheduler.capacity(name).slots for name in self.classes), default=0.0)
 
     async def close(self) -> None:
-        """Finish all requests and jobs that were taken, then stop everything."""
+        """Finish all requests and jobs that were accepted, then stop all subsystems."""
         if self.job_queue is not None:
             self.job_queue.stop()
             await self.job_queue.wait_until_idle()
@@ -91,19 +92,19 @@
         await self.backends.close()
 
     def summary(self) -> str:
-        """The service measure and the answers so far, in a line."""
-        answers = ", ".join(f"{kind.value} {n}" for kind, n in self.measure.answers.items())
+        """Return the service measure and the number of answers of each kind as one line of text."""
+        answers = ", ".join(f"{kind.value} {count}" for kind, count in self.measure.answers.items())
         open_count = self.scheduler.open_request_count
         return f"service {self.measure.share:.3f}, open {open_count}, answers: {answers or 'none'}"
 
 
 @dataclass(slots=True, frozen=True)
 class _Classes:
-    """The classes of requests as the different subsystems see them, functions of Gearman among them."""
+    """The job classes that each subsystem works with, the classes of Gearman functions included."""
 
-    requested: tuple[JobClass, ...]  # those that a client may ask for
-    measured: tuple[JobClass, ...]  # with the latency objectives that count as in time
-    scheduled: tuple[JobClass, ...]  # with the classes of jobs that have waited
+    requested: tuple[JobClass, ...]  # those that clients may request
+    measured: tuple[JobClass, ...]  # with the latency objectives by which an answer counts as in time
+    scheduled: tuple[JobClass, ...]  # with the additional classes for aged jobs
 
 
 def compose(
@@ -114,11 +115,11 @@
     durable: DurableStore | None = None,
     clock: Callable[[], float] | None = None,
 ) -> Subsystems:
-    """Build all subsystems; none of them works yet.
+    """Build all subsystems without starting any of them.
 
-    `on_settled` is called when discovery has answered at the address asked for last. `waiting` switches on
-    deferred jobs, and `durable` is the open store that they are kept in. `clock` gives Unix time in
-    milliseconds that only advances; None: the system's.
+    `on_settled` is called when discovery has answered at the address that was set last. `waiting` enables
+    deferred jobs, and `durable` is the open store that persists them. `clock` returns Unix time in
+    milliseconds and never steps backwards; by default it is derived from the system clock.
     """
     clock = clock or steady_unix_ms()
     gearman = _within_descriptors(gearman, config.sockets)
@@ -156,7 +157,7 @@
 
 
 def _within_descriptors(gearman: GearmanConfig | None, sockets: int) -> GearmanConfig | None:
-    """Gearman's settings with no more connections than its share of the descriptors."""
+    """Return Gearman's settings with the connections limited to its share of the file descriptors."""
     if gearman is None:
         return None
     share = int(sockets * MAX_GEARMAN_DESCRIPTORS_SHARE)
@@ -164,7 +165,7 @@
 
 
 def _with_functions(settings: Settings, gearman: GearmanConfig | None) -> Settings:
-    """The settings with one more class for each Gearman function."""
+    """Return the settings with one more class for each Gearman function."""
     if gearman is None:
         return settings
     functions = tuple(f.job_class for f in gearman.functions.values())
@@ -178,9 +179,8 @@
 
     return _Classes(
         requested,
-        measured=with_aged_classes(
-            requested, waiting, objective_deadlines=0.0
-        ),  # the objective of the job's own class counts
+        # The latency objective of the job's original class applies to an aged job.
+        measured=with_aged_classes(requested, waiting, objective_deadlines=0.0),
         scheduled=with_aged_classes(requested, waiting),
     )
 
@@ -205,7 +205,7 @@
 
 
 def _transport(backends: HttpBackends, workers: WorkerTransport | None) -> BackendTransport:
-    """Attempts go to the worker by its kind: HTTP, or Gearman where that is on."""
+    """Return the transport for attempts: HTTP, or with Gearman one that routes by the worker's kind."""
     return backends if workers is None else RoutedTransport(backends, {KIND: workers})
 
 
@@ -217,7 +217,7 @@
     measure: ServiceMeasure,
     descriptors: DescriptorBudget,
 ) -> Scheduler:
-    # The discovery client polls for the list where it must; the decisions never need to.
+    # The discovery client polls for the list if the settings require it, so the decisions never have to.
     facade = Facade(replace(settings, must_subscribe=False), config.seed, clock)
     limits = Limits(max_open_requests=descriptors.requests)
     return Scheduler(settings, facade, transport, clock, measure, limits)
@@ -268,7 +268,7 @@
 
 
 def _not_idempotent(classes: Iterable[JobClass]) -> frozenset[str]:
-    """The names of the classes whose requests must not simply be repeated."""
+    """Return the names of the classes whose requests are not idempotent and must not simply be retried."""
     return frozenset(c.name for c in classes if c.retry_safety is not RetrySafety.IDEMPOTENT)
 
 
--- a/oxbowyard/daemon/config.py
+++ b/oxbowyard/daemon/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a scheduler: its file, and the environment for what that leaves out."""
+"""The platform's configuration of a scheduler: a JSON file, with environment variables for absent keys."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 DEFAULT_NAME = "oxbowyard"
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
-DEFAULT_MAX_HELD = 20_000  # requests
+DEFAULT_MAX_HELD = 20_000  # requests held at once
 MAX_PORT = 65_535
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used; its text is one line."""
+    """The configuration cannot be used. The text is one line."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,20 +35,20 @@
     seed: int
     sockets: int  # file descriptors that the process may use
     memory_mb: float
-    max_held_requests: int  # requests at once
+    max_held_requests: int  # at once
     settings: Settings
-    weight_is_per_work: bool  # a class's weight counts per unit of work, not per request
-    known_endpoints: object = None  # the endpoint list that the file brings, if any
-    admin: tuple[str, int] | None = None  # the admin API's address, if it is asked for
+    weight_is_per_work: bool  # a class's weight applies per unit of work, not per request
+    known_endpoints: object = None  # the endpoint list in the file, if any
+    admin: tuple[str, int] | None = None  # the admin API's address; None: the admin API is off
     load_names: Mapping[str, str] = field(default_factory=dict)
-    key_paths: frozenset[str] = frozenset()  # the keys that the file has, as paths
+    key_paths: frozenset[str] = frozenset()  # the keys in the file, as dotted paths
 
 
-# Keys that a file read again need not have: they matter at a start only.
+# Keys that may be absent from the file at a reload, because they are used only at the start.
 START_ONLY_KEYS = ("known", "seed")
 
-# Fields that a running program can't change. `discovery` moves without a restart, and the settings change
-# live as far as `core.settings_update` says; the seed and the known list are for a start.
+# Fields that cannot change without a restart. `discovery` can, and so can the settings that
+# `core.settings_update` handles. The seed and the known endpoints are used only at the start.
 RESTART_FIELDS = (
     "name",
     "host",
@@ -63,17 +63,17 @@
 
 
 def needs_restart(old: Config, new: Config) -> tuple[str, ...]:
-    """The names of the fields that differ and can't be changed live."""
+    """Return the names of the fields that differ and cannot change without a restart."""
     return tuple(name for name in RESTART_FIELDS if getattr(old, name) != getattr(new, name))
 
 
 def missing_key(old: Config, new: Config) -> str | None:
-    """A key that the file in force has and a new one lacks: such a file is cut short or not meant."""
+    """Return a key that the current file has and the new one lacks: such a file is truncated or a mistake."""
     return min(old.key_paths - new.key_paths, default=None)
 
 
 def key_paths_of(document: dict[str, Any]) -> frozenset[str]:
-    """The keys of a file: of the top, of the settings and their tables, and those that all classes have."""
+    """Return the keys at the top level, in `settings` and its tables, and those that all lanes share."""
     paths = {key for key in document if key not in START_ONLY_KEYS}
     settings = document.get("settings")
     if not isinstance(settings, dict):
@@ -92,7 +92,7 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that LB_CONFIG names; the other variables replace what it leaves out. Raises
+    """Read the file named by LB_CONFIG; the other environment variables supply absent keys. Raises
     ConfigurationError."""
     path = environ.get("LB_CONFIG")
     if not path:
@@ -107,22 +107,22 @@
 def _read(path: Path) -> dict[str, Any]:
     try:
         text = path.read_bytes()
-        if not text.strip():  # a file being written, or emptied by mistake
-            raise ConfigurationError("the configuration is empty")
+        if not text.strip():  # the file is being written, or was emptied by mistake
+            raise ConfigurationError(f"the configuration {path} is empty")
         document = orjson.loads(text)
     except OSError as error:
         raise ConfigurationError(f"cannot read the configuration: {error}") from None
     except ValueError as error:
-        raise ConfigurationError(f"the configuration is not JSON: {error}") from None
+        raise ConfigurationError(f"the configuration {path} is not JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigurationError("the configuration is not a JSON object")
+        raise ConfigurationError(f"the configuration {path} is not a JSON object")
     return document
 
 
 def _config(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
     settings = document.get("settings")
     if not isinstance(settings, dict):
-        raise ValueError("settings are missing")
+        raise ValueError("settings is missing or not an object")
     host, port = address(document.get("listen") or environ.get("LB_LISTEN"), "listen")
     discovery = document.get("discovery") or environ.get("LB_DISCOVERY")
     address(discovery, "discovery")
@@ -154,8 +154,8 @@
 
 
 def address(text: object, name: str) -> tuple[str, int]:
-    """Split HOST:PORT; raises ValueError, which names the key `name`."""
+    """Split HOST:PORT. Raises ValueError with the key `name` in its text."""
     host, _, port = str(text or "").rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise ValueError(f"{name} is not an address: {text!r}")
+        raise ValueError(f"{name} is not an address, expected HOST:PORT: {text!r}")
     return host, int(port)
--- a/oxbowyard/daemon/context.py
+++ b/oxbowyard/daemon/context.py
@@ -1,4 +1,4 @@
-"""What the states of one program share, and how it is built from the configuration."""
+"""The context that the states of one program share, and its construction from the configuration."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from .states import StateMachine
 from .units import BYTES_PER_MB, MS_PER_S
 
-if TYPE_CHECKING:  # only where the operator's file has its table
+if TYPE_CHECKING:  # optional dependencies: imported only if the operator's file has the table
     from ..durable.durable_store import DurableStore
     from ..peers.component import MembershipComponent
 
 
 @dataclass
 class ProgramContext:
-    """The program's subsystems and what its states hand on to each other."""
+    """The program's subsystems and the data that its states share."""
 
-    loaded: LoadedConfiguration  # at the start; what a reload brings is compared with it
+    loaded: LoadedConfiguration  # the configuration at the start, which a reload is compared with
     states: StateMachine
     subsystems: Subsystems
     client_connections: ClientConnections
     maintenance: Maintenance
-    components: Lifecycle  # of the operator's file
-    folder: Path  # for files that concern other processes of this scheduler
-    store: DurableStore | None  # of durable jobs
+    components: Lifecycle  # those that the operator's file enables
+    folder: Path  # for files that are shared with other processes of this scheduler
+    store: DurableStore | None  # persists deferred jobs
     membership: MembershipComponent | None
-    longest_deadline_s: float  # of all classes that were in force so far
+    longest_deadline_s: float  # longest deadline of any class since the start, reloads included
     stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
     reload_counts: ConfigurationReloads = field(default_factory=ConfigurationReloads)
     acceptor: Acceptor | None = None
@@ -49,18 +49,18 @@
 
     @property
     def config(self) -> Config:
-        """The platform's configuration as it was at the start."""
+        """The platform's configuration at the start."""
         return self.loaded.config
 
     def bind_clients(self) -> Acceptor:
-        """A listener at the clients' address that does not accept yet; raises OSError."""
+        """Bind the clients' address without accepting connections yet. Raises OSError."""
         return Acceptor("http", self.config.host, self.config.port, self.client_connections, shared=True)
 
 
 def build_context(loaded: LoadedConfiguration, take_over: bool) -> ProgramContext:
-    """Build everything that the configuration asks for; nothing works or listens yet.
+    """Build everything that the configuration enables, without starting or listening.
 
-    `take_over` opens the durable store though another program has it. Raises ConfigurationError.
+    `take_over` opens the durable store even if another process has it open. Raises ConfigurationError.
     """
     config = loaded.config
     folder = Path(tempfile.gettempdir())
@@ -95,7 +95,7 @@
 def _components(
     loaded: LoadedConfiguration, subsystems: Subsystems, membership: MembershipComponent | None
 ) -> Iterator[Component]:
-    """The components of the operator's file in the order in which they start."""
+    """Build the components that the operator's file enables, in the order in which they start."""
     if membership is not None:
         yield membership
     if loaded.start is not None:
--- a/oxbowyard/daemon/descriptors.py
+++ b/oxbowyard/daemon/descriptors.py
@@ -1,7 +1,7 @@
-"""How the file descriptors that the platform allows are shared out. Every component keeps to its share.
+"""The file descriptor budget: how many descriptors each component of the process may use.
 
-Clients that ask for nothing may take all of theirs. What the watch of discovery, the admin API and attempts
-at workers need is set aside, so that a request which comes next is still served.
+Idle clients may use up the whole budget for client connections. The descriptors for the discovery watch, the
+admin API and connections to workers are reserved, so that the next request is still served.
 """
 
 from __future__ import annotations
@@ -9,34 +9,34 @@
 from dataclasses import dataclass
 
 STANDARD_STREAMS = 3
-EVENT_LOOP = 4  # its selector, the pair that wakes it, one to spare
-LISTENERS = 3  # clients', the admin API's, Gearman's
-DISCOVERY = 4  # two connections to the address in force, two to the one that it moves to
-FILES = 4  # one after the other: the configuration, workers in maintenance, the handover's marks
-ACCEPTED_AT_ONCE = 2  # accepted, and refused a moment later
+EVENT_LOOP = 4  # its selector, the socket pair that wakes it, and one spare
+LISTENERS = 3  # HTTP clients, admin API, Gearman
+DISCOVERY = 4  # two connections to the current address and two to the new one while it changes
+FILES = 4  # not all open at once: configuration, workers in maintenance, pid files of a handover
+ACCEPTED_AT_ONCE = 2  # connections over the limit, between being accepted and being closed
 RESERVED = STANDARD_STREAMS + EVENT_LOOP + LISTENERS + DISCOVERY + FILES + ACCEPTED_AT_ONCE
 
-# Callers of the admin API at once.
+# Concurrent connections to the admin API.
 ADMIN_SHARE = 1 / 16
 MIN_ADMIN = 4
 MAX_ADMIN = 32
 
-# Connections to workers whose answer is known and whose last bytes are still awaited.
+# Connections to workers whose result is known, but whose response body has not been read to its end.
 TAILS_SHARE = 1 / 32
 MIN_TAILS = 4
 MAX_TAILS = 64
 
-# The rest goes to clients and to requests. About a third of all are held by clients for requests, and each of
-# these takes one more for its attempt; the others are for clients that ask for nothing.
+# The rest is divided between clients and requests. An open request takes two descriptors: its client's
+# connection and the connection of its attempt. The descriptors that remain are for idle clients.
 REQUESTS_SHARE = 0.41
 MIN_REST = 5
 
 
 @dataclass(slots=True, frozen=True)
 class DescriptorBudget:
-    """How many of each kind one process may hold at once."""
+    """The number of descriptors of each kind that one process may have open at once."""
 
-    requests: int  # and as many connections to workers
+    requests: int  # open requests, each with one connection to a worker
     clients: int
     gearman: int
     admin: int
@@ -46,10 +46,10 @@
     def allocate(
         cls, limit: int, max_requests: int, gearman: int = 0, admin: bool = True
     ) -> DescriptorBudget:
-        """Share out the descriptors of one process.
+        """Divide the descriptors of one process between its components.
 
-        `limit` is how many it may have, `max_requests` bounds the requests whatever the descriptors allow,
-        `gearman` is the number of Gearman's connections, and `admin` says whether the admin API is on.
+        `limit` is the number that the process may have open, `max_requests` limits the requests in any case,
+        `gearman` is the number of Gearman connections, and `admin` says whether the admin API is enabled.
         """
         callers = _share(limit, ADMIN_SHARE, MIN_ADMIN, MAX_ADMIN) if admin else 0
         tails = _share(limit, TAILS_SHARE, MIN_TAILS, MAX_TAILS)
@@ -65,7 +65,7 @@
 
     @property
     def total(self) -> int:
-        """All of them in use at once."""
+        """The number of descriptors in use if every component uses its whole share."""
         return RESERVED + self.requests + self.clients + self.gearman + self.admin + self.tails
 
 
--- a/oxbowyard/daemon/garbage_collection.py
+++ b/oxbowyard/daemon/garbage_collection.py
@@ -1,7 +1,8 @@
 """Keeps Python's garbage collector from blocking the event loop while many jobs are deferred.
 
-A full pass walks every living object, deferred jobs too, which blocks for over a second at a million jobs.
-Nearly all objects here end by their reference counts, so full passes wait until few jobs are held.
+A full collection traverses every live object, deferred jobs included, which blocks for over a second with a
+million jobs. Nearly all objects of this program are freed by their reference counts, so a full collection can
+be postponed until few jobs are held.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 log = logging.getLogger("oxbowyard.daemon")
 
 CHECK_INTERVAL_S = 60.0
-MAX_JOBS_FOR_FULL_PASS = 2_000  # with so many a full pass is short
-MAX_PASS_INTERVAL_S = 3600.0  # then a full pass is made whatever is held: reference cycles must not pile up
-NEVER_THRESHOLD = 1 << 30  # young collections until a full pass
-SLOW_PASS_S = 0.05  # a pass beyond this is logged
+MAX_JOBS_FOR_FULL_PASS = 2_000  # a full collection is short with up to this many jobs
+MAX_PASS_INTERVAL_S = 3600.0  # with any number of jobs, so that reference cycles do not accumulate
+NEVER_THRESHOLD = 1 << 30  # collections of the middle generation before a full one: never reached
+SLOW_PASS_S = 0.05  # a longer full collection is logged
 
 
 def disable_full_passes() -> None:
-    """From now on only the two young generations are collected automatically."""
+    """Limit automatic collection to the two young generations."""
     gc.collect()
-    gc.freeze()  # what the start has made stays for good: no pass need walk it
+    gc.freeze()  # objects made during startup live until exit: exclude them from collections
     young, middle, _ = gc.get_threshold()
     gc.set_threshold(young, middle, NEVER_THRESHOLD)
 
 
 async def run_full_passes(job_count: Callable[[], int]) -> None:
-    """Make a full pass at each check that finds few jobs, and once an hour whatever is held; never returns.
+    """Run a full collection at each check that finds few jobs, and at least once an hour. Never returns.
 
-    `job_count` tells how many jobs are deferred.
+    `job_count` returns the number of deferred jobs.
     """
     clock = asyncio.get_running_loop().time
     last_pass_at = clock()
--- a/oxbowyard/daemon/hot_restart.py
+++ b/oxbowyard/daemon/hot_restart.py
@@ -1,8 +1,8 @@
-"""The state "handing over", and the other side of it: one process of a scheduler replaces another.
+"""Hot restart: a new process of a scheduler replaces the old one, which is in the state "handing over".
 
-The processes find each other by files (`oxbowyard.handover`). The old one stops accepting clients, hands over
-its estimates and answers what it has; the new one says that it is ready once the old one holds nothing. When
-the new process exits before that, the old one accepts clients again.
+The processes find each other by files (`oxbowyard.handover`). The old process stops accepting clients, hands
+over its estimates and answers its open requests. The new process reports readiness once the old one has no
+open request. If the new process exits before that, the old one accepts clients again.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 class HotRestart:
-    """One process's side of a replacement."""
+    """The part of one process in a hot restart, as predecessor or as successor."""
 
     def __init__(self, context: ProgramContext, started_at: float) -> None:
-        """`started_at` is the event loop's time at the program's start, in seconds."""
+        """`started_at` is the event loop's time in seconds at the start of the program."""
         self._context = context
         name = context.config.name
         self.handover = Handover(PidFiles(context.folder, name, os.getpid()), started_at)
         self.estimates_file = EstimatesFile(context.folder, name, os.getpid(), context.subsystems.clock)
-        self._adopted = False
+        self._has_adopted_estimates = False
 
     @property
     def may_report_ready(self) -> bool:
-        """Whether the operators may be told that this process is ready."""
+        """Whether the admin API may report this process as ready."""
         return self.handover.may_report_ready
 
     def begin(self) -> None:
-        """Find out whether another process serves, and follow it in the background."""
+        """Check whether another process is serving, and poll the handover files in the background."""
         self.handover.start()
         self._context.subsystems.background.start(self._follow())
 
@@ -49,8 +49,8 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-            if self.handover.is_waiting and not self._adopted:
-                self._adopted = self.adopt_estimates()
+            if self.handover.is_waiting and not self._has_adopted_estimates:
+                self._has_adopted_estimates = self.adopt_estimates()
             open_requests = self._context.subsystems.scheduler.open_request_count
             action = self.handover.poll(loop.time(), open_requests)
             if action is Action.HAND_OVER:
@@ -60,7 +60,7 @@
                 await self.resume()
 
     async def _hand_over(self) -> None:
-        """Leave the clients to the process that waits to take over; not while this one starts or leaves."""
+        """Hand the clients over to the waiting successor, unless this process is starting or leaving."""
         context = self._context
         if not context.states.is_serving or context.acceptor is None:
             self.handover.decline()
@@ -73,11 +73,11 @@
         await context.components.hand_over()
 
     async def resume(self) -> None:
-        """Accept clients again, or stop the program where their address can't be bound any more."""
+        """Accept clients again, or stop the program if their address can no longer be bound."""
         context = self._context
         try:
             acceptor = context.bind_clients()
-        except OSError as error:  # without clients there is nothing to do: it may be started again
+        except OSError as error:  # it cannot serve anybody: the platform may restart it
             log.error("cannot accept clients again, stopping: error=%s", error)
             context.stop_requested.set()
             return
@@ -92,23 +92,23 @@
             log.error("continuing without the operator's components: error=%s", error)
 
     def adopt_estimates(self) -> bool:
-        """Take over the old process's estimates. False if it has not written them yet."""
+        """Adopt the estimates of the old process. Return False if it has not written them yet."""
         estimates = self.estimates_file.read()
         if estimates is None:
             return False
         try:
             self._context.subsystems.scheduler.restore(estimates)
             log.info("adopted the previous process's estimates: workers=%d", len(estimates.workers))
-        except Exception:  # the replacement goes on without the estimates
+        except Exception:  # the restart continues without the estimates
             log.exception("failed to adopt the previous process's estimates")
         return True
 
     def hand_over_estimates(self) -> None:
-        """Write the estimates for the process that waits to take over."""
+        """Write the estimates to the file for the waiting successor."""
         successor = self.handover.successor
         if successor is None:
             return
         try:
             self.estimates_file.write(self._context.subsystems.scheduler.snapshot(), successor)
-        except Exception:  # the replacement goes on without the estimates
+        except Exception:  # the restart continues without the estimates
             log.exception("failed to hand over the estimates")
--- a/oxbowyard/daemon/lifecycle.py
+++ b/oxbowyard/daemon/lifecycle.py
@@ -1,6 +1,6 @@
-"""The interface of a component that the operator's file switches on, and the order of start and stop.
+"""The interface of a component that the operator's file enables, and the order of start and stop.
 
-This module knows no component: which there are is decided in `operator_components`.
+This module does not depend on any component; `operator_components` builds them.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 
 class Component(Protocol):
-    """A subsystem that is built only when its table is in the operator's file."""
+    """A subsystem that is built only if its table is in the operator's file."""
 
     @property
     def name(self) -> str:
-        """The name of its table."""
+        """The name of the component's table."""
 
     async def open(self) -> None:
         """Acquire sockets and files. Called once before each `start`; raises OSError."""
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start the component's work."""
 
     async def hand_over(self) -> None:
-        """Release what a process that replaces this one needs; `open` and `start` may be called again."""
+        """Release the sockets and files that a successor process needs. `open` and `start` may follow."""
 
     async def close(self) -> None:
-        """Stop, whatever state it is in."""
+        """Stop the component, in any state."""
 
 
 class Lifecycle:
-    """Starts components in the order given, and stops them in the opposite order."""
+    """Starts components in the given order and stops them in reverse order."""
 
     def __init__(self, components: Iterable[Component] = ()) -> None:
         self._components = tuple(components)
 
     async def open(self) -> None:
-        """Open all components or none: when one fails, those opened before it are closed and OSError is
+        """Open all components or none: if one fails, those opened before it are closed and OSError is
         raised."""
         for number, component in enumerate(self._components):
             try:
@@ -54,15 +54,15 @@
             component.start()
 
     async def hand_over(self) -> None:
-        """Let all components release what the replacing process needs; a failure is logged."""
+        """Let all components release what a successor process needs. A failure is logged."""
         for component in reversed(self._components):
             try:
                 await component.hand_over()
-            except Exception:  # the handover goes on: the other process can serve without this component
+            except Exception:  # the handover continues: the successor can serve without this component
                 log.exception("component failed to hand over: component=%s", component.name)
 
     async def close(self) -> None:
-        """Close all components; a failure is logged and does not keep the others open."""
+        """Close all components. A failure is logged, and the other components are closed all the same."""
         await _close_all(self._components)
 
 
--- a/oxbowyard/daemon/loading.py
+++ b/oxbowyard/daemon/loading.py
@@ -1,4 +1,4 @@
-"""Reads all files that configure one program: the platform's, and the operator's where they are given."""
+"""Loads the configuration files of one program: the platform's, and the operator's if there are any."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .config import Config, ConfigurationError
 from .config import load as load_platform
 
-if TYPE_CHECKING:  # only where the operator's file has its table
+if TYPE_CHECKING:  # optional dependencies: imported only if the operator's file has the table
     from ..durable.settings import DurableSettings
     from ..membership.table import MembershipSettings
     from ..start.table import StartSettings
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadedConfiguration:
-    """The platform's configuration and what the operator's files switch on."""
+    """The platform's configuration and the tables of the operator's files."""
 
     config: Config
     gearman: GearmanConfig | None = None
@@ -38,14 +38,16 @@
 
 
 def load_all(gearman: Path | None, operator: Path | None) -> LoadedConfiguration:
-    """Read the file that LB_CONFIG names and those given here; raises ConfigurationError."""
+    """Read the file named by LB_CONFIG and the files given here. Raises ConfigurationError."""
     config = load_platform(os.environ)
     if operator is None:
         return LoadedConfiguration(config, _load_gearman(gearman, config))
-    try:  # only now: its libraries are not needed, and perhaps not there, without it
+    try:  # imported here because its dependencies are optional
         from ..operator.file import load as load_operator
     except ImportError as error:
-        raise ConfigurationError(f"--operator needs the extra waiting: no {error.name}") from None
+        raise ConfigurationError(
+            f"--operator needs the extra waiting: module {error.name} not found"
+        ) from None
     try:
         tables = load_operator(operator, config.settings.classes)
     except ValueError as error:
@@ -70,7 +72,9 @@
     except ValueError as error:
         raise ConfigurationError(_one_line(error)) from None
     if any(function.queueing for function in found.functions.values()):
-        raise ConfigurationError(f"{path.name}: queueing needs --operator, a file with the table [waiting]")
+        raise ConfigurationError(
+            f"{path.name}: queueing needs --operator with a file that has the table [waiting]"
+        )
     return found
 
 
--- a/oxbowyard/daemon/operator_components.py
+++ b/oxbowyard/daemon/operator_components.py
@@ -1,8 +1,9 @@
-"""Builds the components that the operator's file switches on, one function for each table.
+"""Builds the components that the operator's file enables, with one function for each table.
 
-The modules of a component are imported only here and only when its table is there: their libraries may be
-absent otherwise. The store of `[durable]` is opened before the subsystems are composed; `[membership]` and
-`[start]` are built after them, start in this order, and stop in the opposite one.
+The modules of a component are imported only here and only if its table is in the file, because their
+dependencies are optional. The store of `[durable]` is opened before the subsystems are composed. The
+components of `[membership]` and `[start]` are built after the subsystems, start in this order and stop in
+reverse order.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def open_store(settings: DurableSettings, take_over: bool) -> DurableStore:
-    """Open the store of `[durable]`; `take_over` also where another program has it. Raises
+    """Open the store of `[durable]`, with `take_over` even if another process has it open. Raises
     ConfigurationError."""
     from ..durable.durable_store import DurableStore, StoreNotOpenedError
 
@@ -38,7 +39,7 @@
 
 
 def build_deferred_jobs_front(subsystems: Subsystems, durable: DurableSettings | None) -> JobsHandler | None:
-    """The HTTP front of deferred jobs, if `[waiting]` is there."""
+    """Build the HTTP front of deferred jobs; None without the table `[waiting]`."""
     if subsystems.job_queue is None:
         return None
     from ..clients.job_routes import JobRoutes
@@ -50,7 +51,7 @@
 def build_membership(
     settings: MembershipSettings, subsystems: Subsystems, maintenance: Maintenance, state: Callable[[], str]
 ) -> MembershipComponent:
-    """The component of `[membership]`: the group of schedulers. `state` tells this scheduler's."""
+    """Build the component of `[membership]`. `state` returns the membership state of this scheduler."""
     from ..gearman.text_commands import VERSION
     from ..peers.component import MembershipComponent
     from ..peers.services import ProgramServices
@@ -88,7 +89,7 @@
 def build_start(
     settings: StartSettings, subsystems: Subsystems, membership: MembershipComponent | None
 ) -> StartComponent:
-    """The component of `[start]`: where the first list of workers comes from."""
+    """Build the component of `[start]`, which provides the first list of workers."""
     from ..start.component import StartComponent
     from ..start.dependencies import ServiceList, StartDependencies
 
--- a/oxbowyard/daemon/program.py
+++ b/oxbowyard/daemon/program.py
@@ -1,9 +1,9 @@
-"""One program from start to exit. What it does in each state stands in that state's module.
+"""One program from start to exit. The work of each state is in its own module.
 
 | state | module |
 | --- | --- |
 | starting | `startup` |
-| serving | `reporting`, beside the subsystems' own work |
+| serving | `reporting`, in addition to the subsystems |
 | reloading | `reload` |
 | handing over | `hot_restart` |
 | leaving, finishing, stopped | `shutdown` |
@@ -27,10 +27,10 @@
     """One process of a scheduler."""
 
     def __init__(self, load: ConfigurationLoader, take_over: bool = False) -> None:
-        """Build all that the configuration asks for, inside a running event loop.
+        """Build all subsystems and components of the configuration. Requires a running event loop.
 
-        `load` is called now and at each SIGHUP; `take_over` opens the durable store though another program
-        has it. Raises ConfigurationError.
+        `load` is called now and at each SIGHUP; `take_over` opens the durable store even if another process
+        has it open. Raises ConfigurationError.
         """
         loaded = load()
         started_at = asyncio.get_running_loop().time()
@@ -40,7 +40,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """What the operators are told: it serves, is not told to stop, and waits for no other process."""
+        """Whether the admin API reports ready: serving, not stopping, and not waiting for a predecessor."""
         context = self.context
         return (
             context.states.is_serving
@@ -49,8 +49,8 @@
         )
 
     async def run(self) -> int:
-        """Run until told to stop, and return the exit code. Raises OSError where an address or a file can't
-        be had."""
+        """Run until SIGTERM or SIGINT, and return the exit code. Raises OSError if an address cannot be bound
+        or a file cannot be opened."""
         self._handle_signals()
         await self.start()
         self.hot_restart.begin()
@@ -62,7 +62,7 @@
         return 0
 
     async def start(self) -> None:
-        """Open and start everything; raises OSError, and then everything is closed again."""
+        """Open and start everything. On OSError everything is closed again before the error is raised."""
         try:
             self.context.acceptor = await open_and_start(self.context, lambda: self.is_ready)
         except OSError:
@@ -70,7 +70,7 @@
             raise
 
     async def shut_down(self) -> None:
-        """End gracefully: all that was taken is answered."""
+        """Shut down gracefully: all accepted requests are answered."""
         await shut_down(self.context, self.hot_restart)
 
     def _handle_signals(self) -> None:
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -1,7 +1,7 @@
-"""SIGHUP and the state "reloading": the configuration is read again, and what can change live does.
+"""Configuration reload on SIGHUP, and the state "reloading".
 
-The classes and the number of attempts change live, and the watch of discovery moves to another address.
-A file that is not usable is rejected as a whole. What else has changed is in force after a restart.
+The classes, the number of attempts and the discovery address change without a restart. An invalid file is
+rejected as a whole. All other changes take effect after a restart.
 """
 
 from __future__ import annotations
@@ -19,21 +19,23 @@
 
 log = logging.getLogger("oxbowyard.daemon")
 
-SETTLE_S = 2.0  # until clients name the new classes alone; they begin 1.2 s after the signal
+SETTLE_S = 2.0  # until all clients use the new classes: the first do so 1.2 s after the signal
 
 
 class Reloader:
-    """Reads the configuration again and applies what can change live."""
+    """Reloads the configuration and applies the changes that need no restart."""
 
     def __init__(self, context: ProgramContext, load: ConfigurationLoader) -> None:
         self._context = context
         self._load = load
-        self._discovery = context.config.discovery  # the address in force
-        self.settings = context.config.settings  # in force; classes and attempts change
+        self._discovery = context.config.discovery  # current address
+        self.settings = (
+            context.config.settings
+        )  # current settings; a reload changes the classes and max_attempts
         self._settling: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Handle SIGHUP, in any state; requests go on meanwhile."""
+        """Handle SIGHUP in any state. Open requests are not affected."""
         loaded = self._load_or_reject()
         if loaded is None:
             return
@@ -50,7 +52,7 @@
         try:
             loaded = self._load()
             if (missing := missing_key(self._context.config, loaded.config)) is not None:
-                raise ConfigurationError(f"the file lacks {missing}")
+                raise ConfigurationError(f"the file lacks the key {missing}, which the current one has")
         except ConfigurationError as error:
             self._context.reload_counts.invalid += 1
             log.error("configuration rejected, the one in force stays: error=%s", error)
@@ -73,10 +75,12 @@
         self._context.subsystems.discovery.move(address)
 
     def _update_settings(self, settings: Settings) -> tuple[str, ...]:
-        """Apply new classes and attempts: the stricter of old and new until clients use the new alone.
-        Returns the names of the settings that need a restart."""
+        """Apply new classes and max_attempts: the stricter of old and new values until all clients use the
+        new ones. Return the names of the settings that need a restart."""
         needing_restart = restart_only_changes(self.settings, settings)
-        if self._context.subsystems.job_queue is not None:  # deferred jobs keep the classes of the start
+        if (
+            self._context.subsystems.job_queue is not None
+        ):  # with deferred jobs the classes are fixed at the start
             return (*needing_restart, *self._changed_live_settings(settings))
         step = plan_settings_update(self.settings, settings)
         self._cancel_settling()
@@ -89,7 +93,7 @@
         return needing_restart
 
     def _changed_live_settings(self, settings: Settings) -> tuple[str, ...]:
-        """The platform's keys of those settings that differ, and change live without deferred jobs."""
+        """Return the keys of changed settings that need a restart only because there are deferred jobs."""
         pairs = {
             "settings.lanes": settings.classes != self.settings.classes,
             "settings.policyLimits.maxAttempts": settings.max_attempts != self.settings.max_attempts,
@@ -97,7 +101,7 @@
         return tuple(key for key, has_changed in pairs.items() if has_changed)
 
     def _cancel_settling(self) -> None:
-        """Drop the later step of an earlier reload, also where this one merely undoes that."""
+        """Cancel the second step of an earlier reload, also if the new reload merely reverts it."""
         if self._settling is not None:
             self._settling.cancel()
             self._settling = None
--- a/oxbowyard/daemon/reporting.py
+++ b/oxbowyard/daemon/reporting.py
@@ -1,4 +1,4 @@
-"""Periodic log lines: the figures so far, and a lag of the event loop."""
+"""Periodic log lines: summaries of the subsystems, and lag of the event loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def log_summaries(context: ProgramContext, is_last: bool = False) -> None:
-    """Log the figures so far: of the requests, of deferred jobs and of the store."""
+    """Log the summaries of the requests, the deferred jobs and the store."""
     for summary in _summaries(context):
         if is_last:
             log.info("last: %s", summary)
@@ -26,7 +26,7 @@
 
 
 async def report_periodically(context: ProgramContext) -> None:
-    """Log all figures every `REPORT_INTERVAL_S`, without end."""
+    """Log all summaries and client errors every `REPORT_INTERVAL_S`. Never returns."""
     while True:
         await asyncio.sleep(REPORT_INTERVAL_S)
         log_summaries(context)
@@ -36,7 +36,7 @@
 
 
 async def watch_event_loop_lag() -> None:
-    """Log each time that the event loop was late by more than `LAG_WARNING_S`, without end."""
+    """Log a warning whenever the event loop is late by more than `LAG_WARNING_S`. Never returns."""
     loop = asyncio.get_running_loop()
     while True:
         due = loop.time() + LAG_CHECK_INTERVAL_S
@@ -55,5 +55,5 @@
 
 def _log_client_errors(front: str, counts: Mapping[str, int]) -> None:
     if counts:
-        errors = ", ".join(f"{kind} {n}" for kind, n in counts.items() if n)
+        errors = ", ".join(f"{kind} {count}" for kind, count in counts.items() if count)
         log.info("client errors since the start: front=%s, %s", front, errors)
--- a/oxbowyard/daemon/shutdown.py
+++ b/oxbowyard/daemon/shutdown.py
@@ -1,9 +1,11 @@
-"""The states "leaving", "finishing" and "stopped": everything that was taken is answered, then all is closed.
+"""Graceful shutdown, the states "leaving", "finishing" and "stopped": accepted requests are answered first.
 
 1. Leaving: connections are still accepted for `ACCEPT_AFTER_STOP_S`, and each answer closes its connection.
-   Deferred jobs that wait are given up at once: whoever waits for one may ask another scheduler.
-2. Finishing: nothing is accepted. Clients, then the components of the operator's file, then the subsystems
-   end; the last figures are logged; the store, the admin API and the files of a replacement are closed.
+   Deferred jobs that have not been submitted end at once as never run, unless a store keeps them, and their
+   clients are answered, so that they can go to another scheduler.
+2. Finishing: no connection is accepted. Client connections, then the components of the operator's file, then
+   the subsystems are closed, and the final summaries are logged. Last, the store and the admin API are closed
+   and the pid files are removed.
 """
 
 from __future__ import annotations
@@ -15,12 +17,12 @@
 from .reporting import log_summaries
 from .states import State
 
-ACCEPT_AFTER_STOP_S = 0.5  # whoever sends clients here learns of the end meanwhile
-MAX_OVERRUN_S = 1.0  # of a client past the longest deadline
+ACCEPT_AFTER_STOP_S = 0.5  # time for load balancers to notice that /up no longer reports ready
+MAX_OVERRUN_S = 1.0  # a client connection may outlive the longest deadline by this much
 
 
 async def shut_down(context: ProgramContext, hot_restart: HotRestart) -> None:
-    """End the program gracefully, from any state in which it runs."""
+    """Shut the program down gracefully, from any state in which it runs."""
     context.states.enter(State.LEAVING)
     context.client_connections.start_draining()
     if context.subsystems.job_queue:
@@ -39,7 +41,7 @@
 
 
 async def abort_startup(context: ProgramContext) -> None:
-    """Close what a start that failed has opened."""
+    """Close everything that a failed start has opened."""
     _close_admin(context)
     await context.components.close()
     await context.subsystems.close()
--- a/oxbowyard/daemon/startup.py
+++ b/oxbowyard/daemon/startup.py
@@ -1,13 +1,13 @@
-"""The state "starting": listeners, components and background tasks in their order, then the first list.
+"""The state "starting": listeners, components and background tasks start, then the first list is awaited.
 
-1. The clients' address is bound, and not accepted on yet.
-2. The admin API and Gearman listen.
-3. Workers in maintenance are read, before any list: a worker that was drained by hand before a replacement
-   stays so.
+1. The clients' address is bound; connections are not accepted yet.
+2. The admin API and Gearman start to listen.
+3. The file of workers in maintenance is read before any list of workers, so that a worker that was drained by
+   hand before a hot restart remains drained.
 4. The components of the operator's file open.
-5. The discovery client and the background tasks start; durable jobs are read back.
+5. The discovery client and the background tasks start, among them the recovery of durable jobs.
 6. The components start.
-7. The clients' connections are accepted.
+7. Client connections are accepted.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from .garbage_collection import disable_full_passes, run_full_passes
 from .reporting import report_periodically, watch_event_loop_lag
 
-FIRST_LIST_TIMEOUT_S = 2.0  # for discovery's first answer; then a cached list is served from
+FIRST_LIST_TIMEOUT_S = 2.0  # for discovery's first answer; after that a cached list is used
 
 
 async def open_and_start(context: ProgramContext, is_ready: Callable[[], bool]) -> Acceptor:
-    """Take the steps above and return the clients' listener; raises OSError where an address or a file can't
-    be had. `is_ready` is what the admin API answers."""
+    """Perform the steps above and return the clients' listener. Raises OSError if an address cannot be bound
+    or a file cannot be opened. `is_ready` provides the readiness that the admin API reports."""
     acceptor = context.bind_clients()
     _listen(context, is_ready)
     context.maintenance.sync_from_file()
@@ -44,9 +44,9 @@
 
 
 async def wait_for_first_list(context: ProgramContext) -> None:
-    """Wait until there is a list to serve from, or the program is told to stop.
+    """Wait until there is a list of workers, or until the program is requested to stop.
 
-    Discovery is waited for first. Once it has been silent for `FIRST_LIST_TIMEOUT_S`, a cached list does.
+    For the first `FIRST_LIST_TIMEOUT_S` only a list from discovery counts; then a cached list is enough.
     """
     listed = asyncio.ensure_future(context.subsystems.discovery.ready.wait())
     stop = asyncio.ensure_future(context.stop_requested.wait())
@@ -98,7 +98,7 @@
 
 
 async def _follow_maintenance(maintenance: Maintenance) -> None:
-    """Take over what another process of this scheduler puts into maintenance, and back."""
+    """Apply cordons and uncordons that another process of this scheduler writes to the shared file."""
     while True:
         await asyncio.sleep(SYNC_INTERVAL_S)
         maintenance.sync_from_file()
