--- a/oxbowyard/configuration/__init__.py
+++ b/oxbowyard/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""The files a scheduler is configured by, as one model: every error found in one go, where each value came
-from, and a JSON Schema for editors. Needs msgspec (the extra `cli`, or `waiting`); the platform's `run` does
-not import it."""
+"""A model of the configuration files. It finds all errors of a file at once, the source of each value, and a
+JSON Schema for editors. Needs msgspec (the extra `cli` or `waiting`); `python -m oxbowyard` does not import
+it for the platform's file."""
--- a/oxbowyard/configuration/check.py
+++ b/oxbowyard/configuration/check.py
@@ -1,4 +1,4 @@
-"""Reads a configuration file as a document, and checks the platform's against its model."""
+"""Reads a configuration file as a document, and validates the platform's file against its model."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """The document in a file: TOML by its suffix, JSON otherwise. Raises UnreadableFileError."""
+    """Parse a file as TOML if its suffix is .toml, otherwise as JSON. Raises UnreadableFileError."""
     try:
         text = read_text(path)
     except UnicodeDecodeError:
-        raise UnreadableFileError("is no text") from None
+        raise UnreadableFileError("is not a text file") from None
     if not text.strip():
         raise UnreadableFileError("is empty")
     try:
@@ -28,16 +28,16 @@
     except ValueError as error:
         raise UnreadableFileError(str(error)) from None
     if not isinstance(document, dict):
-        raise UnreadableFileError("is not a table of keys")
+        raise UnreadableFileError(f"is not a JSON object: found {type(document).__name__}")
     return document
 
 
 def check_platform(document: Mapping[str, Any], environ: Mapping[str, str]) -> list[ValidationIssue]:
-    """The issues of the platform's file; the environment may replace what the file leaves out."""
+    """Find the issues of the platform's file; environment variables supply absent keys."""
     return [
         *validation_issues(document, PlatformFile, PATTERNS),
         *_missing_addresses(document, environ),
-        *_absurd_ports(document),
+        *_invalid_ports(document),
         *_repeated_classes(document),
     ]
 
@@ -50,13 +50,13 @@
     ]
 
 
-def _absurd_ports(document: Mapping[str, Any]) -> list[ValidationIssue]:
+def _invalid_ports(document: Mapping[str, Any]) -> list[ValidationIssue]:
     issues = []
     for key in ("listen", "discovery", "admin"):
         text = document.get(key)
         port = text.rpartition(":")[2] if isinstance(text, str) else ""
         if port.isdecimal() and int(port) > MAX_PORT:
-            issues.append(ValidationIssue(key, f"the port is over {MAX_PORT}"))
+            issues.append(ValidationIssue(key, f"port {port} is over {MAX_PORT}"))
     return issues
 
 
@@ -67,4 +67,4 @@
         return []
     names = [str(lane.get("name")) for lane in lanes if isinstance(lane, dict)]
     repeated = sorted({name for name in names if names.count(name) > 1})
-    return [ValidationIssue("settings.lanes", f"the class {name} twice") for name in repeated]
+    return [ValidationIssue("settings.lanes", f"class {name} is defined more than once") for name in repeated]
--- a/oxbowyard/configuration/platform.py
+++ b/oxbowyard/configuration/platform.py
@@ -1,7 +1,7 @@
 """The platform's configuration file (`$LB_CONFIG`, JSON) as a model: names, types, limits and defaults.
 
-The platform writes the file and may put more in it than this program reads: such keys are notes, with the
-nearest key that is read. The names are the platform's; the units stand in the comments.
+The platform writes the file, which may have keys that this program does not read: they are reported as notes,
+with the nearest known key. The platform has chosen the names; comments give the units.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 ADDRESS = r"^\[?[^\s\[\]]+\]?:\d{1,5}$"
 HEX = r"^[0-9a-fA-F]*$"
-# What is said in place of a pattern. msgspec writes the pattern as Python's repr would.
+# Descriptions that replace patterns in error texts. msgspec prints a pattern as Python's repr does.
 PATTERNS = {repr(ADDRESS)[1:-1]: "HOST:PORT", HEX: "hex digits"}
 Address = Annotated[str, msgspec.Meta(pattern=ADDRESS, description="HOST:PORT")]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
@@ -32,7 +32,7 @@
 class Limits(Open, frozen=True):
     """What one process may use of the machine."""
 
-    cores: Positive = 1.0  # of one core
+    cores: Positive = 1.0  # CPU cores
     memory_mb: Positive = 192.0
     sockets: Count = 1024  # file descriptors
 
@@ -41,13 +41,13 @@
     """One worker in the form in which service discovery lists it."""
 
     uid: str
-    endpoint: str  # HOST:PORT, empty for one gone
+    endpoint: str  # HOST:PORT; empty if the state is gone
     state: Literal["ready", "draining", "gone"]
     az: str = ""
     model: str = ""
     pod_group: int = 0
     capacity_hint: float = 1.0
-    boot_ms: NotNegative = 0.0  # Unix time of its last start, 0: long ago
+    boot_ms: NotNegative = 0.0  # Unix time of its last start in ms; 0: long ago
 
 
 class Known(Open, frozen=True):
@@ -151,10 +151,10 @@
     name: str = "oxbowyard"
     listen: Address | None = None
     discovery: Address | None = None
-    admin: Address | None = None  # the admin API's address; none: it is off
+    admin: Address | None = None  # the admin API's address; None: the admin API is off
     seed: Annotated[str, msgspec.Meta(pattern=HEX)] = "0"  # hex
     limits: Limits = Limits()
-    known: Known | None = None  # discovery's list as this scheduler had it last
+    known: Known | None = None  # the last list that this scheduler had from discovery
 
 
 ENVIRONMENT = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY", "admin": "LB_ADMIN"}
--- a/oxbowyard/configuration/validation_errors.py
+++ b/oxbowyard/configuration/validation_errors.py
@@ -1,6 +1,6 @@
-"""Finds every error of a document against a model, each named by its key.
+"""Validates a document against a model and finds all errors, each with its key.
 
-msgspec stops at the first error of what it converts, so each value is converted by itself.
+msgspec stops at the first error of a conversion, so each value is converted separately.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ValidationIssue:
-    """One thing to say about a key of a document."""
+    """An error or a note about a key of a document."""
 
     key: str
     text: str
-    is_note: bool = False  # not an error: a key that this program does not read
+    is_note: bool = False  # a key that this program does not read, which is not an error
 
     def __str__(self) -> str:
         return f"{self.key or '(the file)'}: {self.text}"
@@ -29,11 +29,11 @@
 def validation_issues(
     document: object, model: Any, patterns: Mapping[str, str] | None = None, detailed: bool = True
 ) -> list[ValidationIssue]:
-    """All errors and notes of a document and everything below it.
+    """Find all errors and notes of a document.
 
-    `patterns` gives regular expressions of the model with the words that are shown in their place. A detailed
-    issue names the place in a list, the values that are allowed and the nearest known key; otherwise a list
-    is one value, and the text is msgspec's.
+    `patterns` maps regular expressions of the model to descriptions that replace them in error texts. A
+    detailed issue has the index in a list, the allowed values and the nearest known key; otherwise a list is
+    validated as one value, and the text is msgspec's.
     """
     return list(_Walker(patterns or {}, detailed).walk(document, model, ""))
 
@@ -44,8 +44,8 @@
     detailed: bool
 
     def walk(self, value: object, type_: Any, key: str) -> Iterator[ValidationIssue]:
-        """The issues of a value and all below it."""
-        if isinstance(value, float) and not math.isfinite(value):  # bounds let NaN pass
+        """Find the issues of a value and of all values in it."""
+        if isinstance(value, float) and not math.isfinite(value):  # NaN passes the limits of msgspec
             yield ValidationIssue(key, "is not a finite number")
             return
         struct, origin = _struct_in(type_), get_origin(type_)
@@ -63,12 +63,12 @@
             yield from self._convert(value, type_, key)
 
     def _walk_annotated(self, value: object, type_: Any, key: str) -> Iterator[ValidationIssue]:
-        """The type first, with all below it; then its bounds, on the whole value."""
-        below = list(self.walk(value, get_args(type_)[0], key))
-        yield from below
-        if not all(issue.is_note for issue in below):
+        """Validate the type and all nested values first, then the constraints of the value itself."""
+        nested = list(self.walk(value, get_args(type_)[0], key))
+        yield from nested
+        if not all(issue.is_note for issue in nested):
             return
-        if isinstance(value, list):  # its items were looked at: only its length is left
+        if isinstance(value, list):  # its items are validated already: only its length remains
             value = [None] * len(value)
             type_ = Annotated[list[Any], *get_args(type_)[1:]]
         yield from self._convert(value, type_, key)
@@ -79,12 +79,12 @@
         fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
         failed = False
         for name, item in value.items():
-            below = _join(key, str(name))
+            path = _join(key, str(name))
             known = fields.get(name)
             issues = (
-                self.walk(item, known.type, below)
+                self.walk(item, known.type, path)
                 if known
-                else [self._unknown_key(name, below, struct, fields)]
+                else [self._unknown_key(name, path, struct, fields)]
             )
             for issue in issues:
                 failed |= not issue.is_note
@@ -93,7 +93,7 @@
             if field.required and name not in value:
                 failed = True
                 yield ValidationIssue(_join(key, name), "missing")
-        if not failed:  # now what its values say together
+        if not failed:  # now the checks across several fields
             yield from self._convert({k: v for k, v in value.items() if k in fields}, struct, key)
 
     def _unknown_key(
@@ -112,19 +112,19 @@
             if not self.detailed:
                 yield ValidationIssue(key, text)
                 return
-            place = at.strip("`").removeprefix("$")  # as `$.name[2]`, below the key
-            yield ValidationIssue((key + place).removeprefix("."), self._worded(text, type_))
+            place = at.strip("`").removeprefix("$")  # a path such as `$.name[2]`, relative to the key
+            yield ValidationIssue((key + place).removeprefix("."), self._with_descriptions(text, type_))
 
-    def _worded(self, text: str, type_: Any) -> str:
-        for pattern, words in self.patterns.items():
-            text = text.replace(f"`str` matching regex '{pattern}'", words)
+    def _with_descriptions(self, text: str, type_: Any) -> str:
+        for pattern, description in self.patterns.items():
+            text = text.replace(f"`str` matching regex '{pattern}'", description)
         if text.startswith("Invalid enum value") and get_origin(type_) is Literal:
             text += f", not one of {', '.join(map(str, get_args(type_)))}"
         return text
 
 
 def _struct_in(type_: Any) -> type[msgspec.Struct] | None:
-    """The model of a table in a type or among the options of a union."""
+    """Return the Struct that a type is, or that is one of the options of a union."""
     options = get_args(type_) if get_origin(type_) in (Union, UnionType) else (type_,)
     for option in options:
         if isinstance(option, type) and issubclass(option, msgspec.Struct):
@@ -137,7 +137,7 @@
 
 
 def _nearest(name: str, known: Iterable[str]) -> str:
-    import difflib  # for the command alone: a scheduler at work never needs it
+    import difflib  # imported here because only the `oxbowyard` command needs it
 
     near = difflib.get_close_matches(name, known, n=1)
     return f"; did you mean {near[0]}?" if near else ""
--- a/oxbowyard/handover/__init__.py
+++ b/oxbowyard/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Handover at a replacement: an old process passes its clients and estimates to the one that succeeds it."""
+"""Handover at a hot restart: the old process passes its clients and estimates to its successor."""
--- a/oxbowyard/handover/learned.py
+++ b/oxbowyard/handover/learned.py
@@ -1,8 +1,9 @@
-"""The file in `$TMPDIR` by which an old process hands its estimates over to the process that succeeds it.
+"""The file in `$TMPDIR` through which an old process hands its estimates over to its successor.
 
-It is two lines of JSON: a header with the version, the successor's pid and a checksum, then the estimates
-with their time. It is written whole or not at all. A file that is damaged, of another version, for another
-process or too old is rejected: the successor then begins without estimates, as at any start.
+The file has two lines of JSON: a header with the version, the successor's pid and a checksum, then the
+estimates and the time at which they were taken. It is replaced atomically. A file that is damaged, has
+another version, is meant for another process or is too old is rejected: the successor then starts without
+estimates, as at an ordinary start.
 """
 
 from __future__ import annotations
@@ -23,42 +24,42 @@
 
 MAX_FILE_BYTES = 1 << 20
 CHECKSUM_BYTES = 16
-MAX_AGE_MS = 10_000.0  # older estimates of a worker's load and health mean nothing
-CLOCK_TOLERANCE_MS = 500.0  # each process reads the system's time at its own start
+MAX_AGE_MS = 10_000.0  # older estimates no longer describe a worker's load and health
+CLOCK_TOLERANCE_MS = 500.0  # the clocks differ: each process reads the system time once, at its start
 
 
 class UnusableFileError(ValueError):
-    """The file is rejected; the text says why."""
+    """The file is rejected. The text gives the reason."""
 
 
 def encode(snapshot: Snapshot, successor: int) -> bytes:
-    """The file's content, for the successor with this pid."""
+    """Encode the content of the file for the successor with this pid."""
     body = orjson.dumps(_stored_form(snapshot))
     header = {"version": VERSION, "successor": successor, "checksum": _checksum(body)}
     return orjson.dumps(header) + b"\n" + body
 
 
 def decode(text: bytes, pid: int, now: float) -> Snapshot:
-    """The estimates out of a file's content.
+    """Decode the estimates in the content of the file.
 
-    `pid` is this process's, `now` is in Unix milliseconds. Raises UnusableFileError, and ValueError where the
-    second line is no JSON.
+    `pid` is the pid of this process, `now` is in Unix milliseconds. Raises UnusableFileError, or ValueError
+    if the second line is not JSON.
     """
     first_line, _, body = text.partition(b"\n")
     try:
         header = orjson.loads(first_line)
     except ValueError:
-        raise UnusableFileError("no header") from None
+        raise UnusableFileError(f"the header is not JSON: {first_line!r:.40}") from None
     if not isinstance(header, dict) or header.get("version") != VERSION:
-        raise UnusableFileError("another version")
+        raise UnusableFileError(f"expected a header with version {VERSION}, found {header!r:.80}")
     if header.get("successor") != pid:
-        raise UnusableFileError(f"for process {header.get('successor')!r}")
+        raise UnusableFileError(f"written for process {header.get('successor')!r}, this is process {pid}")
     if header.get("checksum") != _checksum(body):
-        raise UnusableFileError("damaged")
+        raise UnusableFileError(f"{len(body)} bytes do not match checksum {header.get('checksum')!r:.40}")
     snapshot: Snapshot = _decode_value(Snapshot, orjson.loads(body))
     age_ms = now - snapshot.taken_at_ms
     if not -CLOCK_TOLERANCE_MS <= age_ms <= MAX_AGE_MS:
-        raise UnusableFileError(f"{age_ms:.0f} ms old")
+        raise UnusableFileError(f"{age_ms:.0f} ms old, the limit is {MAX_AGE_MS:.0f} ms")
     return snapshot
 
 
@@ -67,7 +68,7 @@
 
 
 def _stored_form(value: Any) -> Any:
-    """The value as JSON stores it: each dataclass is an object with its stored keys."""
+    """Return the value in its JSON form: each dataclass becomes an object with its stored keys."""
     if (keys := STORED_KEYS.get(type(value))) is not None:
         return {key: _stored_form(getattr(value, name)) for name, key in keys.items()}
     if isinstance(value, dict):
@@ -78,13 +79,13 @@
 
 
 def _decode_value(expected: Any, value: Any) -> Any:
-    """A value of the expected type, out of decoded JSON; raises UnusableFileError."""
+    """Convert decoded JSON to a value of the expected type. Raises UnusableFileError."""
     origin, arguments = get_origin(expected), get_args(expected)
     if hasattr(expected, "__dataclass_fields__"):
         hints = get_type_hints(expected)
         keys = STORED_KEYS[expected]
         if not isinstance(value, dict) or value.keys() != set(keys.values()):
-            raise UnusableFileError(f"no {expected.__name__}")
+            raise UnusableFileError(f"expected an object with the keys of {expected.__name__}")
         return expected(**{name: _decode_value(hints[name], value[key]) for name, key in keys.items()})
     if origin is dict and isinstance(value, dict):
         return {str(name): _decode_value(arguments[1], item) for name, item in value.items()}
@@ -98,29 +99,29 @@
         return value
     if type(None) in arguments and (value is None or isinstance(value, str)):
         return value
-    raise UnusableFileError(f"{value!r:.40} is no {expected}")
+    raise UnusableFileError(f"expected {expected}, found {value!r:.40}")
 
 
 def _decode_number(value: Any) -> float:
-    if value is None:  # JSON has no infinity, which stands for "never" or "none yet" in these estimates
+    if value is None:  # JSON has no infinity, which means "never" or "none yet" in these estimates
         return math.inf
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise UnusableFileError(f"{value!r:.40} is no number")
+        raise UnusableFileError(f"expected a finite number or null, found {value!r:.40}")
     return float(value)
 
 
 class EstimatesFile:
-    """Writes and reads the file. An error of the disk is logged, and nothing else depends on it."""
+    """Writes and reads the file. A disk error is logged and has no other effect."""
 
     def __init__(self, folder: Path, name: str, pid: int, clock: Callable[[], float]) -> None:
-        """`name` is the scheduler's, `pid` this process's; `clock` gives Unix time in milliseconds."""
+        """`name` is the scheduler's name, `pid` this process's pid; `clock` returns Unix time in ms."""
         self._path = folder / f"oxbowyard-{name}-learned"
         self._pid = pid
         self._clock = clock
-        self._last_reason = ""  # of a rejection: each is logged once
+        self._last_reason = ""  # of the last rejection: the same reason is logged only once
 
     def write(self, snapshot: Snapshot, successor: int) -> None:
-        """Write the estimates for the successor with this pid, in place of what was there."""
+        """Write the estimates for the successor with this pid, replacing an existing file."""
         temporary = self._path.with_name(f"{self._path.name}.{self._pid}")
         try:
             temporary.write_bytes(encode(snapshot, successor))
@@ -129,12 +130,12 @@
             log.error("estimates not handed over: error=%s", error)
 
     def read(self) -> Snapshot | None:
-        """The estimates that the old process has written for this one; None where there are none to use."""
+        """Read the estimates that the old process wrote for this one; None if there are no usable ones."""
         try:
             with self._path.open("rb") as file:
                 text = file.read(MAX_FILE_BYTES + 1)
             if len(text) > MAX_FILE_BYTES:
-                raise UnusableFileError("too long")
+                raise UnusableFileError(f"{self._path.name} is over {MAX_FILE_BYTES} bytes")
             return decode(text, self._pid, self._clock())
         except FileNotFoundError:
             return None
--- a/oxbowyard/handover/protocol.py
+++ b/oxbowyard/handover/protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of a handover: what each of the two processes does next. Its I/O is that of `PidFiles`."""
+"""The handover protocol: a state machine that runs in both processes. All I/O is done by `PidFiles`."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 log = logging.getLogger("oxbowyard.handover")
 
-MAX_WAIT_S = 4.5  # of a new process for the old one, from its start: it owes its readiness within 6 s
+MAX_WAIT_S = 4.5  # a new process waits for the old one this long: it must be ready within 6 s of its start
 
 
 class HandoverState(Enum):
-    """Where one process stands."""
+    """The state of one process in a handover."""
 
-    WAITING = "waiting"  # a successor that has not taken over
+    WAITING = "waiting"  # successor that has not taken over yet
     SERVING = "serving"
-    HANDING_OVER = "handing over"  # the old process: a successor waits, requests are still in flight
-    HANDED_OVER = "handed over"  # the old process has notified the successor that it holds nothing
+    HANDING_OVER = "handing over"  # old process: a successor waits, and requests are still in flight
+    HANDED_OVER = "handed over"  # old process: it has notified the successor that it has no open request
 
 
 class Action(Enum):
-    """What the program has to do after a poll of the files."""
+    """What the program has to do after a poll of the pid files."""
 
     NONE = "none"
-    TAKE_OVER = "take over"  # a new process: report readiness from now on
-    HAND_OVER = "hand over"  # the old process: a successor waits, stop accepting clients
-    RESUME = "resume"  # the old process: the successor ended before it took over, accept clients again
+    TAKE_OVER = "take over"  # new process: report readiness from now on
+    HAND_OVER = "hand over"  # old process: a successor waits, stop accepting clients
+    RESUME = "resume"  # old process: the successor exited before it took over, accept clients again
 
 
 @dataclass(slots=True)
 class Handover:
-    """One process's side. A process that starts while another serves is its successor until it takes over."""
+    """The handover state of one process. A process that starts while another serves is its successor."""
 
     files: PidFiles
-    started_at: float  # the program's start, in seconds on the clock of `poll`
+    started_at: float  # start of the program, in seconds on the clock of `poll`
     state: HandoverState = HandoverState.SERVING
 
     def start(self) -> None:
-        """Begin to serve, or to wait as the successor of the process that serves."""
+        """Start to serve, or to wait as the successor of the serving process."""
         serving_pid = self.files.other_process(self.files.serving)
         if serving_pid is None:
             self._take_over()
@@ -51,23 +51,24 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether this process is a successor that has not taken over."""
+        """Whether this process is a successor that has not taken over yet."""
         return self.state is HandoverState.WAITING
 
     @property
     def successor(self) -> int | None:
-        """The pid of the process that waits to take over from this one, if there is one."""
+        """The pid of the process that waits to take over from this one, or None."""
         return self.files.other_process(self.files.successor)
 
     @property
     def may_report_ready(self) -> bool:
-        """Whether this process may be reported ready to the operators."""
+        """Whether the admin API may report this process as ready."""
         return self.state is HandoverState.SERVING
 
     def poll(self, now: float, in_flight: int) -> Action:
-        """Look at the files; to be called every `HEARTBEAT_INTERVAL_S`.
+        """Read the pid files and return the next action. To be called every `HEARTBEAT_INTERVAL_S`.
 
-        `now`: seconds, on the clock of `started_at`. `in_flight`: the requests that this process holds.
+        `now` is in seconds on the clock of `started_at`; `in_flight` is the number of this process's open
+        requests.
         """
         if self.state is HandoverState.WAITING:
             return self._poll_as_successor(now)
@@ -77,11 +78,11 @@
         return self._poll_as_predecessor(in_flight)
 
     def decline(self) -> None:
-        """The program can't leave its clients now: the next poll says again that it has to hand over."""
+        """Postpone the handover: the next poll returns HAND_OVER again if a successor waits."""
         self.state = HandoverState.SERVING
 
     def end(self) -> None:
-        """Leave no file that names this process."""
+        """Remove the files that contain the pid of this process."""
         for path in (self.files.serving, self.files.successor):
             self.files.remove(path)
 
@@ -106,7 +107,9 @@
         files = self.files
         successor = self.successor
         if successor is None and files.read_pid(files.serving, ignore_stale=False) == files.pid:
-            self.state = HandoverState.SERVING  # it ended before it took over: nobody else has the clients
+            self.state = (
+                HandoverState.SERVING
+            )  # it exited before it took over: no other process serves the clients
             return Action.RESUME
         if successor is not None and in_flight == 0 and self.state is HandoverState.HANDING_OVER:
             self.state = HandoverState.HANDED_OVER
--- a/oxbowyard/operator/__init__.py
+++ b/oxbowyard/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: one TOML file, a table for each subsystem that is not the platform's."""
+"""The operator's file: a TOML file with one table for each optional subsystem."""
--- a/oxbowyard/operator/check.py
+++ b/oxbowyard/operator/check.py
@@ -1,4 +1,4 @@
-"""Checks the operator's file by itself, without the classes of a platform's file."""
+"""Validates the operator's file alone, without the classes of a platform's file."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def check_operator(document: Mapping[str, Any]) -> list[ValidationIssue]:
-    """The issues of the operator's file, each with the place in a list and the nearest known key."""
+    """Find the issues of the operator's file, each with the index in a list and the nearest known key."""
     return validation_issues(document, Tables)
--- a/oxbowyard/operator/file.py
+++ b/oxbowyard/operator/file.py
@@ -1,7 +1,7 @@
-"""Reads `deploy/operator.toml` and checks it against its model and the classes of the platform's settings.
+"""Reads the operator's file and validates it against its model and the classes of the platform's settings.
 
-The errors of keys and values are found all at once. What the tables say together is checked once those are
-mended.
+All errors of single keys and values are reported together. Only a file without them is checked for
+contradictions between its tables. `deploy/operator.toml` is an example of the file.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from ..waiting.settings import ClassSettings, WaitingSettings
 from .tables import Tables
 
-RESERVED_CLASS = "jobs"  # its path is that of deferred jobs
+RESERVED_CLASS = "jobs"  # /jobs is the path of deferred jobs
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorConfig:
-    """What the file switches on."""
+    """The tables of the file; None for a table that is absent."""
 
     waiting: WaitingSettings | None = None
     gearman: GearmanConfig | None = None
@@ -40,7 +40,7 @@
 
 
 class OperatorFileError(ValueError):
-    """The file can't be used; its text names every error, each by its key."""
+    """The file cannot be used. The text has all errors, each with its key."""
 
     def __init__(self, name: str, errors: Iterable[str]) -> None:
         self.errors = tuple(errors)
@@ -48,7 +48,7 @@
 
 
 def load(path: Path, classes: Iterable[JobClass]) -> OperatorConfig:
-    """Read the file and check it against the classes of the settings. Raises OperatorFileError."""
+    """Read the file and validate it against the classes of the settings. Raises OperatorFileError."""
     document = _read(path)
     _raise_if_any(path, map(str, validation_issues(document, Tables, detailed=False)))
     tables = msgspec.convert(document, Tables)
@@ -83,7 +83,7 @@
 
 
 def _with_functions(waiting: WaitingSettings, functions: Mapping[str, Function]) -> WaitingSettings:
-    """The settings with a table for the class of each function, as far as the function says something."""
+    """Return the settings with the class of each function added, with `queueing` if the function has it."""
     classes = dict(waiting.classes)
     for function in functions.values():
         own = classes.get(function.job_class.name, ClassSettings())
@@ -96,7 +96,7 @@
 def _combined_issues(
     tables: Tables, waiting: WaitingSettings | None, functions: Mapping[str, Function], class_names: set[str]
 ) -> Iterator[ValidationIssue]:
-    """What is wrong with the tables together."""
+    """Find contradictions between the tables."""
     if waiting is None:
         for function in functions.values():
             if function.queueing:
@@ -122,4 +122,6 @@
                 f"gearman.functions.{function.name}.patience_s", "over waiting.max_patience_s"
             )
     if RESERVED_CLASS in known:
-        yield ValidationIssue("waiting", "a class is named jobs, and its path is that of waiting jobs")
+        yield ValidationIssue(
+            "waiting", f"the class name {RESERVED_CLASS} is reserved: its path is that of deferred jobs"
+        )
--- a/oxbowyard/operator/tables.py
+++ b/oxbowyard/operator/tables.py
@@ -1,4 +1,4 @@
-"""The operator's file as a model: its tables and their keys, with the subsystem that each switches on."""
+"""A model of the operator's file: its tables and their keys. Each table enables a subsystem."""
 
 from __future__ import annotations
 
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -64,7 +64,10 @@
     assert found["settings.policyLimits.maxAttempts"]["text"] == "missing" and done.exit_code == 2
 
 
-@pytest.mark.parametrize(("text", "says"), [("", "is empty"), ('{"listen":', "Expecting"), ("[]", "table")])
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [("", "is empty"), ('{"listen":', "Expecting"), ("[]", "is not a JSON object: found list")],
+)
 def test_a_file_that_is_no_document(tmp_path: Path, text: str, says: str) -> None:
     done = runner.invoke(app, ["check", str(written(tmp_path, text))])
     assert done.exit_code == 2 and says in done.output
