--- a/oxbowyard/__main__.py
+++ b/oxbowyard/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oxbowyard`: runs one scheduler. Exit code 0 after a graceful end, 1 where it could not start."""
+"""`python -m oxbowyard`: runs one scheduler. Exit code 0 after a graceful shutdown, 1 if the start failed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .daemon.loading import ConfigurationLoader, load_all
 from .daemon.program import Program
 
-# The process id tells the two processes of a replacement apart.
+# The process id distinguishes the two processes of a hot restart.
 LOG_FORMAT = "%(asctime)s %(process)d %(levelname)s %(name)s: %(message)s"
 EXIT_FAILED = 1
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
@@ -24,20 +24,26 @@
 async def _run(load: ConfigurationLoader, take_over: bool) -> int:
     program = Program(load, take_over)
     exit_code = await program.run()
-    # The loop takes its handlers back as it closes: a signal that comes then would end the process by itself,
+    # The event loop removes its signal handlers when it closes. A signal after that would kill the process,
     # with another exit code.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     return exit_code
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="oxbowyard", description="One scheduler; LB_CONFIG names its file.")
-    parser.add_argument("--gearman", type=Path, metavar="FILE", help="serve Gearman too, as FILE says")
-    parser.add_argument("--operator", type=Path, metavar="FILE", help="switch on what FILE has a table for")
+    parser = argparse.ArgumentParser(
+        prog="oxbowyard", description="Run one scheduler. LB_CONFIG names the configuration file."
+    )
+    parser.add_argument(
+        "--gearman", type=Path, metavar="FILE", help="also serve Gearman, as configured in FILE"
+    )
+    parser.add_argument(
+        "--operator", type=Path, metavar="FILE", help="enable the subsystems that FILE has tables for"
+    )
     parser.add_argument(
         "--take-over",
         action="store_true",
-        help="open the store of [durable] though another program has it: that one is stopped for good",
+        help="open the store of [durable] even if another process has it: that process can no longer use it",
     )
     return parser
 
@@ -45,12 +51,12 @@
 def _set_up_logging() -> None:
     level = os.environ.get("OXBOWYARD_LOG", "INFO").upper()
     logging.basicConfig(level=level, format=LOG_FORMAT, stream=sys.stderr)
-    # The library logs each malformed request with its traceback; it answers 400, and that is enough.
+    # aiohttp logs each malformed request with a traceback; the answer 400 is enough.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Read the configuration and run until told to stop. Returns the exit code."""
+    """Read the configuration and run until SIGTERM or SIGINT. Return the exit code."""
     options = _parser().parse_args(argv)
     _set_up_logging()
     load = partial(load_all, options.gearman, options.operator)
--- a/oxbowyard/cli/__init__.py
+++ b/oxbowyard/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `oxbowyard` command: sub-commands for people, beside `python -m oxbowyard`, which the platform runs."""
+"""The `oxbowyard` command, with sub-commands for operators. The platform runs `python -m oxbowyard`."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def main() -> None:
-    """The console script. Without the extra `cli` it says what is missing, in one line."""
+    """Run the console script. Without the extra `cli`, print the missing module and exit with code 1."""
     try:
         from .app import app
     except ImportError as error:
-        print(f"oxbowyard: the command needs the extra cli: no {error.name}", file=sys.stderr)
+        print(f"oxbowyard: the command needs the extra cli: module {error.name} not found", file=sys.stderr)
         sys.exit(1)
     app()
--- a/oxbowyard/cli/__main__.py
+++ b/oxbowyard/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oxbowyard.cli`: the command where its script is not on the path."""
+"""`python -m oxbowyard.cli`: the `oxbowyard` command, for use if its script is not on the path."""
 
 from . import main
 
--- a/oxbowyard/cli/app.py
+++ b/oxbowyard/cli/app.py
@@ -1,5 +1,5 @@
-"""The sub-commands. Errors are one line on standard error; exit codes: 0 done, 1 could not run, 2 errors in a
-file or a command used wrongly.
+"""The sub-commands. An error is one line on standard error. Exit codes: 0 success, 1 failure, 2 errors in a
+file or wrong usage.
 
 The docstrings of the commands are what `--help` prints.
 """
@@ -24,7 +24,7 @@
 from .check import check_file
 
 EXIT_FAILED = 1
-EXIT_INVALID = 2  # errors in a file, or a command used wrongly
+EXIT_INVALID = 2  # errors in a file, or wrong usage of a command
 
 app = typer.Typer(
     name="oxbowyard",
@@ -33,21 +33,25 @@
     pretty_exceptions_enable=False,
     help="A scheduler that pushes jobs to a fleet of workers.",
 )
-config_app = typer.Typer(no_args_is_help=True, help="The configuration: what is in force, and its schema.")
+config_app = typer.Typer(no_args_is_help=True, help="Show the effective configuration or its schema.")
 app.add_typer(config_app, name="config")
 
-VALUE_WIDTH = 24  # characters, of the column of values in `config show`
+VALUE_WIDTH = 24  # characters; width of the value column in `config show`
 
 JsonFlag = Annotated[bool, typer.Option("--json", help="Print JSON, for scripts.")]
 
 
 @app.command()
 def run(
-    gearman: Annotated[Path | None, typer.Option(help="Serve Gearman too, as FILE says.")] = None,
-    operator: Annotated[Path | None, typer.Option(help="Switch on what FILE has a table for.")] = None,
-    take_over: Annotated[bool, typer.Option(help="Open the durable store though another has it.")] = False,
+    gearman: Annotated[Path | None, typer.Option(help="Also serve Gearman, as configured in FILE.")] = None,
+    operator: Annotated[
+        Path | None, typer.Option(help="Enable the subsystems that FILE has tables for.")
+    ] = None,
+    take_over: Annotated[
+        bool, typer.Option(help="Open the durable store even if another process has it.")
+    ] = False,
 ) -> None:
-    """Run one scheduler, as `python -m oxbowyard` does; LB_CONFIG names its file."""
+    """Run one scheduler, as `python -m oxbowyard` does. LB_CONFIG names the platform's file."""
     from ..__main__ import main
 
     argv = []
@@ -62,13 +66,13 @@
 
 @app.command()
 def version() -> None:
-    """The program's name and version."""
+    """Print the program's name and version."""
     print(VERSION)
 
 
 @app.command()
 def check(file: Path, json_: JsonFlag = False) -> None:
-    """Hold a file against its model: the platform's JSON, or the operator's TOML. Every fault, by key."""
+    """Validate a file, the platform's JSON or the operator's TOML, and print every fault with its key."""
     issues = check_file(file, os.environ)
     errors = _errors(issues)
     if json_:
@@ -84,18 +88,22 @@
 @app.command()
 def members(
     admin_address: Annotated[
-        str | None, typer.Option("--door", help="HOST:PORT of a scheduler's door.")
+        str | None, typer.Option("--door", help="HOST:PORT of a scheduler's admin API.")
+    ] = None,
+    config: Annotated[
+        Path | None, typer.Option(envvar="LB_CONFIG", help="A configuration file that has the address.")
     ] = None,
-    config: Annotated[Path | None, typer.Option(envvar="LB_CONFIG", help="Or a file that names it.")] = None,
     json_: JsonFlag = False,
 ) -> None:
-    """The group of schedulers as one of them sees it: who, in which state, since when and why."""
+    """Print the group as seen by one scheduler: each member, its state, since when and why."""
     from .members import AdminApiError, fetch_members, format_members
 
     if admin_address is None and config is not None:
         admin_address = _admin_address(config)
-    if not admin_address or admin_address == "None":  # what a script passes on that has no address
-        _fail("no door: give --door, or a configuration that names one as admin", EXIT_INVALID)
+    if not admin_address or admin_address == "None":  # a script without an address may pass None on
+        _fail(
+            "no address of an admin API: pass --door, or a configuration that has the key admin", EXIT_INVALID
+        )
     try:
         view = fetch_members(admin_address)
     except AdminApiError as error:
@@ -105,12 +113,14 @@
 
 @config_app.command("show")
 def show(
-    config: Annotated[Path | None, typer.Option(envvar="LB_CONFIG", help="The platform's file.")] = None,
+    config: Annotated[
+        Path | None, typer.Option(envvar="LB_CONFIG", help="The platform's configuration file.")
+    ] = None,
     json_: JsonFlag = False,
 ) -> None:
-    """What is in force, and where each value came from: the file, the environment, or the default."""
+    """Print the effective values and the source of each: the file, the environment or the default."""
     if config is None:
-        _fail("no file: give --config or set LB_CONFIG", EXIT_INVALID)
+        _fail("no configuration file: pass --config or set LB_CONFIG", EXIT_INVALID)
     errors = _errors(check_file(config, os.environ))
     if errors:
         _fail(f"{config} has {len(errors)} faults; see: oxbowyard check {config}", EXIT_INVALID)
@@ -130,10 +140,10 @@
 @config_app.command("schema")
 def schema(
     operator: Annotated[
-        bool, typer.Option(help="The operator's TOML in place of the platform's JSON.")
+        bool, typer.Option(help="The schema of the operator's TOML, not of the platform's JSON.")
     ] = False,
 ) -> None:
-    """A JSON Schema of the file, for editors."""
+    """Print a JSON Schema of the file, for editors."""
     if operator:
         from ..operator.tables import Tables
 
@@ -147,7 +157,7 @@
 
 
 def _admin_address(config: Path) -> str | None:
-    """The admin API's address in a platform's file and the environment."""
+    """Return the address of the admin API from a platform's file and the environment."""
     try:
         values = effective_values(read_document(config), os.environ)
     except (UnreadableFileError, msgspec.ValidationError) as error:
--- a/oxbowyard/cli/check.py
+++ b/oxbowyard/cli/check.py
@@ -1,4 +1,4 @@
-"""`oxbowyard check`: reads a file of either kind and finds all its issues."""
+"""`oxbowyard check`: validates a platform's or an operator's file and finds all its issues."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def check_file(path: Path, environ: Mapping[str, str]) -> list[ValidationIssue]:
-    """All errors and notes of a file: the operator's by the suffix .toml, the platform's otherwise."""
+    """Find all errors and notes of a file: an operator's file if its suffix is .toml, else a platform's."""
     try:
         document = read_document(path)
     except UnreadableFileError as error:
         return [ValidationIssue("", str(error))]
     if path.suffix != ".toml":
         return check_platform(document, environ)
-    from ..operator.check import check_operator  # needs the libraries of the extra waiting as well
+    from ..operator.check import check_operator  # also needs the dependencies of the extra `waiting`
 
     return check_operator(document)
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -196,8 +196,12 @@
     assert successor.read() is not None
     (tmp_path / "oxbowyard-n1-learned").write_bytes(b"x" * (2 << 20))
     assert successor.read() is None and successor.read() is None
-    rejected = "estimates of the old process rejected: reason=oxbowyard-n1-learned is over 1048576 bytes"
-    assert caplog.text.count(rejected) == 1, "logged once"
+    assert (
+        caplog.text.count(
+            "estimates of the old process rejected: reason=oxbowyard-n1-learned is over 1048576 bytes"
+        )
+        == 1
+    ), "logged once"
 
 
 def test_a_fault_of_ours_in_either_process_does_not_hold_up_the_replacement(
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -69,7 +69,7 @@
         assert "member died: name=m0" not in rest[0].log().rpartition("member returned: name=m0")[2]
         until(lambda: all(m.view()["count"]["reckoned"] == 4 for m in rest), "who left does not count")
         shown = command("--door", f"{DOORS}:{rest[0].door}")
-        assert "reckons with 4 schedulers, 4 live, 0 in doubt" in shown.stdout
+        assert "counts 4 schedulers, 4 live, 0 dead but still counted" in shown.stdout
         table = shown.stdout.partition("\n\n")[2]  # before it there may be more, as of a datagram dropped
         rows = {line.split()[0]: line.split() for line in table.splitlines()}
         assert rows["m2"][1] == "z0" and {"alive", "joining", "0.1"} <= set(rows["m2"])
