--- a/oxbowyard/start/__init__.py
+++ b/oxbowyard/start/__init__.py
@@ -1,2 +1,2 @@
-"""How a scheduler starts: where its first list of workers comes from, how far to trust it, and when it may
-ask the list service."""
+"""The start of a scheduler: the source of its first list of workers, how far to trust that list, and when to
+request a new one from the list service."""
--- a/oxbowyard/start/component.py
+++ b/oxbowyard/start/component.py
@@ -1,8 +1,8 @@
-"""The component of `[start]`: a list to serve from at once, admission to the list service, and a cached list.
+"""The component of `[start]`: serves from a cached list until the list service has answered.
 
-At the start the best cached list is served from. The list service is asked only once this scheduler is
-admitted (`fetch_admission`); meanwhile peers that have the service's list are asked for it. The service's
-first answer ends the start. From then on its list is offered to peers and written to the disk.
+At the start the best cached list is used. The list service is asked only after this scheduler has been
+admitted (`fetch_admission`); until then peers that have the service's list are asked for it. The first answer
+of the service ends the start. From then on its list is offered to peers and written to disk.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 log = logging.getLogger("oxbowyard.start")
 
-LIST_TOPIC = "list"  # what peers are asked for, on the wire
-SETTLED_VIEW_S = 1.0  # without a new peer: then the view is good enough to compute a rank by
-MAX_SETTLE_S = 4.0  # then a rank is computed in any case
+LIST_TOPIC = "list"  # topic of pull requests to peers
+SETTLED_VIEW_S = 1.0  # without a new peer before the member list is complete enough to compute a rank
+MAX_SETTLE_S = 4.0  # after this a rank is computed in any case
 POLL_INTERVAL_S = 0.1
 PEERS_PER_ASK = 2
-ASK_JITTER_FACTORS = (0.5, 1.5)  # times the interval: the schedulers of a group do not ask all at once
+ASK_JITTER_FACTORS = (0.5, 1.5)  # of the interval, so that the schedulers of a group do not ask all at once
 
 
 class StartComponent:
-    """One scheduler's start. To be made on the event loop that runs it."""
+    """The start of one scheduler. Must be created on the event loop that runs it."""
 
     name = "start"
 
@@ -42,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
         self._started_at = self._loop.time()
         self._served = ServedSnapshot(settings, dependencies, self._loop.time)
-        self._confirmed_at: float | None = None  # the service's last answer
+        self._confirmed_at: float | None = None  # time of the service's last answer
         self._has_unwritten_change = False
         self._admitted = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
@@ -50,10 +50,10 @@
     # ---- Lifecycle ----
 
     async def open(self) -> None:
-        """Nothing is opened here: a folder that is missing is noticed with the first write."""
+        """Do nothing: a missing folder is reported by the first write."""
 
     def start(self) -> None:
-        """Serve from the best cached list, and wait for the admission in the background."""
+        """Serve from the best cached list, and wait for admission in the background."""
         self._started_at = self._loop.time()
         self._served.adopt_best()
         if (peers := self._peers) is not None:
@@ -64,11 +64,11 @@
             self._tasks.append(self._loop.create_task(self._write_changes(writer)))
 
     async def hand_over(self) -> None:
-        """Write no more: the process that replaces this one has the same file."""
+        """Stop writing, because the successor process writes the same file."""
         await self._stop()
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop all background tasks."""
         await self._stop()
 
     async def _stop(self) -> None:
@@ -81,11 +81,11 @@
     # ---- Called by the discovery client ----
 
     async def wait_for_admission(self) -> None:
-        """Wait until this scheduler may ask the service for the first time."""
+        """Wait until this scheduler may send its first request to the service."""
         await self._admitted.wait()
 
     def service_answered(self) -> None:
-        """The service sent a list, or said that nothing has changed; the first time ends the start."""
+        """Record that the service sent a list or confirmed the last one. The first answer ends the start."""
         now = self._loop.time()
         if self._confirmed_at is None:
             log.info("list service answered: after_s=%.1f", now - self._started_at)
@@ -101,9 +101,9 @@
         return self._dependencies.peers if self._settings.peers else None
 
     async def _wait_for_rank(self) -> None:
-        """Admit this scheduler by its rank, and ask peers for their list until then."""
+        """Admit this scheduler when its rank is due, and ask peers for their list until then."""
         dependencies, settings = self._dependencies, self._settings
-        if not dependencies.is_shared_service:  # nobody else waits for an agent on this machine
+        if not dependencies.is_shared_service:  # an agent on this machine has no other clients
             self._admitted.set()
             return
         admission = FetchAdmission(
@@ -129,8 +129,8 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _wait_for_settled_view(self, peers: Peers) -> None:
-        """Wait until those that start with this one are known: too early it would take itself for one of the
-        first few."""
+        """Wait until the peers that start at the same time are known. With too few of them this scheduler
+        would compute too low a rank."""
         known, since = 0, self._loop.time()
         while True:
             now = self._loop.time()
@@ -147,7 +147,7 @@
             peers.ask(peers.address(name), LIST_TOPIC, partial(self._receive, name))
 
     def _answer_peer(self) -> bytes | None:
-        """The service's list with its age; never a cached list, whose own age would get lost."""
+        """Return the service's list with its age, but never a cached list, whose age would be lost."""
         if self._confirmed_at is None:
             return None
         listed = self._dependencies.service_list()
@@ -159,7 +159,7 @@
         )
 
     def _receive(self, peer: str, body: bytes) -> None:
-        """Take a peer's list. It is only ever a cached one, and the service's replaces it."""
+        """Handle a peer's list. It is treated as a cached list, which the service's list replaces."""
         if self._confirmed_at is not None:
             return
         try:
@@ -168,24 +168,26 @@
             log.warning("cached list not used: source=peer origin=%s reason=%s", peer, error)
             return
         if self._served.offer(snapshot) and snapshot.age_s <= self._settings.same_service_s:
-            self._admitted.set()  # only what is newer is asked for, which costs the service less
+            self._admitted.set()  # only changes since this list are requested, which cost the service less
 
     def _parse_peer_list(self, peer: str, body: bytes) -> Snapshot:
-        """Raises ValueError; its text says why the list is not used."""
+        """Parse a peer's answer. Raises ValueError with the reason why the list is not used."""
         document = orjson.loads(body)
         if not isinstance(document, dict) or document.get("site") != self._settings.site:
-            raise UnusableSnapshotError("of another site")
+            raise UnusableSnapshotError(f"not a list of site {self._settings.site!r}")
         age_s = document.get("age")
         if not isinstance(age_s, (int, float)) or isinstance(age_s, bool):
-            raise UnusableSnapshotError("of no age")
+            raise UnusableSnapshotError(f"field age: expected a number of seconds, found {age_s!r:.40}")
         snapshot = parse_snapshot(
             Source.PEER, float(age_s), document, self._settings.max_entries, origin=peer
         )
         if snapshot.age_s > self._settings.max_age_s:
-            raise UnusableSnapshotError(f"{snapshot.age_s:.0f} s old")
+            raise UnusableSnapshotError(
+                f"{snapshot.age_s:.0f} s old, the limit is {self._settings.max_age_s:.0f} s"
+            )
         return snapshot
 
-    # ---- The list on the disk ----
+    # ---- The list on disk ----
 
     async def _write_changes(self, writer: SnapshotWriter) -> None:
         while True:
--- a/oxbowyard/start/dependencies.py
+++ b/oxbowyard/start/dependencies.py
@@ -1,4 +1,4 @@
-"""What the start component needs of the program around it."""
+"""The interface that the start component needs from the program."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class Peers(Protocol):
-    """The other schedulers, where they are known."""
+    """The other schedulers of the group."""
 
     def names(self) -> list[str]:
-        """Those that are alive."""
+        """Return the names of the live peers."""
 
     def address(self, name: str) -> str:
-        """Where one of them can be asked."""
+        """Return the address of a peer."""
 
-    def ask(self, address: str, what: str, take: Callable[[bytes], None]) -> None:
-        """Ask it for something; `take` is called with the answer, if one comes."""
+    def ask(self, address: str, topic: str, on_reply: Callable[[bytes], None]) -> None:
+        """Request a document from a peer. `on_reply` is called with the answer, if there is one."""
 
-    def offer(self, what: str, give: Callable[[], bytes | None]) -> None:
-        """Answer such questions from now on with what `give` returns."""
+    def offer(self, topic: str, provide: Callable[[], bytes | None]) -> None:
+        """Answer requests for a topic with the document that `provide` returns; None: no answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceList:
-    """What the list service's list says now, changes included."""
+    """The current list of the list service, with all changes applied."""
 
     revision: int
     targets: list[dict[str, Any]]
@@ -35,14 +35,16 @@
 
 @dataclass(slots=True, frozen=True)
 class StartDependencies:
-    """What the program offers to this component."""
+    """The data and functions that the program provides to the start component."""
 
-    name: str  # this scheduler's
-    configured_count: int  # schedulers, as the settings say
-    is_shared_service: bool  # one list service for all schedulers, not an agent on each machine
+    name: str  # of this scheduler
+    configured_count: int  # number of schedulers in the settings
+    is_shared_service: bool  # one list service for all schedulers; False: an agent on each machine
     random: Random
-    known_endpoints: object  # the list in the configuration, if any
-    adopt: Callable[[Mapping[str, Any], bool, bool], bool]  # a list; all are cold; newer may be asked for
-    service_list: Callable[[], ServiceList | None]  # None: the service has not answered yet
+    known_endpoints: object  # the list in the configuration, or None
+    # Parameters: the list, whether all its workers are cold, whether the service may be asked for changes
+    # since it. Returns whether the list was adopted.
+    adopt: Callable[[Mapping[str, Any], bool, bool], bool]
+    service_list: Callable[[], ServiceList | None]  # returns None until the service has answered
     peers: Peers | None = None
     wall_clock: Callable[[], float] = time.time  # Unix time in seconds
--- a/oxbowyard/start/served_snapshot.py
+++ b/oxbowyard/start/served_snapshot.py
@@ -1,5 +1,5 @@
-"""The cached list that is served from until the list service answers: chosen at the start, and replaced by a
-peer's where that is much younger."""
+"""The cached list that is used until the list service answers. It is chosen at the start, and replaced by a
+peer's list if that is much younger."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 log = logging.getLogger("oxbowyard.start")
 
-NO_FILE = "not there"  # as at every first start: no reason for a warning
+NO_FILE = "file not found"  # normal at the first start of a scheduler, so it is not a warning
 
 
 class ServedSnapshot:
-    """Holds the list that is served from, and hands a better one to the program."""
+    """Holds the cached list in use, and passes each better one to the program."""
 
     def __init__(
         self, settings: StartSettings, dependencies: StartDependencies, clock: Callable[[], float]
     ) -> None:
-        """`clock` is the event loop's, in seconds."""
+        """`clock` is the event loop's clock, in seconds."""
         self._settings = settings
         self._dependencies = dependencies
         self._clock = clock
@@ -39,17 +39,17 @@
         self._adopted_at = 0.0
 
     def adopt_best(self) -> None:
-        """Serve from the best of the lists on the disk and in the configuration, if either is usable."""
+        """Adopt the better of the lists on disk and in the configuration, if either is usable."""
         chosen = choose_best(self._local_snapshots(), self._settings.max_age_s)
         if chosen is not None:
             self._adopt(chosen)
 
     def offer(self, snapshot: Snapshot) -> bool:
-        """Change over to this list if it is worth it; returns whether it was."""
+        """Adopt this list if it is much younger than the current one. Return whether it was adopted."""
         return is_worth_replacing(snapshot, self._aged_current()) and self._adopt(snapshot)
 
     def drop(self) -> None:
-        """The service has answered: its list has replaced the cached one."""
+        """Forget the cached list, which the service's list has replaced."""
         self._current = None
 
     def _local_snapshots(self) -> Iterator[Snapshot]:
--- a/oxbowyard/start/snapshot_writer.py
+++ b/oxbowyard/start/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes the list service's list to the disk, at most once in `keep_every_s` and only after a change."""
+"""Writes the list service's list to disk, at most once in `keep_every_s` and only after a change."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SnapshotWriter:
-    """Writes one file, and logs when that begins to fail and when it works again."""
+    """Writes one file, and logs the first failure and the recovery from it."""
 
     def __init__(self, path: Path, site: str) -> None:
         self._path = path
@@ -21,8 +21,8 @@
         self._is_failing = False
 
     async def write(self, confirmed_at: float, listed: ServiceList) -> None:
-        """Replace the file; `confirmed_at` is the Unix time in seconds of the service's last answer."""
-        try:  # on a thread: a slow disk must not hold the requests up
+        """Replace the file. `confirmed_at` is the Unix time in seconds of the service's last answer."""
+        try:  # in a thread, so that a slow disk does not block the event loop
             await asyncio.to_thread(
                 write_snapshot, self._path, self._site, confirmed_at, listed.revision, listed.targets
             )
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -60,15 +60,19 @@
 
 
 @pytest.mark.parametrize(("document", "why"), [
-    (None, "no list"), ([], "no list"), ({"rev": "1", "targets": []}, "absurd version"),
-    ({"rev": -1, "targets": workers(1)}, "absurd version"), ({"rev": True, "targets": []}, "absurd version"),
-    ({"rev": 1 << 70, "targets": workers(1)}, "absurd version"),
-    ({"rev": 1, "targets": "x"}, "no list of targets"), ({"rev": 1, "targets": [1]}, "no list of targets"),
-    ({"rev": 1, "targets": []}, "empty"), ({"rev": 1, "targets": workers(11)}, "11 entries, over 10"),
-    ({"rev": 1, "targets": workers(2) + workers(1)}, "named twice"),
-    ({"rev": 1, "targets": [{}]}, "not at all"),
+    (None, "expected an object, found NoneType"), ([], "expected an object, found list"),
+    ({"rev": "1", "targets": []}, "field rev: expected an integer from 0 to .*, found '1'"),
+    ({"rev": -1, "targets": workers(1)}, "field rev: expected an integer from 0 to .*, found -1"),
+    ({"rev": True, "targets": []}, "field rev: expected an integer from 0 to .*, found True"),
+    ({"rev": 1 << 70, "targets": workers(1)}, "field rev: expected an integer from 0 to .*, found 11805"),
+    ({"rev": 1, "targets": "x"}, "field targets: expected a list of objects"),
+    ({"rev": 1, "targets": [1]}, "field targets: expected a list of objects"),
+    ({"rev": 1, "targets": []}, "field targets: empty"),
+    ({"rev": 1, "targets": workers(11)}, "field targets: 11 entries, the limit is 10"),
+    ({"rev": 1, "targets": workers(2) + workers(1)}, "field targets: 3 entries have 2 different uid values"),
+    ({"rev": 1, "targets": [{}]}, "field targets: 1 entries have 0 different uid values"),
 ])  # fmt: skip
-def test_what_is_no_list_is_told_in_a_few_words(document: object, why: str) -> None:
+def test_an_invalid_list_is_rejected_with_the_field_and_the_value(document: object, why: str) -> None:
     with pytest.raises(UnusableSnapshotError, match=why):
         parse_snapshot(Source.PEER, 1.0, document, 10)
 
@@ -95,28 +99,31 @@
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
-        with pytest.raises(UnusableSnapshotError, match="damaged"):
+        with pytest.raises(UnusableSnapshotError, match="checksum mismatch"):
             kept(path)
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
-        with pytest.raises(UnusableSnapshotError, match="damaged"):
+        with pytest.raises(UnusableSnapshotError, match="checksum mismatch"):
             kept(path)
 
 
 def test_a_list_that_is_not_to_be_used_says_why(tmp_path: Path) -> None:
     path = tmp_path / "list"
     for told_at, site, count, why in (
-        (900.0, "b", 2, "another site"), (1100.0, "a", 2, "from the future"), (900.0, "a", 0, "empty"),
-        (900.0 - DAY, "a", 2, "86500 s old"), (900.0, "a", 11, "over 10"), (math.nan, "a", 2, "damaged"),
+        (900.0, "b", 2, "list of site 'b', expected site 'a'"),
+        (1100.0, "a", 2, "told_at: 100 s ahead of the clock, the limit is 60 s"),
+        (900.0, "a", 0, "targets: empty"), (900.0 - DAY, "a", 2, "86500 s old, the limit is 86400 s"),
+        (900.0, "a", 11, "11 entries, the limit is 10"),
+        (math.nan, "a", 2, "told_at: expected a Unix time in seconds, found None"),
     ):  # fmt: skip
         write_snapshot(path, site, told_at, 7, workers(count))
         with pytest.raises(UnusableSnapshotError, match=why):
             kept(path)
-    with pytest.raises(UnusableSnapshotError, match="not there"):
+    with pytest.raises(UnusableSnapshotError, match=r"^file not found$"):
         kept(tmp_path / "none")
-    with pytest.raises(UnusableSnapshotError, match="can't be read"):
+    with pytest.raises(UnusableSnapshotError, match=f"{tmp_path.name} cannot be read: Is a directory"):
         kept(tmp_path)
     path.write_bytes(b"x" * (1 << 17))
-    with pytest.raises(UnusableSnapshotError, match="over 65536 bytes"):
+    with pytest.raises(UnusableSnapshotError, match="list is over 65536 bytes"):
         kept(path)
 
 
@@ -234,7 +241,10 @@
         until(lambda: ready(members[:5]), "those with a list of their site serve")
         said = r"serving a cached list: source=disk origin=list age_s=3\d\d workers=9 all_cold=yes"
         assert re.search(said, members[0].log()), members[0].log()
-        until(lambda: "of another site" in members[5].log(), "the one with another site's list says so")
+        until(
+            lambda: "list of site 'other', expected site 'default'" in members[5].log(),
+            "the one with another site's list says so",
+        )
         answered = until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
         assert answered == 503, "it has no list to serve from"
         service.service.down = False
@@ -312,11 +322,15 @@
 
 
 @pytest.mark.parametrize(("offer", "why"), [
-    (b"\xff", "reason="), (b"[]", "another site"), (body(5, 1.0, site="x"), "another site"),
-    (body(5, None), "no age"), (body(5, True), "no age"), (body(5, -3.0), "absurd age"),
+    (b"\xff", "reason="), (b"[]", "not a list of site 'default'"),
+    (body(5, 1.0, site="x"), "not a list of site 'default'"),
+    (body(5, None), "field age: expected a number of seconds, found None"),
+    (body(5, True), "field age: expected a number of seconds, found True"),
+    (body(5, -3.0), "expected an age of 0 s or more, found -3.0 s"),
     (body(5, math.nan), "reason="),
-    (body(5, 1e9), "s old"), (body(-5, 1.0), "absurd version"), (body(5, 1.0, 0), "empty"),
-    (body(5, 1.0, 99), "over 50"),
+    (body(5, 1e9), "1000000000 s old, the limit is 86400 s"),
+    (body(-5, 1.0), "field rev: expected an integer from 0 to 4611686018427387903, found -5"),
+    (body(5, 1.0, 0), "field targets: empty"), (body(5, 1.0, 99), "99 entries, the limit is 50"),
 ])  # fmt: skip
 def test_a_peers_list_that_is_absurd_is_named_and_not_used(
     offer: bytes, why: str, caplog: pytest.LogCaptureFixture
