--- a/oxbowyard/daemon/descriptors.py
+++ b/oxbowyard/daemon/descriptors.py
@@ -26,8 +26,8 @@
 MIN_TAILS = 4
 MAX_TAILS = 64
 
-# The rest is divided between clients and requests. An open request takes two descriptors: its client's
-# connection and the connection of its attempt. The descriptors that remain are for idle clients.
+# The rest is divided between clients and requests. About a third of all descriptors are for clients with an
+# open request, and as many for the connections of their attempts; the others are for idle clients.
 REQUESTS_SHARE = 0.41
 MIN_REST = 5
 
--- a/oxbowyard/daemon/reload.py
+++ b/oxbowyard/daemon/reload.py
@@ -29,9 +29,7 @@
         self._context = context
         self._load = load
         self._discovery = context.config.discovery  # current address
-        self.settings = (
-            context.config.settings
-        )  # current settings; a reload changes the classes and max_attempts
+        self.settings = context.config.settings  # current; a reload changes the classes and max_attempts
         self._settling: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
@@ -78,9 +76,7 @@
         """Apply new classes and max_attempts: the stricter of old and new values until all clients use the
         new ones. Return the names of the settings that need a restart."""
         needing_restart = restart_only_changes(self.settings, settings)
-        if (
-            self._context.subsystems.job_queue is not None
-        ):  # with deferred jobs the classes are fixed at the start
+        if self._context.subsystems.job_queue is not None:  # with deferred jobs the classes are fixed
             return (*needing_restart, *self._changed_live_settings(settings))
         step = plan_settings_update(self.settings, settings)
         self._cancel_settling()
