--- a/oxbowyard/configuration/files.py
+++ b/oxbowyard/configuration/files.py
@@ -4,9 +4,7 @@
 
 from pathlib import Path
 
-MAX_FILE_BYTES = (
-    1 << 20
-)  # a configuration has a few thousand bytes; this keeps out logs and other large files
+MAX_FILE_BYTES = 1 << 20  # a configuration has a few thousand bytes; this excludes logs and devices
 
 
 class UnreadableFileError(ValueError):
--- a/oxbowyard/handover/protocol.py
+++ b/oxbowyard/handover/protocol.py
@@ -107,9 +107,7 @@
         files = self.files
         successor = self.successor
         if successor is None and files.read_pid(files.serving, ignore_stale=False) == files.pid:
-            self.state = (
-                HandoverState.SERVING
-            )  # it exited before it took over: no other process serves the clients
+            self.state = HandoverState.SERVING  # the successor exited before it took over the clients
             return Action.RESUME
         if successor is not None and in_flight == 0 and self.state is HandoverState.HANDING_OVER:
             self.state = HandoverState.HANDED_OVER
