--- a/oxbowyard/cli/check.py
+++ b/oxbowyard/cli/check.py
@@ -1,4 +1,4 @@
-"""`oxbowyard check`: reads a file of either kind and finds all its issues."""
+"""`oxbowyard check`: validates a platform's or an operator's file and finds all its issues."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from pathlib import Path
 
 from ..configuration.check import check_platform, read_document
-from ..configuration.files import UnreadableFile
+from ..configuration.files import UnreadableFileError
 from ..configuration.validation_errors import ValidationIssue
 
 
 def check_file(path: Path, environ: Mapping[str, str]) -> list[ValidationIssue]:
-    """All errors and notes of a file: the operator's by the suffix .toml, the platform's otherwise."""
+    """Find all errors and notes of a file: an operator's file if its suffix is .toml, else a platform's."""
     try:
         document = read_document(path)
-    except UnreadableFile as error:
+    except UnreadableFileError as error:
         return [ValidationIssue("", str(error))]
     if path.suffix != ".toml":
         return check_platform(document, environ)
-    from ..operator.check import check_operator  # needs the libraries of the extra waiting as well
+    from ..operator.check import check_operator  # also needs the dependencies of the extra `waiting`
 
     return check_operator(document)
