--- a/oxbowyard/membership/probing.py
+++ b/oxbowyard/membership/probing.py
@@ -131,7 +131,7 @@
         """Send a ping whose answer is not waited for, with what there is to disseminate."""
         self._send_ping(member, self._state.next_sequence_number())
 
-    def ping_with(self, record: MemberRecord, address: str, by_stream: bool = False) -> None:
+    def ping_with_record(self, record: MemberRecord, address: str, by_stream: bool = False) -> None:
         """Send a ping that carries just this record about its target, so that the target may refute it."""
         state = self._state
         ping = Ping(state.header(), state.next_sequence_number(), record.name, [record])
@@ -143,8 +143,8 @@
         Some of all members that hear of the suspicion do this, so its refutation comes back with an answer
         however many datagrams are lost.
         """
-        if self._state.settings.stream_probe_enabled and self._state.volunteers():
-            self.ping_with(record, record.address, by_stream=True)
+        if self._state.settings.stream_probe_enabled and self._state.should_volunteer():
+            self.ping_with_record(record, record.address, by_stream=True)
 
     def _send_ping(self, member: Member, sequence_number: int) -> None:
         """Send a ping with the suspicion of its target, which may refute it, and with some other suspicions.
--- a/oxbowyard/membership/push_pull.py
+++ b/oxbowyard/membership/push_pull.py
@@ -60,7 +60,7 @@
         receive it.
         """
         state = self._state
-        if state.volunteers():
+        if state.should_volunteer():
             delay_s = state.random.uniform(*JOIN_JITTER) * state.settings.reconnect_interval_s
             self._next_sync_at = min(self._next_sync_at, state.now + delay_s)
 
@@ -94,7 +94,7 @@
             return
         interval_s = state.settings.reconnect_interval_s
         self._next_reconnect_at = state.now + state.random.uniform(*INTERVAL_JITTER) * interval_s
-        if not state.volunteers():
+        if not state.should_volunteer():
             return
         live = {member.record.address for member in state.members.live()}
         lost = [member.record.address for member in state.members if member.state is MemberState.DEAD]
--- a/oxbowyard/membership/records.py
+++ b/oxbowyard/membership/records.py
@@ -74,7 +74,7 @@
                 self._correct_stale_suspicion(record, member)
             case MergeResult.CONFLICT if member is not None:
                 self._report_once(MemberEventKind.CONFLICT, record)
-                self._probing.ping_with(record, member.record.address)  # it reports the conflict too
+                self._probing.ping_with_record(record, member.record.address)  # it reports the conflict too
             case MergeResult.FULL:
                 self._report_once(MemberEventKind.REJECTED, record)
 
--- a/oxbowyard/membership/state.py
+++ b/oxbowyard/membership/state.py
@@ -56,7 +56,7 @@
         """How often a record or an entry is sent on in a group of the size known now."""
         return self.settings.retransmit_limit(self.live_count())
 
-    def volunteers(self) -> bool:
+    def should_volunteer(self) -> bool:
         """Draw whether this member does a task that `volunteer_count` of all members should do."""
         return self.random.random() * self.live_count() < self.settings.volunteer_count
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,7 +35,7 @@
 from oxbowyard.membership.protocol import MembershipProtocol
 from oxbowyard.membership.settings import ProtocolSettings
 
-SETTLE = 20.0  # seconds in which a group of eight has met
+CONVERGENCE_S = 20.0  # seconds in which a group of eight has met
 HEADER = Header(PROTOCOL_VERSION, "oxbowyard", "m1", 7, "10.0.0.1:1")
 
 
@@ -51,7 +51,7 @@
     return MemberRecord(**values)  # type: ignore[arg-type]
 
 
-def met(group: VirtualGroup) -> bool:
+def is_converged(group: VirtualGroup) -> bool:
     """Everybody that runs knows just those that run."""
     names = set(group.nodes)
     return all(
@@ -60,14 +60,14 @@
     )
 
 
-def settled(size: int = 8, seed: int = 1) -> VirtualGroup:
+def converged_group(size: int = 8, seed: int = 1) -> VirtualGroup:
     group = VirtualGroup(size, seed)
-    group.run(SETTLE)
-    assert met(group)
+    group.run(CONVERGENCE_S)
+    assert is_converged(group)
     return group
 
 
-def deaths(group: VirtualGroup) -> set[str]:
+def names_declared_dead(group: VirtualGroup) -> set[str]:
     return {n.name for _, _, n in group.events(MemberEventKind.DIED)}
 
 
@@ -75,19 +75,19 @@
 
 
 @pytest.mark.parametrize("first", range(0, 60, 12))
-def test_whoever_is_reached_both_ways_never_dies_and_all_meet_again(first: int) -> None:
+def test_random_faults_kill_no_reachable_member_and_the_group_reconverges(first: int) -> None:
     """Kills, restarts, pauses, one-sided cuts, loss and doubling by chance; a failure names its seed."""
     for seed in range(first, first + 12):
-        group, random = settled(8, seed), Random(seed)
+        group, random = converged_group(8, seed), Random(seed)
         incarnations: dict[tuple[str, str, int], int] = {}
-        troubled: set[str] = set()
+        faulted: set[str] = set()
         group.reads_first = random.random() < 0.5
 
         def check(
-            node: Node, event: NotifyMemberEvent, seed: int = seed, troubled: set[str] = troubled
+            node: Node, event: NotifyMemberEvent, seed: int = seed, faulted: set[str] = faulted
         ) -> None:
             if event.kind is MemberEventKind.DIED:
-                assert event.name in troubled, f"seed {seed}: {event.name} was thought dead at {node.name}"
+                assert event.name in faulted, f"seed {seed}: {event.name} was thought dead at {node.name}"
 
         group.watch = check
         for _ in range(4):
@@ -97,13 +97,13 @@
                 other = random.choice(sorted(set(group.nodes) - {name}))
                 group.cut(name, other, both=False)
             elif kind == "stop":
-                troubled.add(name)
+                faulted.add(name)
                 group.stop(name, random.choice((0.5, 5.0, 12.0)))
             elif len(group.nodes) > 4:
-                troubled.add(name)
-                gone = group.kill(name)
+                faulted.add(name)
+                killed = group.kill(name)
                 if kind == "restart":
-                    me = gone.protocol.me
+                    me = killed.protocol.me
                     group.run(group.now + random.uniform(0.1, 0.9))
                     group.add(name, me.address, me.zone, ("10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1"))
             group.run(group.now + random.uniform(1, 15))
@@ -115,7 +115,7 @@
         group.link.loss = group.link.doubled = 0.0
         group.cuts.clear()
         group.run(group.now + 90)
-        assert met(group), f"seed {seed}: not met 90 s after the last fault"
+        assert is_converged(group), f"seed {seed}: not met 90 s after the last fault"
 
 
 # ---- Pauses ----
@@ -123,18 +123,18 @@
 
 @pytest.mark.parametrize("reads_first", [True, False])
 @pytest.mark.parametrize(("seconds", "dies"), [(0.5, False), (5.0, None), (60.0, True)])
-def test_a_stopped_member_refutes_and_thinks_nobody_dead(
+def test_paused_member_refutes_its_death_and_declares_no_other_member_dead(
     seconds: float, dies: bool | None, reads_first: bool
 ) -> None:
     """Half a second is a loop held up as well; it may read its sockets before its timers, or after."""
-    group = settled()
+    group = converged_group()
     group.reads_first = reads_first
     group.stop("m3", seconds)
-    group.run(SETTLE + seconds - 0.1)
+    group.run(CONVERGENCE_S + seconds - 0.1)
     if dies is not None:
-        assert (deaths(group) == {"m3"}) is dies
-    group.run(SETTLE + seconds + 40)
-    assert met(group) and deaths(group) <= {"m3"}
+        assert (names_declared_dead(group) == {"m3"}) is dies
+    group.run(CONVERGENCE_S + seconds + 40)
+    assert is_converged(group) and names_declared_dead(group) <= {"m3"}
     node = group.nodes["m3"]
     assert not [n for _, n in node.events if n.kind is MemberEventKind.DIED]
     assert any(n.kind is MemberEventKind.STALLED for _, n in node.events)
@@ -145,33 +145,33 @@
 # ---- Cuts ----
 
 
-def test_a_cut_in_one_direction_between_two_kills_nobody() -> None:
-    group = settled()
+def test_one_way_partition_between_two_members_causes_no_death() -> None:
+    group = converged_group()
     group.cut("m1", "m2", both=False)
-    group.run(SETTLE + 120)
-    assert not deaths(group) and met(group)
+    group.run(CONVERGENCE_S + 120)
+    assert not names_declared_dead(group) and is_converged(group)
 
 
-def test_zones_that_were_cut_off_meet_again_after_longer_than_the_dead_are_kept() -> None:
+def test_partitioned_zones_reconnect_after_dead_members_were_forgotten() -> None:
     group = VirtualGroup(9, 3, ProtocolSettings(dead_retention_s=30.0))
-    group.run(SETTLE)
+    group.run(CONVERGENCE_S)
     zones = {n.name: n.protocol.me.zone for n in group.nodes.values()}
     for one in zones:
         for other in zones:
             if one != other and (zones[one] == "z0") != (zones[other] == "z0"):
                 group.cut(one, other)
-    group.run(SETTLE + 200)
+    group.run(CONVERGENCE_S + 200)
     assert group.nodes["m0"].protocol.live_count() == 3 and group.nodes["m1"].protocol.live_count() == 6
     group.cuts.clear()
-    group.run(SETTLE + 400)
-    assert met(group)
+    group.run(CONVERGENCE_S + 400)
+    assert is_converged(group)
 
 
 # ---- Coming and going ----
 
 
-def test_a_killed_member_is_known_to_be_dead_soon() -> None:
-    group = settled(32, 5)
+def test_killed_member_is_declared_dead_by_all_within_six_seconds() -> None:
+    group = converged_group(32, 5)
     group.kill("m7")
     at = group.now
     group.run(at + 10)
@@ -181,80 +181,80 @@
     )
 
 
-def test_a_leave_is_no_death_and_one_that_nobody_heard_is() -> None:
-    group = settled()
+def test_leave_is_not_a_death_unless_no_member_receives_it() -> None:
+    group = converged_group()
     group.leave("m4")
-    group.run(SETTLE + 20)
-    assert met(group) and not deaths(group)
+    group.run(CONVERGENCE_S + 20)
+    assert is_converged(group) and not names_declared_dead(group)
     assert {n.name for _, _, n in group.events(MemberEventKind.LEFT)} == {"m4"}
     for other in list(group.nodes):
         group.cut("m5", other)
     group.leave("m5")
-    group.run(SETTLE + 60)
-    assert met(group) and deaths(group) == {"m5"}
+    group.run(CONVERGENCE_S + 60)
+    assert is_converged(group) and names_declared_dead(group) == {"m5"}
 
 
-def test_a_restart_under_the_same_name_within_a_second() -> None:
-    group = settled()
+def test_restart_within_a_second_replaces_the_previous_run() -> None:
+    group = converged_group()
     old = group.kill("m2")
-    group.run(SETTLE + 0.8)
+    group.run(CONVERGENCE_S + 0.8)
     group.add("m2", old.protocol.me.address, "z2", ("10.0.0.0:1",))
-    group.run(SETTLE + 30)
-    assert met(group)
+    group.run(CONVERGENCE_S + 30)
+    assert is_converged(group)
     runs = {n.protocol.members.by_name["m2"].record.run_id for n in group.nodes.values() if n.name != "m2"}
     assert runs == {group.nodes["m2"].protocol.me.run_id}
 
 
-def test_two_processes_with_one_name_both_say_so_and_the_first_stays() -> None:
-    group = settled()
+def test_name_conflict_is_reported_by_both_processes_and_the_first_remains() -> None:
+    group = converged_group()
     first = group.nodes["m2"]
     second = group.add("m2", "10.9.9.9:1", "z2", ("10.0.0.0:1",))
     group.nodes["m2"], group.nodes["other"] = first, second
-    group.run(SETTLE + 60)
+    group.run(CONVERGENCE_S + 60)
     assert any(n.kind is MemberEventKind.CONFLICT for _, n in first.events)
     assert any(n.kind is MemberEventKind.CONFLICT for _, n in second.events)
     assert group.nodes["m5"].protocol.members.by_name["m2"].record.run_id == first.protocol.me.run_id
 
 
-def test_an_address_that_another_member_has_now_does_not_keep_the_old_one_alive() -> None:
-    group = settled()
+def test_reused_address_does_not_keep_the_previous_member_alive() -> None:
+    group = converged_group()
     old = group.kill("m6")
     group.add("new", old.protocol.me.address, "z0", ("10.0.0.0:1",))
-    group.run(SETTLE + 40)
-    assert met(group) and deaths(group) == {"m6"}
+    group.run(CONVERGENCE_S + 40)
+    assert is_converged(group) and names_declared_dead(group) == {"m6"}
 
 
-def test_nine_in_ten_gone_at_once() -> None:
-    group = settled(40, 2)
+def test_group_converges_after_nine_in_ten_members_die_at_once() -> None:
+    group = converged_group(40, 2)
     for name in [f"m{i}" for i in range(4, 40)]:
         group.kill(name)
-    group.run(SETTLE + 240)
-    assert met(group)
+    group.run(CONVERGENCE_S + 240)
+    assert is_converged(group)
 
 
-def test_seeds_that_are_all_down_for_a_minute() -> None:
+def test_member_joins_when_a_seed_starts_a_minute_late() -> None:
     group = VirtualGroup(0, 1)
     group.add("a", "a:1", "z", ("s:1", "t:1"))
     group.run(60)
     assert group.nodes["a"].protocol.live_count() == 1
     group.add("s", "s:1", "z", ("s:1", "t:1"))
     group.run(70)
-    assert met(group)
+    assert is_converged(group)
 
 
-def test_a_member_more_than_the_limit_is_said_and_not_taken() -> None:
+def test_members_over_the_limit_are_rejected_and_reported_once() -> None:
     group = VirtualGroup(5, 1, ProtocolSettings(max_members=3))
-    group.run(SETTLE)
+    group.run(CONVERGENCE_S)
     assert all(len(n.protocol.members.by_name) <= 3 for n in group.nodes.values())
     said = Counter((node, n.name) for _, node, n in group.events(MemberEventKind.REJECTED))
     assert said and max(said.values()) == 1, "once at each, not with every message"
 
 
-def test_other_facts_reach_everybody() -> None:
-    group = settled()
+def test_changed_facts_reach_every_member() -> None:
+    group = converged_group()
     node = group.nodes["m1"]
     group.hand(node, FactsChanged({"open_jobs": 7.0}))
-    group.run(SETTLE + 10)
+    group.run(CONVERGENCE_S + 10)
     views = [n.protocol.members.by_name["m1"].record.facts for n in group.nodes.values() if n.name != "m1"]
     assert views == [{"open_jobs": 7.0}] * 7
 
@@ -262,39 +262,39 @@
 # ---- One step at a time ----
 
 
-def started() -> MembershipProtocol:
+def started_protocol() -> MembershipProtocol:
     """A member that has just begun."""
     protocol = MembershipProtocol("me", 1, "me:1", "z", ProtocolSettings(), Random(1))
     protocol.handle(0.0, Started())
     return protocol
 
 
-def received(message: Message) -> Event:
+def received_event(message: Message) -> Event:
     return MessageReceived(message, "x:1")
 
 
-def test_the_live_count_holds_the_suspected() -> None:
+def test_live_count_includes_suspects() -> None:
     """Cold workers' budgets go by it: half the group suspected must not double what each sends."""
-    protocol = started()
+    protocol = started_protocol()
     suspect, dead = MemberState.SUSPECT, MemberState.DEAD
     records = [record("a"), record("b"), record("c", state=suspect)]
-    protocol.handle(0.1, received(PushPull(HEADER, False, records)))
-    protocol.handle(0.2, received(PushPull(HEADER, False, [record("a", state=suspect)])))
+    protocol.handle(0.1, received_event(PushPull(HEADER, False, records)))
+    protocol.handle(0.2, received_event(PushPull(HEADER, False, [record("a", state=suspect)])))
     assert protocol.live_count() == 4
-    protocol.handle(0.3, received(PushPull(HEADER, False, [record("a", state=dead)])))
+    protocol.handle(0.3, received_event(PushPull(HEADER, False, [record("a", state=dead)])))
     assert protocol.live_count() == 3
     assert protocol.members.live_count == sum(m.is_live for m in protocol.members)
 
 
-def test_a_ping_for_another_is_not_answered() -> None:
-    protocol = started()
-    assert protocol.handle(0.1, received(Ping(HEADER, 5, "who lived here", []))) == []
-    (answer,) = protocol.handle(0.2, received(Ping(HEADER, 6, "me", [])))
+def test_ping_for_another_member_is_not_answered() -> None:
+    protocol = started_protocol()
+    assert protocol.handle(0.1, received_event(Ping(HEADER, 5, "who lived here", []))) == []
+    (answer,) = protocol.handle(0.2, received_event(Ping(HEADER, 6, "me", [])))
     assert isinstance(answer, SendMessage) and isinstance(answer.message, Ack)
     assert answer.message.sequence_number == 6
 
 
-def test_which_record_holds() -> None:
+def test_merge_applies_only_records_that_take_precedence() -> None:
     members = MemberList(4)
     suspect, dead = MemberState.SUSPECT, MemberState.DEAD
     assert members.merge(record(state=dead), 1, "") is MergeResult.STALE  # never known
@@ -312,21 +312,21 @@
     assert members.by_name["a"].record.run_id == 2
 
 
-def test_messages_stay_within_a_datagram_whatever_there_is_to_tell() -> None:
-    protocol = started()
+def test_messages_fit_into_a_datagram_however_many_records_are_queued() -> None:
+    protocol = started_protocol()
     facts = {f"fact{j}": 1e9 for j in range(8)}
     many = [record(f"member-with-a-long-name-{i}", facts=facts) for i in range(60)]
-    protocol.handle(0.1, received(PushPull(HEADER, False, many)))
+    protocol.handle(0.1, received_event(PushPull(HEADER, False, many)))
     instructions = [i for t in range(1, 200) for i in protocol.handle(t * 0.1, TimerFired())]
     sent = [i for i in instructions if isinstance(i, SendMessage) and not i.by_stream]
     assert sent and max(len(encode(i.message)) for i in sent) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_flood_of_ping_requests_is_bounded() -> None:
-    protocol = started()
+def test_relayed_probes_are_bounded_under_a_flood_of_ping_requests() -> None:
+    protocol = started_protocol()
     out: list[Instruction] = []
     for number in range(5000):
-        out += protocol.handle(0.01, received(PingRequest(HEADER, number, "a", "a:1", [])))
+        out += protocol.handle(0.01, received_event(PingRequest(HEADER, number, "a", "a:1", [])))
     assert len(out) <= 100
     protocol.handle(30.0, TimerFired())
     protocol.handle(60.0, TimerFired())
@@ -337,12 +337,12 @@
 
 
 @given(st.binary(max_size=400))
-def test_bytes_that_are_no_message_are_told_as_such(data: bytes) -> None:
+def test_decoding_bytes_that_are_no_message_raises_malformed_message_error(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         decode(b"\xc1" + data, "oxbowyard", 64)
 
 
-def test_messages_come_back_and_bad_ones_do_not() -> None:
+def test_decode_returns_the_encoded_message_and_rejects_invalid_ones() -> None:
     message = Ping(HEADER, 5, "a", [record(facts={"x": 1.0})])
     data = encode(message)
     assert decode(data, "oxbowyard", 64) == message
@@ -360,7 +360,7 @@
             decode(bad, group, 64)
 
 
-def test_versions_before_and_after_are_understood() -> None:
+def test_messages_of_older_and_newer_versions_are_decoded() -> None:
     newer = msgspec.msgpack.decode(encode(Ack(HEADER, 5, "a", [record()])))
     newer.append("a field of later")
     newer[1].append("and one of the head's")
@@ -369,45 +369,45 @@
     assert decode(msgspec.msgpack.encode(older), "oxbowyard", 64) == Ack(HEADER, 5, "a", [])
 
 
-def test_a_member_that_flaps_is_the_only_one_to_suffer() -> None:
+def test_flapping_member_causes_no_other_death_and_rejoins_once_stable() -> None:
     """Killed and back every few seconds: the others stay, and it is a member again once it stays."""
-    group = settled(8, 3)
+    group = converged_group(8, 3)
     for turn in range(12):
         node = group.kill("m3")
         group.run(group.now + 1.5 + turn % 3)
         group.add("m3", node.protocol.me.address, "z0", ("10.0.0.0:1", "10.0.0.1:1"))
         group.run(group.now + 1.0 + turn % 2)
     group.run(group.now + 20.0)
-    assert met(group) and deaths(group) <= {"m3"}
+    assert is_converged(group) and names_declared_dead(group) <= {"m3"}
 
 
-def test_one_living_seed_of_many_is_enough() -> None:
-    group = settled(5, 4)
+def test_member_joins_with_only_one_live_seed() -> None:
+    group = converged_group(5, 4)
     dead = tuple(f"10.9.9.{i}:1" for i in range(6))
     group.add("late", "10.0.7.7:1", "z1", (*dead, "10.0.0.2:1"))
     group.run(group.now + 5.0)
-    assert met(group)
+    assert is_converged(group)
 
 
-def test_many_that_begin_at_once_know_each_other_soon() -> None:
+def test_forty_members_that_start_together_converge_within_twelve_seconds() -> None:
     for seed in range(3):
         group = VirtualGroup(40, seed)
         group.run(12.0)
-        assert met(group), f"seed {seed}"
+        assert is_converged(group), f"seed {seed}"
 
 
-def test_the_question_by_stream_saves_a_member_whose_datagrams_are_all_lost() -> None:
-    group = settled(8, 5)
+def test_stream_probes_prevent_most_false_deaths_under_datagram_loss() -> None:
+    group = converged_group(8, 5)
     group.link.loss = 0.5
     group.run(group.now + 60.0)
     without = VirtualGroup(8, 5, ProtocolSettings(volunteer_count=0.0, stream_probe_enabled=False))
-    without.run(SETTLE)
+    without.run(CONVERGENCE_S)
     without.link.loss = 0.5
     without.run(without.now + 60.0)
     assert len(list(group.events(MemberEventKind.DIED))) * 5 < len(list(without.events(MemberEventKind.DIED)))
 
 
-def test_nothing_goes_by_the_wall_clock() -> None:
+def test_membership_and_peers_do_not_read_the_wall_clock() -> None:
     root = Path(__file__).parent.parent / "oxbowyard"
     for package in ("membership", "peers"):
         for path in (root / package).glob("*.py"):
--- a/tests/test_membership_histories.py
+++ b/tests/test_membership_histories.py
@@ -130,11 +130,11 @@
 
 
 @pytest.mark.parametrize("name", list(HISTORIES))
-def test_a_history_is_the_same_as_before_the_renaming(name: str) -> None:
+def test_history_matches_its_recorded_digest(name: str) -> None:
     assert play(*HISTORIES[name]) == json.loads(FIXTURE.read_text())[name]
 
 
-def test_the_recorded_histories_hold_each_kind_of_event() -> None:
+def test_recorded_histories_cover_each_kind_of_event() -> None:
     recorded = json.loads(FIXTURE.read_text())
     assert recorded.keys() == HISTORIES.keys()
     assert all(any(history["events"][code] for history in recorded.values()) for code in EVENT_CODES.values())
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("name", list(MESSAGES))
-def test_a_message_is_sent_and_read_as_before_the_renaming(name: str) -> None:
+def test_message_is_encoded_and_decoded_as_recorded(name: str) -> None:
     message = MESSAGES[name]
     assert encode(message).hex() == RECORDED[name]
     assert decode(bytes.fromhex(RECORDED[name]), message.header.group, 64) == message
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -39,7 +39,7 @@
     loop.close()
 
 
-def started(made: Fleet, size: int, zones: int = 1) -> list[Member]:
+def start_members(made: Fleet, size: int, zones: int = 1) -> list[Member]:
     members = made.add(size, zones)
     for member in members:
         member.start()
@@ -47,7 +47,7 @@
     return members
 
 
-def all_see(members: list[Member], state: str, name: str) -> bool:
+def all_see_state(members: list[Member], state: str, name: str) -> bool:
     return all(name in m.sees(state) for m in members if m.name != name)
 
 
@@ -55,17 +55,17 @@
     return "\n".join(f"--- {m.name}\n{m.log()}" for m in made)
 
 
-def test_a_death_a_return_and_a_leave_are_seen_by_all(tmp_path: Path) -> None:
+def test_all_members_see_a_death_a_return_and_a_leave(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        first, *rest = started(made, 5, zones=2)
+        first, *rest = start_members(made, 5, zones=2)
         first.kill()
-        until(lambda: all_see(rest, "dead", "m0"), "the death is known")
+        until(lambda: all_see_state(rest, "dead", "m0"), "the death is known")
         assert rest[0].view()["count"] == {"reckoned": 5, "live": 4, "in_doubt": 1, "configured": 1}
         first.start()
         until(made.met, "it is back under its name")
         assert rest[0].view()["count"]["in_doubt"] == 0
         assert first.leave() == 0
-        until(lambda: all_see(rest, "left", "m0"), "the leave is known")
+        until(lambda: all_see_state(rest, "left", "m0"), "the leave is known")
         assert "member died: name=m0" not in rest[0].log().rpartition("member returned: name=m0")[2]
         until(lambda: all(m.view()["count"]["reckoned"] == 4 for m in rest), "who left does not count")
         shown = command("--door", f"{DOORS}:{rest[0].door}")
@@ -81,20 +81,20 @@
         assert command("--door", "here").returncode == 1
 
 
-def test_one_that_was_stopped_says_so_refutes_and_thinks_nobody_dead(tmp_path: Path) -> None:
+def test_stopped_member_logs_its_stall_refutes_its_death_and_declares_nobody_dead(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        stopped, *rest = started(made, 5)
+        stopped, *rest = start_members(made, 5)
         stopped.stop()
-        until(lambda: all_see(rest, "dead", "m0"), "it is taken for dead")
+        until(lambda: all_see_state(rest, "dead", "m0"), "it is taken for dead")
         stopped.go_on()
         until(made.met, "it is back")
         assert "member refuted: name=m0" in stopped.log() and "member stalled: name=m0" in stopped.log()
         assert "died" not in stopped.log(), logs(made)
 
 
-def test_one_that_gets_a_tenth_of_its_time_thinks_nobody_dead(tmp_path: Path) -> None:
+def test_member_with_a_tenth_of_its_cpu_time_declares_nobody_dead(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        slow, *rest = started(made, 5)
+        slow, *rest = start_members(made, 5)
         end = time.monotonic() + 6.0
         while time.monotonic() < end:
             slow.stop()
@@ -106,9 +106,9 @@
         assert all(f"member died: name=m{i}" not in m.log() for m in rest for i in range(1, 5)), logs(made)
 
 
-def test_with_a_third_lost_doubled_and_out_of_order_nobody_dies(tmp_path: Path) -> None:
+def test_datagram_loss_duplication_and_reordering_cause_no_death(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        members = started(made, 6)
+        members = start_members(made, 6)
         made.relay.set(loss=0.3, doubled=0.3, least=0.0, most=0.08)
         time.sleep(8.0)
         assert made.relay.relay.counts["lost"] > 100, "the relay does what it is told"
@@ -117,23 +117,23 @@
         assert not any("died" in m.log() for m in members), logs(made)
 
 
-def test_a_cut_in_one_direction_kills_nobody_whom_others_reach(tmp_path: Path) -> None:
+def test_one_way_partition_kills_only_a_member_that_nobody_hears(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        members = started(made, 5)
+        members = start_members(made, 5)
         made.relay.set("m0", "m1", cut=True)
         made.relay.set("m2", "m3", cut=True)
         time.sleep(6.0)
         assert made.met() and not any("died" in m.log() for m in members), logs(made)
         made.relay.heal()
         made.relay.set("m4", "*", cut=True)  # all hear nothing of it, and it hears all
-        until(lambda: all_see(members[:4], "dead", "m4"), "one that nobody hears is taken for dead")
+        until(lambda: all_see_state(members[:4], "dead", "m4"), "one that nobody hears is taken for dead")
         made.relay.heal()
         until(made.met, "it is back")
 
 
-def test_a_cut_between_zones_keeps_the_count_and_heals(tmp_path: Path) -> None:
+def test_partition_between_zones_keeps_the_cluster_size_and_heals(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE, doubt_s=3.0, forget_s=1.0) as made:
-        members = started(made, 6, zones=2)
+        members = start_members(made, 6, zones=2)
         sides = [[m for m in members if m.zone == zone] for zone in ("z0", "z1")]
         for one in sides[0]:
             for other in sides[1]:
@@ -153,11 +153,9 @@
         until(lambda: all(m.view()["count"]["in_doubt"] == 0 for m in members), "no doubt is left")
 
 
-def test_a_drain_told_to_one_stops_new_work_at_all_and_the_later_word_holds(
-    tmp_path: Path, workers: str
-) -> None:
+def test_drain_at_one_scheduler_applies_at_all_and_a_later_undrain_wins(tmp_path: Path, workers: str) -> None:
     with fleet(tmp_path, CONFIG | {"discovery": workers}) as made:
-        members = started(made, 5)
+        members = start_members(made, 5)
         until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
         made.relay.set(loss=0.3)
 
@@ -181,9 +179,9 @@
         until(lambda: outs() == [0] * 5, "all have it back, one that missed the word too")
 
 
-def test_two_of_one_name_both_say_so_and_a_taken_address_is_waited_for(tmp_path: Path) -> None:
+def test_name_conflict_is_logged_by_both_and_an_address_in_use_is_retried(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE) as made:
-        first, *rest = started(made, 4)
+        first, *rest = start_members(made, 4)
         (second,) = made.add(1)
         second.name = "m0"
         made.write(second, advertise=f"{second.host}:{second.port}")
@@ -206,9 +204,9 @@
         until(lambda: {"m0", "m2", "m3"} <= rest[0].sees("alive"), "it has joined")
 
 
-def test_a_flood_and_nonsense_are_dropped_and_bounded_and_the_others_stay(tmp_path: Path) -> None:
+def test_flood_of_invalid_datagrams_is_dropped_and_the_group_stays_converged(tmp_path: Path) -> None:
     with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as made:
-        first, *_ = started(made, 4)
+        first, *_ = start_members(made, 4)
         header = Header(1, GROUP, "x", 1, "127.0.0.1:9")
         junk = [
             b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
@@ -225,7 +223,7 @@
             stream.sendall(FRAME_LENGTH.pack(len(question)) + question)
             answer = stream.makefile("rb").read(FRAME_LENGTH.unpack(stream.recv(4))[0])
         assert isinstance(found := decode(answer, GROUP, 64), Ack) and found.sequence_number == 5
-        before = rss(first)
+        before = resident_bytes(first)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as flood:
             end = time.monotonic() + 4.0
             while time.monotonic() < end:
@@ -237,19 +235,19 @@
         assert dropped["datagram unreadable"] > 10 and dropped["datagram foreign"] > 10
         assert dropped["stream unreadable"] == 1 and dropped["stream foreign"] == 1
         assert dropped["datagram absurd claim"] > 10 and dropped["rests for a flood"] > 10
-        assert rss(first) - before < 8 << 20
+        assert resident_bytes(first) - before < 8 << 20
         assert not any("died" in m.log() for m in made if m is not first), logs(made)
 
 
-def test_a_worker_that_one_finds_barred_is_spared_by_the_others(tmp_path: Path, workers: str) -> None:
+def test_worker_ejected_by_one_scheduler_is_avoided_by_its_peers(tmp_path: Path, workers: str) -> None:
     """Nobody listens where w4 is: the first fetch finds it out at one scheduler, the others hear of it."""
     with fleet(tmp_path, CONFIG | {"discovery": workers}) as made:
-        members = started(made, 3)
+        members = start_members(made, 3)
         until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
         listens = re.search(r"http listens on 127.0.0.1:(\d+)", members[0].log())
         assert listens
         for number in range(300):
-            ask(int(listens[1]), number)
+            send_job(int(listens[1]), number)
             spared = {w for m in members[1:] for w in m.view()["spared"]}
             if spared:
                 break
@@ -259,13 +257,13 @@
 # ---- Helpers ----
 
 
-def rss(member: Member) -> int:
+def resident_bytes(member: Member) -> int:
     """Bytes of memory in use."""
     assert member.process is not None
     return int(Path(f"/proc/{member.process.pid}/statm").read_text().split()[1]) * 4096
 
 
-def ask(port: int, number: int) -> None:
+def send_job(port: int, number: int) -> None:
     """One job over HTTP."""
     front = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     headers = {"Req-Id": f"r{number}", "Req-Kind": "preview", "Req-Deadline": "4000m"}
