--- a/oxbowyard/membership/__init__.py
+++ b/oxbowyard/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Membership of the group of schedulers: a gossip protocol without I/O, its messages, its sockets and timer.
+"""Membership of the group of schedulers: a gossip protocol without I/O, its messages, sockets and timer.
 
-The protocol follows SWIM with Lifeguard's extensions (docs/design/membership.md).
+The protocol is SWIM with Lifeguard's extensions (docs/design/membership.md).
 
-A member list is a hint. It may be late, and it may be wrong about any member. Whatever must be done by one
-process only (a job that must not run twice, the ownership of a store) never depends on it.
+A member list is only a hint: it may be out of date, and it may be wrong about any member. Work that only one
+process may do (a job that must not run twice, the ownership of a store) never depends on it.
 """
--- a/oxbowyard/membership/dissemination.py
+++ b/oxbowyard/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: records and entries travel with probes and their answers, urgent entries on their own."""
+"""Dissemination: records and entries are sent with probes and their answers, urgent entries on their own."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from .messages import Gossip, GossipEntry, MemberRecord, encoded_size
 from .state import ProtocolState
 
-HEADER_BYTES = 320  # of a message without its records and entries, at most
-ENTRIES_SHARE = 0.5  # of a datagram's free bytes that entries may take before records are selected
+HEADER_BYTES = 320  # upper bound of a message's size without its records and entries
+ENTRIES_SHARE = 0.5  # share of a datagram's free bytes that entries may use before records are selected
 MAX_SELECTION_CANDIDATES = 24  # queued records that are considered for one datagram
-URGENT_RESEND_DELAYS_S = (0.1, 0.3)  # after which the author of an urgent entry sends it again
+URGENT_RESEND_DELAYS_S = (0.1, 0.3)  # delays after which the author of an urgent entry sends it again
 
 
 @dataclass(slots=True)
@@ -24,38 +24,38 @@
 
 
 class Dissemination:
-    """What this member sends on, and how often it has done so."""
+    """The records and entries that this member sends on, with the number of transmissions of each."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
         self.entries = EntryStore(state.settings.max_entries)
         self._queue: dict[str, _QueuedRecord] = {}  # by the member's name
-        self._resends: list[tuple[float, GossipEntry]] = []  # urgent, by the time to send them
+        self._resends: list[tuple[float, GossipEntry]] = []  # urgent entries with their time to be sent
 
     # ---- Records ----
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Send a record on, in place of an earlier one of the same member."""
+        """Queue a record to be sent on; it replaces a queued record of the same member."""
         self._queue[record.name] = _QueuedRecord(record)
 
     def clear_records(self) -> None:
-        """Send no queued record on."""
+        """Remove all records from the queue."""
         self._queue.clear()
 
     def select_records(
-        self, first: Sequence[MemberRecord] = (), reserved_bytes: int = 0
+        self, required: Sequence[MemberRecord] = (), reserved_bytes: int = 0
     ) -> list[MemberRecord]:
-        """The records for one datagram: `first`, then those that were sent least, as many as fit.
+        """Select the records for one datagram: `required`, then the least often sent ones that fit.
 
         `reserved_bytes` of the datagram are left free.
         """
-        free_bytes = self._free_bytes(first) - reserved_bytes
-        selected = list(first)
+        free_bytes = self._free_bytes(required) - reserved_bytes
+        selected = list(required)
         limit = self._state.retransmit_limit()
         by_transmissions = sorted(self._queue.items(), key=lambda item: item[1].transmissions)
         for name, queued in by_transmissions[:MAX_SELECTION_CANDIDATES]:
             size = encoded_size(queued.record)
-            if size > free_bytes or queued.record in first:
+            if size > free_bytes or queued.record in required:
                 continue
             free_bytes -= size
             selected.append(queued.record)
@@ -64,19 +64,19 @@
                 del self._queue[name]
         return selected
 
-    def select(self, first: Sequence[MemberRecord] = ()) -> tuple[list[MemberRecord], list[GossipEntry]]:
-        """The records and the entries for one datagram."""
-        entry_bytes = int(self._free_bytes(first) * ENTRIES_SHARE)
+    def select(self, required: Sequence[MemberRecord] = ()) -> tuple[list[MemberRecord], list[GossipEntry]]:
+        """Select the records and the entries for one datagram."""
+        entry_bytes = int(self._free_bytes(required) * ENTRIES_SHARE)
         entries = self.entries.select(self._state.now, entry_bytes, self._state.retransmit_limit())
-        return self.select_records(first, _encoded_size(entries)), entries
+        return self.select_records(required, _encoded_size(entries)), entries
 
-    def _free_bytes(self, first: Sequence[MemberRecord]) -> int:
-        return self._state.settings.max_datagram_bytes - HEADER_BYTES - _encoded_size(first)
+    def _free_bytes(self, required: Sequence[MemberRecord]) -> int:
+        return self._state.settings.max_datagram_bytes - HEADER_BYTES - _encoded_size(required)
 
     # ---- Entries ----
 
     def write_entry(self, event: EntryWritten) -> None:
-        """Share an entry of this member's own."""
+        """Write an entry of this member's own, and send it to the group."""
         state, name = self._state, self._state.me.name
         entry = self.entries.write(
             state.now, name, event.key, event.value, event.lifetime_s, event.is_shared, event.lamport_time
@@ -86,7 +86,7 @@
             self._resends += [(state.now + delay_s, entry) for delay_s in URGENT_RESEND_DELAYS_S]
 
     def receive_entry(self, entry: GossipEntry, sender: str, is_urgent: bool) -> None:
-        """Take an entry that `sender` sent; a new one is delivered, and sent on at once if it is urgent."""
+        """Merge an entry from `sender`; deliver a new one, and send it on at once if it is urgent."""
         if not self.entries.merge(self._state.now, entry):
             return
         self._state.instructions.append(DeliverEntry(entry))
@@ -94,7 +94,7 @@
             self._send_urgent(entry, sender)
 
     def resend_due(self) -> None:
-        """Send this member's urgent entries again whose time has come."""
+        """Send those of this member's urgent entries again that are due."""
         now = self._state.now
         for due_at, entry in self._resends:
             if due_at <= now:
@@ -102,11 +102,11 @@
         self._resends = [(due_at, entry) for due_at, entry in self._resends if due_at > now]
 
     def due_times(self) -> list[float]:
-        """When `resend_due` has something to do."""
+        """Return the times at which `resend_due` has an entry to send."""
         return [due_at for due_at, _ in self._resends]
 
     def _send_urgent(self, entry: GossipEntry, sender: str) -> None:
-        """Send to some members; those that it does not reach receive it with probes."""
+        """Send an urgent entry to a random sample of members; the others receive it with later probes."""
         state = self._state
         informed = (sender, entry.author)
         candidates = [member for member in state.members.live() if member.record.name not in informed]
--- a/oxbowyard/membership/events.py
+++ b/oxbowyard/membership/events.py
@@ -1,4 +1,4 @@
-"""The events that the owner of a member's protocol hands to it: what happened, not what follows from it."""
+"""The input events of a member's protocol: they say what happened, and the protocol decides what follows."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The member begins. Its seeds are asked for their complete state until one has answered."""
+    """The member starts. It asks its seeds for their complete state until one has answered."""
 
     seeds: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time that `MembershipProtocol.due_at` named has come."""
+    """The time `MembershipProtocol.due_at` has come."""
 
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A valid message came. Answers go to `source`, by stream if the message came by stream."""
+    """A valid message was received. Answers go to `source`, by stream if the message came by stream."""
 
     message: Message
     source: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FactsChanged:
-    """This member has other facts to tell about itself; a new incarnation carries them."""
+    """The facts that this member publishes about itself changed; a new incarnation carries them."""
 
     facts: dict[str, float]
 
@@ -39,8 +39,9 @@
 class EntryWritten:
     """This member shares a value that expires after `lifetime_s` seconds.
 
-    A shared entry replaces every member's entry of the same key; with `lamport_time` 0 only where there is
-    none. An urgent one is sent at once to some members, who do the same; others wait for the next probes.
+    A shared entry replaces the entry of the same key whichever member wrote that one, but with `lamport_time`
+    0 only if there is none. An urgent entry is sent at once to some members, which do the same; other entries
+    are sent with the next probes.
     """
 
     key: str
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaveRequested:
-    """The member is about to end and says so."""
+    """The member is about to stop, and announces that to the group."""
 
 
 Event = Started | TimerFired | MessageReceived | FactsChanged | EntryWritten | LeaveRequested
--- a/oxbowyard/membership/instructions.py
+++ b/oxbowyard/membership/instructions.py
@@ -1,4 +1,4 @@
-"""The instructions that a member's protocol returns to its owner, who carries them out in their order."""
+"""The instructions that a member's protocol returns; the caller carries them out in their order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MemberEventKind(StrEnum):
-    """What happened to a member. The values are the words of the log."""
+    """What happened to a member. The values appear in log lines, which operators' tools match."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -17,9 +17,9 @@
     DIED = "died"
     LEFT = "left"
     RETURNED = "returned"
-    CONFLICT = "name_conflict"  # another process has its name
-    REFUTED = "refuted"  # this member was suspected or thought dead, and is neither
-    STALLED = "stalled"  # this process did not run for a while
+    CONFLICT = "name_conflict"  # another process uses the same name
+    REFUTED = "refuted"  # this member was suspected or declared dead, and refuted that
+    STALLED = "stalled"  # this process did not run for some time
     REJECTED = "rejected"  # the member list is full
 
 
@@ -34,18 +34,18 @@
 
 @dataclass(slots=True, frozen=True)
 class NotifyMemberEvent:
-    """Log an event and tell whoever listens."""
+    """Log a member event and pass it to the listener."""
 
     kind: MemberEventKind
     name: str
-    accuser: str = ""  # who suspects it, or found it dead
+    accuser: str = ""  # the member that suspects it or declared it dead
     address: str = ""  # of the other process in a conflict, or of the member that was rejected
     stalled_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class DeliverEntry:
-    """Hand over an entry that is new here, or one of this member's own that another member has replaced."""
+    """Deliver an entry that is new to this member, or that replaces one of this member's own."""
 
     entry: GossipEntry
 
--- a/oxbowyard/membership/member_list.py
+++ b/oxbowyard/membership/member_list.py
@@ -1,4 +1,4 @@
-"""The other members that are known, and which record of each holds. Without I/O or clock."""
+"""The list of the other members, with the current record of each. Without I/O or clock."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 
 class MergeResult(Enum):
-    """What became of a record that was merged."""
+    """The result of merging a record into the list."""
 
     STALE = auto()  # nothing changed
-    APPLIED = auto()  # it holds now
-    CONFIRMED = auto()  # one more accuser of a member that is suspected already
-    CONFLICT = auto()  # two processes with one name
+    APPLIED = auto()  # it is the member's current record now
+    CONFIRMED = auto()  # it adds an accuser of a member that is already suspected
+    CONFLICT = auto()  # two live processes use the same name
     FULL = auto()  # the list has no room for another member
 
 
 @dataclass(slots=True)
 class Member:
-    """One member, as far as is known here. A hint: see the package's docstring."""
+    """One member as this member knows it, which is only a hint: see the package's docstring."""
 
     record: MemberRecord
-    changed_at: float  # when this record came to hold, on this process's clock, in seconds
+    changed_at: float  # when `record` was applied, in seconds on this process's clock
     reason: str = ""
     accusers: frozenset[str] = frozenset()
 
     @property
     def state(self) -> MemberState:
-        """The state in its record."""
+        """The state in the member's record."""
         return self.record.state
 
     @property
     def is_live(self) -> bool:
-        """Whether it is alive or suspect."""
+        """Whether the member is alive or suspect."""
         return self.record.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class MemberList:
-    """All members but the one whose list it is."""
+    """All known members except the one that owns the list."""
 
     def __init__(self, max_members: int) -> None:
         self._max_members = max_members
@@ -56,18 +56,19 @@
         return self._live_count
 
     def get(self, name: str) -> Member | None:
-        """The member of this name, if it is known."""
+        """Return the member with this name, or None if it is unknown."""
         return self.by_name.get(name)
 
     def live(self) -> list[Member]:
-        """The alive and suspect members."""
+        """Return the alive and suspect members."""
         return [member for member in self if member.is_live]
 
     def merge(self, record: MemberRecord, now: float, reason: str) -> MergeResult:
-        """Merge a record that came to hold at `now` (seconds); `reason` is shown to the operators.
+        """Merge a record received at `now` (seconds); `reason` is shown to the operators.
 
-        The higher incarnation holds; of one incarnation, the larger state. A record of another process with
-        the name of a live member holds only from the same address: then the process before it has ended.
+        The record with the higher incarnation wins, and at equal incarnations the one with the larger state.
+        An alive record of another process with the name of a live member is applied only if it has the same
+        address: then the earlier process has ended.
         """
         member = self.by_name.get(record.name)
         if member is None:
@@ -82,7 +83,7 @@
         return MergeResult.APPLIED
 
     def _add(self, record: MemberRecord, now: float, reason: str) -> MergeResult:
-        if record.state in (MemberState.DEAD, MemberState.LEFT):  # the end of a member never known is no news
+        if record.state in (MemberState.DEAD, MemberState.LEFT):  # an unknown member has ended
             return MergeResult.STALE
         if len(self.by_name) >= self._max_members:
             return MergeResult.FULL
@@ -91,28 +92,28 @@
         return MergeResult.APPLIED
 
     def forget_dead(self, before: float) -> None:
-        """Remove the members that have been dead or left since before that time."""
+        """Remove the members that have been dead or left since before the given time (seconds)."""
         expired = [m.record.name for m in self if not m.is_live and m.changed_at < before]
         for name in expired:
             del self.by_name[name]
 
 
 def _rejection(record: MemberRecord, member: Member) -> MergeResult | None:
-    """Why the record does not replace the member's own, or None if it does."""
+    """Return the reason not to apply the record to the member, or None to apply it."""
     if record.run_id != member.record.run_id:
         return _rejection_of_other_run(record, member)
-    held = member.record
-    if (record.incarnation, record.state) <= (held.incarnation, held.state):
+    current = member.record
+    if (record.incarnation, record.state) <= (current.incarnation, current.state):
         return _add_accuser(record, member)
     return None
 
 
 def _rejection_of_other_run(record: MemberRecord, member: Member) -> MergeResult | None:
-    held = member.record
+    current = member.record
     is_alive = record.state is MemberState.ALIVE
-    moved = record.address != held.address
-    is_newer = record.incarnation > held.incarnation
-    if is_alive and member.is_live and moved:
+    has_moved = record.address != current.address
+    is_newer = record.incarnation > current.incarnation
+    if is_alive and member.is_live and has_moved:
         return MergeResult.CONFLICT
     if not is_alive or not is_newer:
         return MergeResult.STALE
@@ -120,10 +121,10 @@
 
 
 def _add_accuser(record: MemberRecord, member: Member) -> MergeResult:
-    held = member.record
-    both_suspect = record.state is MemberState.SUSPECT and held.state is MemberState.SUSPECT
+    current = member.record
+    are_both_suspect = record.state is MemberState.SUSPECT and current.state is MemberState.SUSPECT
     is_known_accuser = record.accuser in member.accusers | {""}
-    if both_suspect and record.incarnation == held.incarnation and not is_known_accuser:
+    if are_both_suspect and record.incarnation == current.incarnation and not is_known_accuser:
         member.accusers |= {record.accuser}
         return MergeResult.CONFIRMED
     return MergeResult.STALE
--- a/oxbowyard/membership/messages.py
+++ b/oxbowyard/membership/messages.py
@@ -1,8 +1,9 @@
-"""The messages of the group and their MessagePack encoding.
+"""The messages of the membership protocol and their MessagePack encoding.
 
-Every struct is encoded as an array, so the names of its fields never reach the wire; their order does. Fields
-are only ever added, at the end: the additional fields of a newer version are ignored, and those that an older
-version lacks take their defaults. Each message carries the protocol's version and the group's name.
+Every struct is encoded as an array, so the order of its fields is part of the wire format and their names
+are not. New fields are only added at the end: fields that only a newer version has are ignored, and fields
+that an older version lacks take their defaults. Each message carries the protocol's version and the group's
+name.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 import msgspec
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 1400  # passes every usual network without being fragmented
+MAX_DATAGRAM_BYTES = 1400  # no usual network fragments a datagram of this size
 MAX_NAME_LENGTH = 128
 MAX_FACTS = 16
-MAX_ENTRY_KEY_LENGTH = 300  # a worker's id and a prefix
-MAX_ENTRY_FIGURE = 1e12
+MAX_ENTRY_KEY_LENGTH = 300  # a key is a prefix and a worker's id
+MAX_ENTRY_NUMBER = 1e12  # of an entry's value, age and lifetime
 MAX_LAMPORT_TIME = 1 << 52
 
 
 class MemberState(IntEnum):
-    """What a record says of a member. Of two records with one incarnation the larger state holds."""
+    """The state that a record gives a member. At equal incarnations the record with the larger state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -31,28 +32,28 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """An alive, suspect, dead or left record: what one member says of another, or of itself."""
+    """An alive, suspect, dead or left record: what one member states about another, or about itself."""
 
     name: str
-    run_id: int  # drawn by each process: distinguishes two processes with one name
+    run_id: int  # random number of each process: distinguishes two processes with one name
     address: str
     zone: str
-    incarnation: int  # only the member itself raises it
+    incarnation: int  # only the member itself increases it
     state: MemberState
-    facts: dict[str, float] = {}  # msgspec copies it
-    accuser: str = ""  # who suspects it; each accuser counts as one confirmation
+    facts: dict[str, float] = {}  # msgspec copies the default for each instance
+    accuser: str = ""  # the member that suspects it; each further accuser confirms the suspicion
 
 
 class GossipEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A small value with an age that a member shares with the others; entries.py has the rules."""
+    """A small value with an age that a member shares with the others; see entries.py for the rules."""
 
     key: str
     author: str
     lamport_time: int
     value: float
     age_s: float
-    lifetime_s: float  # from the entry's beginning until it expires
-    is_shared: bool = False  # one register for the whole group, rather than one for each author
+    lifetime_s: float  # from the entry's creation until it expires
+    is_shared: bool = False  # one register for the whole group instead of one for each author
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
@@ -68,7 +69,7 @@
 class _ProbeMessage(msgspec.Struct, frozen=True, array_like=True):
     header: Header
     sequence_number: int
-    target: str  # the member that is probed: another one may use the address now
+    target: str  # the probed member's name: another member may use its address by now
     records: list[MemberRecord] = []
     entries: list[GossipEntry] = []
 
@@ -78,7 +79,7 @@
 
 
 class Ack(_ProbeMessage, frozen=True, array_like=True, tag=2):
-    """The target of a probe is there."""
+    """The target's answer to a probe."""
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
@@ -92,7 +93,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The target of an indirect probe has not answered the helper in time (Lifeguard)."""
+    """A helper's report that the target of an indirect probe did not answer it in time (Lifeguard)."""
 
     header: Header
     sequence_number: int
@@ -100,7 +101,7 @@
 
 
 class PushPull(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """The sender's complete state; by stream. With `wants_reply` the receiver sends its own back."""
+    """The sender's complete state, sent by stream. With `wants_reply` the receiver replies with its own."""
 
     header: Header
     wants_reply: bool
@@ -109,21 +110,21 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Urgent entries, which do not wait for the next probe."""
+    """Urgent entries, which are sent without waiting for the next probe."""
 
     header: Header
     entries: list[GossipEntry]
 
 
 class PullRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A request for a document that the receiver may offer; by stream."""
+    """A request for a document that the receiver may offer, sent by stream."""
 
     header: Header
     topic: str
 
 
 class PullReply(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The document asked for. Its body is opaque to the membership."""
+    """The requested document. Its body is opaque to the membership protocol."""
 
     header: Header
     topic: str
@@ -134,7 +135,7 @@
 
 
 class MalformedReason(StrEnum):
-    """Why a message was refused. The values are counted under these words in the admin API."""
+    """Why a message was rejected. The admin API counts rejections by these values."""
 
     UNREADABLE = "unreadable"
     FOREIGN_GROUP = "foreign"
@@ -146,7 +147,7 @@
 
 
 class MalformedMessageError(ValueError):
-    """Raised by `decode` for bytes that are no valid message of this group."""
+    """Raised by `decode` for bytes that are not a valid message of this group."""
 
     def __init__(self, reason: MalformedReason) -> None:
         super().__init__(reason.value)
@@ -158,31 +159,31 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message's bytes."""
+    """Return the message's encoding."""
     return _encoder.encode(message)
 
 
 def encoded_size(part: MemberRecord | GossipEntry) -> int:
-    """The bytes that a record or an entry adds to a message."""
+    """Return the number of bytes that a record or an entry adds to a message."""
     return len(_encoder.encode(part))
 
 
 def records_of(message: Message) -> list[MemberRecord]:
-    """The member records that a message carries, of whichever kind it is."""
+    """Return the message's member records: none for kinds of messages that carry none."""
     records: list[MemberRecord] = getattr(message, "records", [])
     return records
 
 
 def entries_of(message: Message) -> list[GossipEntry]:
-    """The gossip entries that a message carries, of whichever kind it is."""
+    """Return the message's gossip entries: none for kinds of messages that carry none."""
     entries: list[GossipEntry] = getattr(message, "entries", [])
     return entries
 
 
 def decode(data: bytes, group: str, max_items: int) -> Message:
-    """Read a message of `group` with at most `max_items` records and as many entries.
+    """Decode a message of `group` with at most `max_items` records and at most `max_items` entries.
 
-    Raises MalformedMessageError for bytes that are truncated, foreign or out of bounds.
+    Raises MalformedMessageError for a message that is truncated, of another group or out of bounds.
     """
     try:
         message: Message = _decoder.decode(data)
@@ -222,10 +223,10 @@
 
 
 def _is_valid_entry(entry: GossipEntry) -> bool:
-    figures = (entry.value, entry.age_s, entry.lifetime_s)
+    numbers = (entry.value, entry.age_s, entry.lifetime_s)
     return (
         0 < len(entry.key) <= MAX_ENTRY_KEY_LENGTH
         and 0 < len(entry.author) <= MAX_NAME_LENGTH
         and 0 <= entry.lamport_time <= MAX_LAMPORT_TIME
-        and all(math.isfinite(figure) and 0 <= figure <= MAX_ENTRY_FIGURE for figure in figures)
+        and all(math.isfinite(number) and 0 <= number <= MAX_ENTRY_NUMBER for number in numbers)
     )
--- a/oxbowyard/membership/node.py
+++ b/oxbowyard/membership/node.py
@@ -1,4 +1,4 @@
-"""A member's sockets and timer: it carries out the protocol's instructions and decides nothing."""
+"""A member's sockets and timer, which connect its protocol to the network and the event loop."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 log = logging.getLogger("oxbowyard.membership")
 
-MAX_DATAGRAM_ITEMS = 64  # records or entries: more do not fit into a datagram
+MAX_DATAGRAM_ITEMS = 64  # bounds the records and the entries: more do not fit into a datagram
 RUN_ID_BITS = 48
-REPLY_ON_STREAM = "by the same stream"  # a source that is no address: answers go back on the connection
+REPLY_ON_STREAM = "by the same stream"  # in place of a source address: reply on the same connection
 
 
 class Node:
-    """One member on its event loop.
+    """One member on its event loop. It carries out the protocol's instructions and decides nothing itself.
 
-    `on_event` is called with each event of a member, `on_entry` with each entry that is new here.
+    `on_event` is called with each member event, `on_entry` with each entry that is new to this member.
     """
 
     def __init__(
@@ -75,11 +75,14 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it has its sockets."""
+        """Whether the sockets are bound."""
         return self._udp is not None
 
     async def open(self) -> None:
-        """Bind the sockets and begin; raises OSError. After `close` it begins again as another process."""
+        """Bind the sockets and start the protocol. After `close` it starts again with a new run id.
+
+        Raises OSError.
+        """
         settings = self._settings
         host, _, port = settings.listen.rpartition(":")
         tcp = TcpTransport(
@@ -102,7 +105,7 @@
         self.handle(Started(settings.seeds))
 
     async def close(self) -> None:
-        """Tell some members that this one leaves, and close the sockets."""
+        """Notify some members that this one leaves, and close the sockets."""
         if self._timer is not None:
             self._timer.cancel()
         udp, tcp = self._udp, self._tcp
@@ -120,18 +123,18 @@
             if isinstance(instruction, SendMessage):
                 udp.send(encode(instruction.message), instruction.address)
 
-    # ---- Requests of the program ----
+    # ---- Calls from the rest of the program ----
 
     def handle(self, event: Event) -> None:
-        """Hand an event to the protocol (e.g. `FactsChanged`, `EntryWritten`) and carry out what follows."""
+        """Pass an event (e.g. `FactsChanged`) to the protocol and carry out its instructions."""
         self._carry_out(self.protocol.handle(self._loop.time(), event))
 
     def offer(self, topic: str, make_body: Callable[[], bytes | None]) -> None:
-        """Answer pull requests for a topic from now on; a body of None is no answer."""
+        """Answer pull requests for a topic with `make_body()` from now on; with None there is no answer."""
         self._offers[topic] = make_body
 
     def pull(self, address: str, topic: str, on_body: Callable[[bytes], None]) -> None:
-        """Ask the member at an address for a topic; `on_body` is called if it answers."""
+        """Request a topic from the member at an address; `on_body` is called if it answers."""
         if self._tcp is None:
             return
 
@@ -155,13 +158,13 @@
             self.drops.add_malformed(Transport.DATAGRAM, error.reason)
             return
         if isinstance(message, PushPull | PullRequest | PullReply):
-            # The answer would be far larger than the datagram, whose source may be forged.
+            # The answer would be far larger than the request, whose source address may be forged.
             self.drops.add(DropReason.UNEXPECTED_MESSAGE)
             return
         self.handle(MessageReceived(message, source))
 
     def _on_request(self, data: bytes) -> bytes | None:
-        """The reply to a request that came by stream."""
+        """Handle a request that came by stream; return the reply, if there is one."""
         request = self._read_stream(data)
         if isinstance(request, PullRequest):
             return self._pull_reply(request.topic)
@@ -171,7 +174,7 @@
         return encode(replies[0].message) if replies else None
 
     def _on_reply(self, data: bytes) -> None:
-        """Handle the reply to a request of this member's own; a reply is not replied to."""
+        """Handle the reply to a request of this member's own. A reply is never answered."""
         instructions = self._handle_stream(self._read_stream(data))
         self._carry_out([instruction for instruction in instructions if not _is_stream_reply(instruction)])
 
@@ -198,7 +201,7 @@
     # ---- Output ----
 
     def _carry_out(self, instructions: list[Instruction]) -> None:
-        """Carry out the instructions. The timer is set last: a listener may have handed in further events."""
+        """Carry out the instructions. The timer is set last because a listener may add further events."""
         for instruction in instructions:
             match instruction:
                 case NotifyMemberEvent():
@@ -232,7 +235,7 @@
 
 
 def _log_event(event: NotifyMemberEvent) -> None:
-    """One line: the kind of event, the member, and what else is known of it."""
+    """Log a member event in one line: its kind, the member, and the details that its kind has."""
     match event.kind:
         case MemberEventKind.STALLED:
             log.info("member %s: name=%s stalled_s=%.1f", event.kind, event.name, event.stalled_s)
--- a/oxbowyard/membership/probe_relay.py
+++ b/oxbowyard/membership/probe_relay.py
@@ -1,4 +1,4 @@
-"""Relaying of indirect probes: this member probes a target on behalf of another that could not reach it."""
+"""Relaying of indirect probes: this member probes a target on behalf of one that could not reach it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from .messages import Ack, Nack, Ping, PingRequest
 from .state import ProtocolState
 
-RETENTION_INTERVALS = 2  # probe intervals after which an answer is not relayed any more
-MAX_RELAYS_PER_HELPER_STEP = 4  # bounds the relayed probes under a flood of requests
+RETENTION_INTERVALS = 2  # probe intervals after which an answer is no longer relayed
+# Relayed probes per helper and step of the health score: bounds them under a flood of requests.
+MAX_RELAYS_PER_HELPER_STEP = 4
 
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    requester: str  # its address
-    sequence_number: int  # the requester's
+    requester: str  # address
+    sequence_number: int  # of the requester's probe
     nack_at: float
     forget_at: float
     nack_sent: bool = False
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingAck:
-    """An acknowledgement that is owed; it is sent once what came with the message is merged."""
+    """An acknowledgement to be sent once the records and entries of the received message are merged."""
 
     address: str
     sequence_number: int
@@ -32,7 +33,7 @@
 
 
 class ProbeRelay:
-    """The probes that this member has relayed and that may still be answered."""
+    """The relayed probes that may still be answered."""
 
     def __init__(self, state: ProtocolState, dissemination: Dissemination) -> None:
         self._state = state
@@ -43,11 +44,11 @@
         return len(self._relayed)
 
     def clear(self) -> None:
-        """Forget all: their answers may have been lost with a stall."""
+        """Remove all relayed probes, since their answers may have been lost during a stall."""
         self._relayed.clear()
 
     def on_ping_request(self, request: PingRequest, source: str) -> None:
-        """Probe the target; past the bound a request is dropped, since each requester has other helpers."""
+        """Probe the target, or drop the request if too many are open: each requester has other helpers."""
         state, settings = self._state, self._state.settings
         helpers = max(settings.indirect_probe_count, 1)
         if len(self._relayed) >= MAX_RELAYS_PER_HELPER_STEP * settings.max_health_score * helpers:
@@ -63,14 +64,14 @@
         state.send(request.address, Ping(state.header(), sequence_number, request.target, records))
 
     def on_ack(self, ack: Ack) -> PendingAck | None:
-        """The acknowledgement for the requester, if the target of a relayed probe answers."""
+        """Return the acknowledgement for the requester if this is the answer to a relayed probe."""
         relayed = self._relayed.pop(ack.sequence_number, None)
         if relayed is None:
             return None
         return PendingAck(relayed.requester, relayed.sequence_number, ack.target)
 
     def run_due(self) -> None:
-        """Send a Nack for each target that has not answered in time, and forget the oldest probes."""
+        """Send a Nack for each target that has not answered in time, and remove the oldest probes."""
         state = self._state
         for sequence_number, relayed in list(self._relayed.items()):
             if not relayed.nack_sent and state.now >= relayed.nack_at:
@@ -80,5 +81,5 @@
                 del self._relayed[sequence_number]
 
     def due_times(self) -> list[float]:
-        """When `run_due` has something to do."""
+        """Return the times at which `run_due` has a Nack to send or a probe to remove."""
         return [probe.forget_at if probe.nack_sent else probe.nack_at for probe in self._relayed.values()]
--- a/oxbowyard/membership/protocol.py
+++ b/oxbowyard/membership/protocol.py
@@ -1,13 +1,13 @@
 """The membership protocol of one member as a state machine: events in, instructions out.
 
-It has no I/O, no clock and no randomness of its own: its owner hands it events with the time at which they
-happened, carries out the instructions that it returns, and hands it `TimerFired` at the time that it names.
-One sequence of events and one seed give one history.
-
-The concerns are separate: `probing` and `probe_relay` (who answers), `suspicion` (how long a silent member
-has to refute), `records` (what holds of each member), `dissemination` (what is sent on) and `push_pull`
-(exchanges of the complete state). A process that was stopped or starved of CPU time could receive
-nothing meanwhile; it lengthens every timeout by the time that it lost.
+It has no I/O, no clock and no source of randomness of its own: the caller passes it events with the time at
+which they happened, carries out the instructions that it returns, and passes it `TimerFired` at the time
+`due_at`. The same events and the same seed always give the same history.
+
+Each module has one concern: `probing` and `probe_relay` (which members answer), `suspicion` (how long a
+suspect has to refute the suspicion), `records` (which record of each member is current), `dissemination`
+(what is sent on) and `push_pull` (exchanges of the complete state). A process that was stopped or starved of
+CPU time received nothing meanwhile, so it lengthens every timeout by the time that it lost.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from .state import ProtocolState
 from .suspicion import Suspicions
 
-STALL_THRESHOLD_INTERVALS = 0.5  # probe intervals by which an event is late if the process did not run
+STALL_THRESHOLD_INTERVALS = 0.5  # probe intervals; an event later than this shows that the process stalled
 
 
 class MembershipProtocol:
@@ -61,7 +61,7 @@
         )
         self._due_at = 0.0
 
-    # ---- What is known ----
+    # ---- State ----
 
     @property
     def me(self) -> MemberRecord:
@@ -75,40 +75,43 @@
 
     @property
     def entries(self) -> EntryStore:
-        """The gossip entries that hold."""
+        """The valid gossip entries."""
         return self._dissemination.entries
 
     @property
     def health_score(self) -> int:
-        """This member's own health: 0 is healthy, more lengthens its timeouts."""
+        """Lifeguard's local health score: 0 is healthy, a higher score lengthens this member's timeouts."""
         return self._state.health.score
 
     @property
     def due_at(self) -> float:
-        """When to hand in the next `TimerFired`, in seconds on the owner's clock."""
+        """When to pass the next `TimerFired` to `handle`, in seconds on the caller's clock."""
         return self._due_at
 
     def header(self) -> Header:
-        """The header of this member's messages."""
+        """Return the header of this member's messages."""
         return self._state.header()
 
     def live_count(self) -> int:
-        """Members that are alive or suspect, this one included: in doubt the larger number."""
+        """Return the number of alive and suspect members, including this one.
+
+        Suspects count because a suspicion may be refuted.
+        """
         return self._state.live_count()
 
     def longest_suspicion_s(self) -> float:
-        """How long this member would suspect another one that nobody else suspects, by its health now."""
+        """Return how long a suspicion without confirmations lasts at this member's current health."""
         return self._suspicions.longest_timeout_s()
 
     def assume_converged(self) -> None:
-        """Take all that is known here to be known everywhere: for models of large groups."""
+        """Assume that all members know what this one knows: for simulations of large groups."""
         self._dissemination.clear_records()
         self._push_pull.schedule_randomly()
 
     # ---- Events ----
 
     def handle(self, now: float, event: Event) -> list[Instruction]:
-        """Handle an event that happened at `now` (seconds); returns the instructions in their order."""
+        """Handle an event that happened at `now` (seconds); return the instructions in their order."""
         self._state.instructions = []
         match event:
             case Started():
@@ -137,7 +140,7 @@
         self._schedule()
 
     def _leave(self) -> None:
-        """Send a leave record to some members, which send it on."""
+        """Send a left record to some members, which send it on."""
         state = self._state
         self._records.leave()
         live = state.members.live()
@@ -148,7 +151,10 @@
     # ---- Time ----
 
     def _advance(self, now: float) -> None:
-        """Set the time. A stall shows at whichever event comes first: asyncio reads sockets before timers."""
+        """Set the time and detect a stall.
+
+        Any event may be the first after a stall, because asyncio reads sockets before it runs timers.
+        """
         late_s = now - self._due_at
         is_stalled = late_s > STALL_THRESHOLD_INTERVALS * self._state.settings.probe_interval_s
         self._state.now = max(self._state.now, now)
@@ -156,7 +162,7 @@
             self._on_stall(late_s)
 
     def _on_stall(self, stalled_s: float) -> None:
-        """Extend every wait: that nothing was received meanwhile says nothing about the other members."""
+        """Extend the suspicions and restart probing: silence during a stall is no evidence against others."""
         state = self._state
         state.notify(MemberEventKind.STALLED, state.me.name, stalled_s=stalled_s)
         self._suspicions.extend(stalled_s)
@@ -186,7 +192,7 @@
             *self._suspicions.due_times(),
             *self._relay.due_times(),
         ]
-        self._due_at = max(min(due_times), self._state.now)  # what a message made due is not late
+        self._due_at = max(min(due_times), self._state.now)  # a time in the past would count as a stall
 
     # ---- Messages ----
 
@@ -206,11 +212,11 @@
         self._schedule()
 
     def _answer(self, event: MessageReceived) -> PendingAck | None:
-        """Handle the message without its records and entries; returns the acknowledgement that is owed."""
+        """Handle the message except for its records and entries; return the acknowledgement to send."""
         match event.message:
             case Ping(header=header, target=target, sequence_number=number):
                 if target != self._state.me.name:
-                    return None  # another member had this address before
+                    return None  # meant for a member that had this address before
                 self._push_pull.on_contact(header)
                 return PendingAck(event.source, number, target, event.by_stream)
             case Ack() as ack:
@@ -226,7 +232,7 @@
         return None
 
     def _ack_instruction(self, ack: PendingAck) -> SendMessage:
-        """The acknowledgement, with what there is to disseminate now."""
+        """Build the acknowledgement, with the records and entries that are queued now."""
         records, entries = self._dissemination.select()
         message = Ack(self._state.header(), ack.sequence_number, ack.target, records, entries)
         return SendMessage(ack.address, message, ack.by_stream)
--- a/oxbowyard/membership/push_pull.py
+++ b/oxbowyard/membership/push_pull.py
@@ -1,4 +1,4 @@
-"""Push-pull sync: two members exchange their complete state by stream, also to reconnect after a split."""
+"""Push-pull sync: two members exchange their complete state by stream, also after a partition."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from .state import ProtocolState
 
 MAX_LEARNED_SEEDS = 16
-# Bounds of the random factor by which an interval is spread, so that members do not act in step.
+# Bounds of the random factor of an interval, so that members do not act in step.
 INTERVAL_JITTER = (0.75, 1.25)
 ALONE_JITTER = (0.5, 1.5)
 JOIN_JITTER = (0.25, 0.5)
 
 
 class PushPullSync:
-    """When this member exchanges its complete state, and with whom."""
+    """Schedules the exchanges of the complete state and selects the members for them."""
 
     def __init__(self, state: ProtocolState, dissemination: Dissemination) -> None:
         self._state = state
@@ -24,14 +24,14 @@
         self._seeds: tuple[str, ...] = ()  # addresses
 
     def start(self, seeds: tuple[str, ...]) -> None:
-        """Ask the seeds at the first timer."""
+        """Schedule the sync with the seeds for the first timer."""
         state = self._state
         self._seeds = tuple(address for address in seeds if address != state.me.address)
         self._next_sync_at = state.now
         self._next_reconnect_at = state.now + state.settings.reconnect_interval_s
 
     def due_times(self) -> list[float]:
-        """When the next sync and the next attempt to reconnect begin."""
+        """Return the times of the next sync and of the next attempt to reconnect."""
         return [self._next_sync_at, self._next_reconnect_at]
 
     # ---- Sync ----
@@ -56,8 +56,8 @@
     def sync_soon(self) -> None:
         """Sync sooner after a member has joined, if this member volunteers.
 
-        Where many join at once, the record of each is disseminated while hardly any other member is there to
-        receive it.
+        When many members join at once, the record of each is disseminated before most of the others have
+        joined, so they do not receive it.
         """
         state = self._state
         if state.should_volunteer():
@@ -65,13 +65,13 @@
             self._next_sync_at = min(self._next_sync_at, state.now + delay_s)
 
     def schedule_randomly(self) -> None:
-        """Schedule the next sync as if this member had been running for long."""
+        """Schedule the next sync at a random time, as if this member had been running for a long time."""
         state = self._state
         interval_s = state.settings.scaled_push_pull_interval_s(state.live_count())
         self._next_sync_at = state.now + state.random.uniform(0, interval_s)
 
     def on_contact(self, header: Header) -> None:
-        """Sync with an unknown sender at once, and keep its address as a seed."""
+        """Schedule a sync at once if the sender is unknown, and add its address to the seeds."""
         if header.name in self._state.members.by_name:
             return
         self._next_sync_at = min(self._next_sync_at, self._state.now)
@@ -79,15 +79,15 @@
             self._seeds = (*self._seeds[-(MAX_LEARNED_SEEDS - 1) :], header.address)
 
     def reply(self, address: str) -> None:
-        """Answer a sync with this member's own state."""
+        """Answer a sync with this member's complete state."""
         self._state.send(address, self._complete_state(wants_reply=False), by_stream=True)
 
     # ---- Reconnection ----
 
     def reconnect_if_due(self) -> None:
-        """Sync with a dead member or a lost seed, if this member volunteers: a split may have ended.
+        """Sync with a dead member or a lost seed, if this member volunteers: a partition may have healed.
 
-        The seeds stay known however long ago the dead members were forgotten.
+        The seeds stay known after the dead members have been removed from the list.
         """
         state = self._state
         if state.now < self._next_reconnect_at or state.has_left:
--- a/oxbowyard/membership/records.py
+++ b/oxbowyard/membership/records.py
@@ -1,4 +1,4 @@
-"""Alive, suspect, dead and left records: merging those of other members, and refuting those of this one."""
+"""Alive, suspect, dead and left records: merging those of other members, refuting those of this one."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from .state import ProtocolState
 from .suspicion import Suspicions
 
-MAX_REPORTED_PROCESSES = 1000  # conflicts and rejections that are remembered, so that each is reported once
+MAX_REPORTED_PROCESSES = 1000  # remembered conflicts and rejections, so that each is reported once
 
-# Why a record holds, in the words of the admin API.
+# Why a record was applied, as the admin API shows it.
 PROBE_FAILED = "did not answer"
 SUSPICION_EXPIRED = "silent too long"
 RECEIVED_FROM = "told by"
 
 
 class RecordHandler:
-    """Applies records: the member list, the suspicions and what is sent on follow from them."""
+    """Applies records to the member list, and updates the suspicions and the queue of records to send on."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
     # ---- This member's own findings ----
 
     def suspect(self, member: Member) -> None:
-        """The member failed a probe."""
+        """Suspect a member that failed a probe."""
         self._accuse(member, MemberState.SUSPECT, PROBE_FAILED)
 
     def declare_dead(self, name: str) -> None:
-        """The time to refute a suspicion is over."""
+        """Declare a suspect dead: the time to refute the suspicion is over."""
         member = self._state.members.get(name)
         if member is not None and member.state is MemberState.SUSPECT:
             self._accuse(member, MemberState.DEAD, SUSPICION_EXPIRED)
@@ -54,7 +54,7 @@
     def _accuse(self, member: Member, state: MemberState, reason: str) -> None:
         self.apply(replace(member.record, state=state, accuser=self._state.me.name), reason)
 
-    # ---- Records of others ----
+    # ---- Records of other members ----
 
     def apply(self, record: MemberRecord, reason: str) -> None:
         """Apply a record; `reason` is shown to the operators."""
@@ -92,14 +92,14 @@
             self._state.notify(kind, record.name, accuser=record.accuser)
 
     def _correct_stale_suspicion(self, record: MemberRecord, member: Member) -> None:
-        """Send the refutation on again: whoever still suspects the member has not received it."""
-        held = member.record
-        is_refuted = held.state is MemberState.ALIVE and held.incarnation > record.incarnation
+        """Send a refutation on again: a member that still suspects another has not received it."""
+        current = member.record
+        is_refuted = current.state is MemberState.ALIVE and current.incarnation > record.incarnation
         if record.state is MemberState.SUSPECT and is_refuted:
-            self._dissemination.enqueue(held)
+            self._dissemination.enqueue(current)
 
     def _report_once(self, kind: MemberEventKind, record: MemberRecord) -> None:
-        """Report a conflict or a rejection once for each process, which goes on sending its record."""
+        """Report a conflict or a rejection once for each process, since its record arrives repeatedly."""
         process = record.name, record.run_id
         if process in self._reported:
             return
@@ -111,20 +111,20 @@
     # ---- Records of this member ----
 
     def raise_incarnation(self, incarnation: int, facts: dict[str, float]) -> None:
-        """Replace this member's own record. Nobody else raises its incarnation."""
+        """Replace this member's own record. No other member may increase its incarnation."""
         state = self._state
         state.me = replace(state.me, incarnation=incarnation, facts=facts)
         self._dissemination.enqueue(state.me)
 
     def leave(self) -> None:
-        """Replace this member's own record by one that says that it leaves."""
+        """Replace this member's own record with a left record."""
         state = self._state
         state.has_left = True
         state.me = replace(state.me, state=MemberState.LEFT)
         self._dissemination.enqueue(state.me)
 
     def _apply_to_self(self, record: MemberRecord) -> None:
-        """Refute a suspicion or a death, and outdo the record of an earlier process with this name."""
+        """Refute a suspicion or a death, and supersede the record of an earlier process with this name."""
         state, me = self._state, self._state.me
         is_other_run = record.run_id != me.run_id
         if is_other_run and record.state is MemberState.ALIVE and record.address != me.address:
@@ -143,7 +143,7 @@
 
 
 def _event_kind(state: MemberState, previous: MemberState | None) -> MemberEventKind | None:
-    """What an applied record means; None for new facts of a member that was alive already."""
+    """Return the event that an applied record means; None for new facts of a member that was alive."""
     match state:
         case MemberState.SUSPECT:
             return MemberEventKind.SUSPECTED
--- a/oxbowyard/membership/suspicion.py
+++ b/oxbowyard/membership/suspicion.py
@@ -1,50 +1,50 @@
-"""Suspicion: members that failed a probe have some time to refute it before they are declared dead."""
+"""Suspicion: a member that failed a probe has some time to refute it before it is declared dead."""
 
 from __future__ import annotations
 
 from .member_list import Member
 from .state import ProtocolState
 
-HEALTH_WEIGHT = 0.5  # of a step of this member's health score, in suspicion timeouts
+HEALTH_WEIGHT = 0.5  # share of its timeout by which each step of the health score lengthens a suspicion
 
 
 class Suspicions:
-    """The suspicions that this member holds, by the suspect's name."""
+    """This member's current suspicions, by the suspect's name."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
         self._began_at: dict[str, float] = {}  # seconds
 
     def begin(self, name: str) -> None:
-        """Start the timeout, unless it runs already."""
+        """Start the timeout of a suspicion, unless it is already running."""
         self._began_at.setdefault(name, self._state.now)
 
     def end(self, name: str) -> None:
-        """Drop the suspicion: the member refuted it, or another one declared it dead."""
+        """Remove the suspicion: the member refuted it or left, or was declared dead."""
         self._began_at.pop(name, None)
 
     def members(self) -> list[Member]:
-        """The suspects that are known members."""
+        """Return the suspects that are still in the member list."""
         found = (self._state.members.get(name) for name in self._began_at)
         return [member for member in found if member is not None]
 
     def extend(self, stalled_s: float) -> None:
-        """Lengthen every timeout by the time in which this process could receive no refutation."""
+        """Extend every timeout by the time in which this process could not receive a refutation."""
         self._began_at = {name: began_at + stalled_s for name, began_at in self._began_at.items()}
 
     def longest_timeout_s(self) -> float:
-        """How long a suspicion lasts that nobody confirms, by this member's health as it is now."""
+        """Return how long a suspicion without confirmations lasts at this member's current health."""
         return self._timeout_s(confirmations=0)
 
     def pop_expired(self) -> list[str]:
-        """Remove the suspicions whose time is over; returns the suspects' names."""
+        """Remove the expired suspicions; return the suspects' names."""
         expired = [name for name in self._began_at if self._state.now >= self._ends_at(name)]
         for name in expired:
             del self._began_at[name]
         return expired
 
     def due_times(self) -> list[float]:
-        """When the suspicions expire."""
+        """Return the times at which the suspicions expire."""
         return [self._ends_at(name) for name in self._began_at]
 
     def _timeout_s(self, confirmations: int) -> float:
--- a/oxbowyard/membership/table.py
+++ b/oxbowyard/membership/table.py
@@ -1,4 +1,4 @@
-"""The table `[membership]` of the operator's file. Its keys are the names of the fields here."""
+"""The table `[membership]` of the operator's file. The fields' names are the keys of that table."""
 
 from __future__ import annotations
 
@@ -14,52 +14,57 @@
 
 
 class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """`[membership]`. All schedulers of a group should have the same but for their addresses."""
+    """`[membership]`. All schedulers of a group should have the same settings except for their addresses."""
 
     listen: Address  # UDP and TCP; an IPv4 address of this machine
-    advertise: Address | None = None  # where the other members reach it; None: at `listen`
-    seeds: tuple[Address, ...] = ()  # any members of the group; its own address among them does no harm
+    advertise: Address | None = None  # where the other members reach it; None means `listen`
+    seeds: tuple[Address, ...] = ()  # any members of the group; this member's own address is ignored
     group: Annotated[str, Meta(min_length=1, max_length=64)] = "oxbowyard"
-    period_s: Annotated[float, Meta(ge=0.1, le=60)] = 0.5  # each member probes one other in this time
-    answer_within_s: Annotated[float, Meta(ge=0.01, le=30)] = 0.2  # over the longest round trip
-    forget_s: Seconds = 600.0  # dead members are kept for so long; a split may last longer
-    max_members: Annotated[int, Meta(ge=2, le=10_000)] = 1000  # some 1 kB each
-    max_notes: Annotated[int, Meta(ge=1, le=100_000)] = 10_000  # faults and drains, some 0.4 kB each
-    # Past it the socket is not read for a while, and the kernel drops what its buffer has no room for.
+    period_s: Annotated[float, Meta(ge=0.1, le=60)] = 0.5  # each member probes one other member per period
+    answer_within_s: Annotated[float, Meta(ge=0.01, le=30)] = 0.2  # must exceed the longest round trip
+    forget_s: Seconds = 600.0  # how long dead members stay listed; a partition may last longer
+    max_members: Annotated[int, Meta(ge=2, le=10_000)] = 1000  # about 1 kB each
+    max_notes: Annotated[int, Meta(ge=1, le=100_000)] = 10_000  # fault reports and drains, about 0.4 kB each
+    # Above this rate the socket is not read for a moment, and the kernel drops what its buffer can't hold.
     max_datagrams_s: Annotated[int, Meta(ge=20, le=1_000_000)] = 2000
-    max_streams: Annotated[int, Meta(ge=1, le=1000)] = 32  # connections of other members at once
+    max_streams: Annotated[int, Meta(ge=1, le=1000)] = 32  # simultaneous connections of other members
     max_stream_bytes: Annotated[int, Meta(ge=1 << 14, le=1 << 26)] = 1 << 22  # of one push-pull message
-    stream_within_s: Annotated[float, Meta(gt=0, le=60)] = 3.0  # a request and its reply
-    # The cluster's size in place of the configured number of schedulers.
-    doubt_s: Seconds = 60.0  # a dead member still counts for so long
-    split_s: Seconds = 600.0  # and for so long if over a quarter died within doubt_s: it may be a split
-    share_troubles: bool = True  # workers that one finds faulty or warming up are avoided by the others too
+    stream_within_s: Annotated[float, Meta(gt=0, le=60)] = 3.0  # for a request and its reply
+    # For the estimated cluster size, which replaces the configured number of schedulers:
+    doubt_s: Seconds = 60.0  # how long a dead member still counts
+    split_s: Seconds = 600.0  # how long, if over a quarter died within doubt_s: it may be a partition
+    share_troubles: bool = True  # workers that one scheduler finds faulty or warming up are avoided by all
 
     def __post_init__(self) -> None:
-        """Raises ValueError, whose text is shown to the operators, for values that contradict each other."""
+        """Raise ValueError, whose text is shown to the operators, for values that contradict each other."""
         if self.answer_within_s >= self.period_s:
-            raise ValueError("answer_within_s must be under period_s")
+            raise ValueError(
+                f"answer_within_s must be below period_s ({self.period_s}), got {self.answer_within_s}"
+            )
         if self.split_s < self.doubt_s:
-            raise ValueError("split_s must not be under doubt_s")
+            raise ValueError(f"split_s must not be below doubt_s ({self.doubt_s}), got {self.split_s}")
         self._check_address("listen", self.listen, needs_port=self.advertise is None)
         self._check_address("advertise", self.advertised_address, needs_port=True)
         if self.advertised_address.startswith("0.0.0.0:"):
-            raise ValueError("advertise must say where the others reach it: listen names no one host")
+            raise ValueError(
+                "advertise must say where the other members reach this one: "
+                f"{self.advertised_address} is not the address of one host"
+            )
 
     @staticmethod
     def _check_address(key: str, address: str, needs_port: bool) -> None:
         if not is_ipv4_endpoint(address):  # resolving a name for each datagram would block the event loop
-            raise ValueError(f"{key} must be an IPv4 address with its port")
+            raise ValueError(f"{key} must be an IPv4 address and a port, got {address}")
         if needs_port and not 0 < int(address.rpartition(":")[2]) <= MAX_PORT:
-            raise ValueError(f"{key} needs a port")
+            raise ValueError(f"{key} needs a port from 1 to {MAX_PORT}, got {address}")
 
     @property
     def advertised_address(self) -> str:
-        """Where the other members reach this one."""
+        """The address at which the other members reach this one."""
         return self.advertise or self.listen
 
     def protocol_settings(self) -> ProtocolSettings:
-        """The protocol's parameters."""
+        """Return the protocol's parameters."""
         return ProtocolSettings(
             group=self.group,
             probe_interval_s=self.period_s,
--- a/oxbowyard/membership/tcp_transport.py
+++ b/oxbowyard/membership/tcp_transport.py
@@ -1,6 +1,6 @@
-"""Requests to other members by TCP: one connection for each, with one frame there and at most one back.
+"""Requests between members over TCP: one connection for each request, with at most one reply.
 
-A frame is its length in four bytes, big endian, and then a message.
+Request and reply are one frame each: the length in four bytes, big-endian, followed by a message.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from .drops import DropCounter, DropReason
 
 FRAME_LENGTH = struct.Struct(">I")
-MAX_OPEN_REQUESTS = 16  # of this member's own
+MAX_OPEN_REQUESTS = 16  # requests of this member that are open at once
 READ_BUFFER_BYTES = 1 << 16
 ANY_HOST = "0.0.0.0"
 
-RequestHandler = Callable[[bytes], bytes | None]  # from a request's frame to its reply's, if there is one
+RequestHandler = Callable[[bytes], bytes | None]  # takes a request's frame, returns the reply's or None
 
 
 class TcpTransport:
@@ -34,7 +34,7 @@
         self._host = host
         self._max_connections = max_connections
         self._max_frame_bytes = max_frame_bytes
-        self._timeout_s = timeout_s  # for a whole request and its reply
+        self._timeout_s = timeout_s  # for a complete request and its reply
         self._on_request = on_request
         self._drops = drops
         self._server: asyncio.Server | None = None
@@ -42,13 +42,13 @@
         self._requests: set[asyncio.Task[None]] = set()
 
     async def listen(self, port: int) -> int:
-        """Accept connections from now on; returns the port. Raises OSError."""
+        """Start to accept connections; return the port. Raises OSError."""
         self._server = await asyncio.start_server(self._serve, self._host, port, limit=READ_BUFFER_BYTES)
         bound_port: int = self._server.sockets[0].getsockname()[1]
         return bound_port
 
     def request(self, address: str, frame: bytes, on_reply: Callable[[bytes], object]) -> None:
-        """Send a request; `on_reply` is called if a reply comes."""
+        """Send a request; `on_reply` is called if a reply arrives."""
         if len(self._requests) >= MAX_OPEN_REQUESTS:
             self._drops.add(DropReason.REQUEST_LIMIT)
             return
@@ -79,10 +79,10 @@
             self._drops.add(DropReason.REQUEST_FAILED)
         finally:
             if writer is not None:
-                writer.transport.abort()  # the reply is in, and nothing else is expected
+                writer.transport.abort()  # nothing is expected after the reply
 
     async def _connect(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Connect from the listening host, by which the other members know this one."""
+        """Connect from the host that this member listens on, because the others know it by that address."""
         host, _, port = address.rpartition(":")
         local_address = None if self._host == ANY_HOST else (self._host, 0)
         return await asyncio.open_connection(
@@ -111,12 +111,12 @@
             return
         writer.write(FRAME_LENGTH.pack(len(reply)) + reply)
         await writer.drain()
-        await reader.read(1)  # the requester closes once it has read: no reset overtakes the reply
+        await reader.read(1)  # wait until the requester has read and closed: a reset could overtake the reply
 
     async def _read_frame(self, reader: asyncio.StreamReader) -> bytes | None:
-        """A frame, or None if the other side sends none.
+        """Read a frame; return None if the other side closes without sending one.
 
-        Raises EOFError for a broken frame and for one past the limit, which is not waited for.
+        Raises EOFError for a truncated frame, and for one over the limit, whose content is not read.
         """
         try:
             head = await reader.readexactly(FRAME_LENGTH.size)
--- a/oxbowyard/membership/udp_transport.py
+++ b/oxbowyard/membership/udp_transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a member. Its rate of reads is limited: a flood costs a bounded share of the loop."""
+"""The UDP socket of a member. Its read rate is limited, so a flood takes a bounded share of CPU time."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 log = logging.getLogger("oxbowyard.membership")
 
 RATE_WINDOW_S = 0.05
-MAX_READS_PER_WAKEUP = 16  # then the loop's other work has its turn
-MAX_DATAGRAM_READ_BYTES = 2048  # no member sends a longer one
+MAX_READS_PER_WAKEUP = 16  # then the event loop runs its other callbacks
+MAX_DATAGRAM_READ_BYTES = 2048  # no member sends a longer datagram
 MAX_PORT = 65535
 
 
 def is_ipv4_endpoint(address: str) -> bool:
-    """Whether the address is an IPv4 address and a port, so that nothing must be resolved to use it."""
+    """Return whether the address is an IPv4 address and a port, which needs no name resolution."""
     host, _, port = address.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
@@ -28,7 +28,7 @@
 
 
 class UdpTransport:
-    """Sends and receives datagrams; pauses reading past `max_datagrams_s` a second.
+    """Sends and receives datagrams; pauses reading above `max_datagrams_s` datagrams per second.
 
     Raises OSError if the address can't be bound.
     """
@@ -52,13 +52,13 @@
         self._loop.add_reader(self._socket, self._on_readable)
 
     def send(self, data: bytes, address: str) -> None:
-        """Send a datagram. One that can't be sent now is counted, and is as good as lost on the way."""
+        """Send a datagram. One that can't be sent is only counted, since any datagram may be lost anyway."""
         host, _, port = address.rpartition(":")
         try:
-            if is_ipv4_endpoint(address):  # another member named it
+            if is_ipv4_endpoint(address):  # the address came from another member, so it may be invalid
                 self._socket.sendto(data, (host, int(port)))
                 return
-        except OSError:  # its buffer is full, or nobody can be reached there
+        except OSError:  # the socket's buffer is full, or there is no route to the address
             pass
         self._drops.add(DropReason.NOT_SENT)
 
@@ -79,7 +79,7 @@
                 data, (host, port) = self._socket.recvfrom(MAX_DATAGRAM_READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # an ICMP error for an earlier datagram of ours
+            except OSError:  # an ICMP error for an earlier datagram of this member
                 self._drops.add(DropReason.UNREACHABLE)
                 continue
             self._reads_left -= 1
