--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The group's protocol in virtual time: many histories, each of one seed, and its hard cases one by one."""
+"""The membership protocol in virtual time: random histories, each from one seed, and single hard cases."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from oxbowyard.membership.protocol import MembershipProtocol
 from oxbowyard.membership.settings import ProtocolSettings
 
-CONVERGENCE_S = 20.0  # seconds in which a group of eight has met
+CONVERGENCE_S = 20.0  # time in which a group of eight has converged
 HEADER = Header(PROTOCOL_VERSION, "oxbowyard", "m1", 7, "10.0.0.1:1")
 
 
@@ -52,11 +52,11 @@
 
 
 def is_converged(group: VirtualGroup) -> bool:
-    """Everybody that runs knows just those that run."""
+    """Return whether every running member regards exactly the running members as live."""
     names = set(group.nodes)
     return all(
-        {m.record.name for m in n.protocol.members if m.is_live} == names - {n.name}
-        for n in group.nodes.values()
+        {member.record.name for member in node.protocol.members if member.is_live} == names - {node.name}
+        for node in group.nodes.values()
     )
 
 
@@ -68,15 +68,18 @@
 
 
 def names_declared_dead(group: VirtualGroup) -> set[str]:
-    return {n.name for _, _, n in group.events(MemberEventKind.DIED)}
+    return {event.name for _, _, event in group.events(MemberEventKind.DIED)}
 
 
-# ---- Histories by chance ----
+# ---- Random histories ----
 
 
 @pytest.mark.parametrize("first", range(0, 60, 12))
 def test_random_faults_kill_no_reachable_member_and_the_group_reconverges(first: int) -> None:
-    """Kills, restarts, pauses, one-sided cuts, loss and doubling by chance; a failure names its seed."""
+    """Guard against false deaths and lasting splits after random faults; a failure names its seed.
+
+    The faults are kills, restarts, pauses, one-way partitions, and loss and duplication of datagrams.
+    """
     for seed in range(first, first + 12):
         group, random = converged_group(8, seed), Random(seed)
         incarnations: dict[tuple[str, str, int], int] = {}
@@ -87,7 +90,7 @@
             node: Node, event: NotifyMemberEvent, seed: int = seed, faulted: set[str] = faulted
         ) -> None:
             if event.kind is MemberEventKind.DIED:
-                assert event.name in faulted, f"seed {seed}: {event.name} was thought dead at {node.name}"
+                assert event.name in faulted, f"seed {seed}: {node.name} declared {event.name} dead"
 
         group.watch = check
         for _ in range(4):
@@ -115,7 +118,7 @@
         group.link.loss = group.link.doubled = 0.0
         group.cuts.clear()
         group.run(group.now + 90)
-        assert is_converged(group), f"seed {seed}: not met 90 s after the last fault"
+        assert is_converged(group), f"seed {seed}: not converged 90 s after the last fault"
 
 
 # ---- Pauses ----
@@ -126,7 +129,11 @@
 def test_paused_member_refutes_its_death_and_declares_no_other_member_dead(
     seconds: float, dies: bool | None, reads_first: bool
 ) -> None:
-    """Half a second is a loop held up as well; it may read its sockets before its timers, or after."""
+    """Guard against a paused member that blames the others for its own silence.
+
+    A pause of half a second may also be a blocked event loop. After a pause the loop may read its sockets
+    before or after it runs its timers.
+    """
     group = converged_group()
     group.reads_first = reads_first
     group.stop("m3", seconds)
@@ -136,13 +143,13 @@
     group.run(CONVERGENCE_S + seconds + 40)
     assert is_converged(group) and names_declared_dead(group) <= {"m3"}
     node = group.nodes["m3"]
-    assert not [n for _, n in node.events if n.kind is MemberEventKind.DIED]
-    assert any(n.kind is MemberEventKind.STALLED for _, n in node.events)
+    assert not [event for _, event in node.events if event.kind is MemberEventKind.DIED]
+    assert any(event.kind is MemberEventKind.STALLED for _, event in node.events)
     if dies:
-        assert any(n.kind is MemberEventKind.REFUTED for _, n in node.events)
+        assert any(event.kind is MemberEventKind.REFUTED for _, event in node.events)
 
 
-# ---- Cuts ----
+# ---- Partitions ----
 
 
 def test_one_way_partition_between_two_members_causes_no_death() -> None:
@@ -155,7 +162,7 @@
 def test_partitioned_zones_reconnect_after_dead_members_were_forgotten() -> None:
     group = VirtualGroup(9, 3, ProtocolSettings(dead_retention_s=30.0))
     group.run(CONVERGENCE_S)
-    zones = {n.name: n.protocol.me.zone for n in group.nodes.values()}
+    zones = {node.name: node.protocol.me.zone for node in group.nodes.values()}
     for one in zones:
         for other in zones:
             if one != other and (zones[one] == "z0") != (zones[other] == "z0"):
@@ -167,16 +174,22 @@
     assert is_converged(group)
 
 
-# ---- Coming and going ----
+# ---- Joining, leaving, death and return ----
 
 
 def test_killed_member_is_declared_dead_by_all_within_six_seconds() -> None:
     group = converged_group(32, 5)
     group.kill("m7")
-    at = group.now
-    group.run(at + 10)
+    killed_at = group.now
+    group.run(killed_at + 10)
     assert (
-        len([1 for when, _, n in group.events(MemberEventKind.DIED) if n.name == "m7" and when < at + 6])
+        len(
+            [
+                1
+                for when, _, event in group.events(MemberEventKind.DIED)
+                if event.name == "m7" and when < killed_at + 6
+            ]
+        )
         == 31
     )
 
@@ -186,7 +199,7 @@
     group.leave("m4")
     group.run(CONVERGENCE_S + 20)
     assert is_converged(group) and not names_declared_dead(group)
-    assert {n.name for _, _, n in group.events(MemberEventKind.LEFT)} == {"m4"}
+    assert {event.name for _, _, event in group.events(MemberEventKind.LEFT)} == {"m4"}
     for other in list(group.nodes):
         group.cut("m5", other)
     group.leave("m5")
@@ -201,8 +214,8 @@
     group.add("m2", old.protocol.me.address, "z2", ("10.0.0.0:1",))
     group.run(CONVERGENCE_S + 30)
     assert is_converged(group)
-    runs = {n.protocol.members.by_name["m2"].record.run_id for n in group.nodes.values() if n.name != "m2"}
-    assert runs == {group.nodes["m2"].protocol.me.run_id}
+    run_ids = {n.protocol.members.by_name["m2"].record.run_id for n in group.nodes.values() if n.name != "m2"}
+    assert run_ids == {group.nodes["m2"].protocol.me.run_id}
 
 
 def test_name_conflict_is_reported_by_both_processes_and_the_first_remains() -> None:
@@ -211,8 +224,8 @@
     second = group.add("m2", "10.9.9.9:1", "z2", ("10.0.0.0:1",))
     group.nodes["m2"], group.nodes["other"] = first, second
     group.run(CONVERGENCE_S + 60)
-    assert any(n.kind is MemberEventKind.CONFLICT for _, n in first.events)
-    assert any(n.kind is MemberEventKind.CONFLICT for _, n in second.events)
+    assert any(event.kind is MemberEventKind.CONFLICT for _, event in first.events)
+    assert any(event.kind is MemberEventKind.CONFLICT for _, event in second.events)
     assert group.nodes["m5"].protocol.members.by_name["m2"].record.run_id == first.protocol.me.run_id
 
 
@@ -245,9 +258,9 @@
 def test_members_over_the_limit_are_rejected_and_reported_once() -> None:
     group = VirtualGroup(5, 1, ProtocolSettings(max_members=3))
     group.run(CONVERGENCE_S)
-    assert all(len(n.protocol.members.by_name) <= 3 for n in group.nodes.values())
-    said = Counter((node, n.name) for _, node, n in group.events(MemberEventKind.REJECTED))
-    assert said and max(said.values()) == 1, "once at each, not with every message"
+    assert all(len(node.protocol.members.by_name) <= 3 for node in group.nodes.values())
+    reports = Counter((name, event.name) for _, name, event in group.events(MemberEventKind.REJECTED))
+    assert reports and max(reports.values()) == 1, "each member reports a rejected process just once"
 
 
 def test_changed_facts_reach_every_member() -> None:
@@ -255,15 +268,19 @@
     node = group.nodes["m1"]
     group.hand(node, FactsChanged({"open_jobs": 7.0}))
     group.run(CONVERGENCE_S + 10)
-    views = [n.protocol.members.by_name["m1"].record.facts for n in group.nodes.values() if n.name != "m1"]
+    views = [
+        other.protocol.members.by_name["m1"].record.facts
+        for other in group.nodes.values()
+        if other.name != "m1"
+    ]
     assert views == [{"open_jobs": 7.0}] * 7
 
 
-# ---- One step at a time ----
+# ---- Single events ----
 
 
 def started_protocol() -> MembershipProtocol:
-    """A member that has just begun."""
+    """Return the protocol of a member that has just started, without other members."""
     protocol = MembershipProtocol("me", 1, "me:1", "z", ProtocolSettings(), Random(1))
     protocol.handle(0.0, Started())
     return protocol
@@ -274,7 +291,10 @@
 
 
 def test_live_count_includes_suspects() -> None:
-    """Cold workers' budgets go by it: half the group suspected must not double what each sends."""
+    """Guard against doubled traffic to cold workers, whose budget is divided by the live count.
+
+    If half the group is only suspected, the share of each scheduler must not double.
+    """
     protocol = started_protocol()
     suspect, dead = MemberState.SUSPECT, MemberState.DEAD
     records = [record("a"), record("b"), record("c", state=suspect)]
@@ -297,15 +317,15 @@
 def test_merge_applies_only_records_that_take_precedence() -> None:
     members = MemberList(4)
     suspect, dead = MemberState.SUSPECT, MemberState.DEAD
-    assert members.merge(record(state=dead), 1, "") is MergeResult.STALE  # never known
+    assert members.merge(record(state=dead), 1, "") is MergeResult.STALE  # of an unknown member
     assert members.merge(record(), 1, "") is MergeResult.APPLIED
     assert members.merge(record(state=suspect, accuser="x"), 2, "") is MergeResult.APPLIED
     assert members.merge(record(state=suspect, accuser="x"), 2, "") is MergeResult.STALE
     assert members.merge(record(state=suspect, accuser="y"), 2, "") is MergeResult.CONFIRMED
-    assert members.merge(record(), 3, "") is MergeResult.STALE  # only a higher incarnation clears it
+    assert members.merge(record(), 3, "") is MergeResult.STALE  # only a higher incarnation refutes it
     assert members.merge(record(incarnation=1), 3, "") is MergeResult.APPLIED
-    elsewhere = record(run_id=2, address="b:1", incarnation=5)
-    assert members.merge(elsewhere, 4, "") is MergeResult.CONFLICT
+    at_other_address = record(run_id=2, address="b:1", incarnation=5)
+    assert members.merge(at_other_address, 4, "") is MergeResult.CONFLICT
     restarted = record(run_id=2, incarnation=2)  # from the same address
     assert members.merge(restarted, 4, "") is MergeResult.APPLIED
     assert members.merge(record(run_id=1, incarnation=1, state=dead), 5, "") is MergeResult.STALE
@@ -318,22 +338,22 @@
     many = [record(f"member-with-a-long-name-{i}", facts=facts) for i in range(60)]
     protocol.handle(0.1, received_event(PushPull(HEADER, False, many)))
     instructions = [i for t in range(1, 200) for i in protocol.handle(t * 0.1, TimerFired())]
-    sent = [i for i in instructions if isinstance(i, SendMessage) and not i.by_stream]
-    assert sent and max(len(encode(i.message)) for i in sent) <= MAX_DATAGRAM_BYTES
+    datagrams = [i for i in instructions if isinstance(i, SendMessage) and not i.by_stream]
+    assert datagrams and max(len(encode(i.message)) for i in datagrams) <= MAX_DATAGRAM_BYTES
 
 
 def test_relayed_probes_are_bounded_under_a_flood_of_ping_requests() -> None:
     protocol = started_protocol()
-    out: list[Instruction] = []
+    instructions: list[Instruction] = []
     for number in range(5000):
-        out += protocol.handle(0.01, received_event(PingRequest(HEADER, number, "a", "a:1", [])))
-    assert len(out) <= 100
+        instructions += protocol.handle(0.01, received_event(PingRequest(HEADER, number, "a", "a:1", [])))
+    assert len(instructions) <= 100
     protocol.handle(30.0, TimerFired())
     protocol.handle(60.0, TimerFired())
     assert len(protocol._relay) == 0
 
 
-# ---- Bytes ----
+# ---- Encoding ----
 
 
 @given(st.binary(max_size=400))
@@ -346,10 +366,10 @@
     message = Ping(HEADER, 5, "a", [record(facts={"x": 1.0})])
     data = encode(message)
     assert decode(data, "oxbowyard", 64) == message
-    for cut in range(len(data)):
+    for length in range(len(data)):
         with pytest.raises(MalformedMessageError):
-            decode(data[:cut], "oxbowyard", 64)
-    for bad, group in (
+            decode(data[:length], "oxbowyard", 64)
+    for invalid, group in (
         (data, "another"),
         (encode(Ping(HEADER, 5, "a", [record()] * 65)), "oxbowyard"),
         (encode(Ping(HEADER, 5, "a", [record(name="")])), "oxbowyard"),
@@ -357,20 +377,20 @@
         (encode(Nack(Header(0, "oxbowyard", "m", 1, ""), 1, "a")), "oxbowyard"),
     ):
         with pytest.raises(MalformedMessageError):
-            decode(bad, group, 64)
+            decode(invalid, group, 64)
 
 
 def test_messages_of_older_and_newer_versions_are_decoded() -> None:
     newer = msgspec.msgpack.decode(encode(Ack(HEADER, 5, "a", [record()])))
-    newer.append("a field of later")
-    newer[1].append("and one of the head's")
+    newer.append("a field of later")  # of the message
+    newer[1].append("and one of the head's")  # of its header
     assert decode(msgspec.msgpack.encode(newer), "oxbowyard", 64) == Ack(HEADER, 5, "a", [record()])
     older = msgspec.msgpack.decode(encode(Ack(HEADER, 5, "a", [])))[:4]
     assert decode(msgspec.msgpack.encode(older), "oxbowyard", 64) == Ack(HEADER, 5, "a", [])
 
 
 def test_flapping_member_causes_no_other_death_and_rejoins_once_stable() -> None:
-    """Killed and back every few seconds: the others stay, and it is a member again once it stays."""
+    """Guard against deaths of other members while one is killed and restarted every few seconds."""
     group = converged_group(8, 3)
     for turn in range(12):
         node = group.kill("m3")
@@ -383,8 +403,8 @@
 
 def test_member_joins_with_only_one_live_seed() -> None:
     group = converged_group(5, 4)
-    dead = tuple(f"10.9.9.{i}:1" for i in range(6))
-    group.add("late", "10.0.7.7:1", "z1", (*dead, "10.0.0.2:1"))
+    dead_seeds = tuple(f"10.9.9.{i}:1" for i in range(6))
+    group.add("late", "10.0.7.7:1", "z1", (*dead_seeds, "10.0.0.2:1"))
     group.run(group.now + 5.0)
     assert is_converged(group)
 
@@ -400,11 +420,13 @@
     group = converged_group(8, 5)
     group.link.loss = 0.5
     group.run(group.now + 60.0)
-    without = VirtualGroup(8, 5, ProtocolSettings(volunteer_count=0.0, stream_probe_enabled=False))
-    without.run(CONVERGENCE_S)
-    without.link.loss = 0.5
-    without.run(without.now + 60.0)
-    assert len(list(group.events(MemberEventKind.DIED))) * 5 < len(list(without.events(MemberEventKind.DIED)))
+    datagrams_only = VirtualGroup(8, 5, ProtocolSettings(volunteer_count=0.0, stream_probe_enabled=False))
+    datagrams_only.run(CONVERGENCE_S)
+    datagrams_only.link.loss = 0.5
+    datagrams_only.run(datagrams_only.now + 60.0)
+    assert len(list(group.events(MemberEventKind.DIED))) * 5 < len(
+        list(datagrams_only.events(MemberEventKind.DIED))
+    )
 
 
 def test_membership_and_peers_do_not_read_the_wall_clock() -> None:
--- a/tests/test_membership_histories.py
+++ b/tests/test_membership_histories.py
@@ -1,8 +1,9 @@
-"""Recorded histories of the membership protocol in virtual time: every step and every byte stays the same.
+"""Recorded histories of the membership protocol in virtual time, which guard against any change of behaviour.
 
-A history is one seed's: kills, restarts, pauses, cuts, loss, entries and leaves among a group of members.
-What each member does in it (bytes sent, where to and how, events, entries delivered, its next timer) goes
-into one digest. tests/fixtures/membership_histories.json holds those of commit 52dd340, written at it by
+The seed of a history determines its kills, restarts, pauses, partitions, loss, entries and leaves. One digest
+covers all that each member does: the bytes that it sends with address and transport, its events, the entries
+that it delivers, and its next timer. tests/fixtures/membership_histories.json holds the digests of commit
+52dd340, where they were written by
 
     python -m tests.test_membership_histories > tests/fixtures/membership_histories.json
 """
@@ -53,7 +54,7 @@
 
 
 class RecordedGroup(VirtualGroup):
-    """A virtual group that digests all that its members do."""
+    """A virtual group that computes a digest of all that its members do."""
 
     def __init__(self, size: int, seed: int, settings: ProtocolSettings) -> None:
         self.digest = hashlib.sha256()
@@ -62,7 +63,7 @@
 
     def _carry_out(self, node: Node, instructions: list[Instruction]) -> None:
         for instruction in instructions:
-            self._record(f"{self.now!r} {node.name} {_line(instruction)}")
+            self._record(f"{self.now!r} {node.name} {_format_instruction(instruction)}")
         super()._carry_out(node, instructions)
         protocol = node.protocol
         self._record(f"{node.name} due {protocol.due_at!r} health {protocol.health_score}")
@@ -72,17 +73,17 @@
         self.digest.update(line.encode() + b"\n")
 
 
-def _line(instruction: Instruction) -> str:
+def _format_instruction(instruction: Instruction) -> str:
     if isinstance(instruction, NotifyMemberEvent):
-        return f"event {EVENT_CODES[instruction.kind]} {instruction.name} {_detail(instruction)}"
+        return f"event {EVENT_CODES[instruction.kind]} {instruction.name} {_event_detail(instruction)}"
     if isinstance(instruction, DeliverEntry):
-        e = instruction.entry
-        figures = f"{e.lamport_time} {e.value!r} {e.age_s!r} {e.lifetime_s!r}"
-        return f"entry {e.key} {e.author} {figures} {e.is_shared}"
+        entry = instruction.entry
+        numbers = f"{entry.lamport_time} {entry.value!r} {entry.age_s!r} {entry.lifetime_s!r}"
+        return f"entry {entry.key} {entry.author} {numbers} {entry.is_shared}"
     return f"send {instruction.address} {instruction.by_stream} {encode(instruction.message).hex()}"
 
 
-def _detail(event: NotifyMemberEvent) -> str:
+def _event_detail(event: NotifyMemberEvent) -> str:
     if event.kind is MemberEventKind.STALLED:
         return f"{event.stalled_s:.1f} s"
     if event.kind in (MemberEventKind.CONFLICT, MemberEventKind.REJECTED):
@@ -90,31 +91,31 @@
     return event.accuser
 
 
-def play(size: int, seed: int, settings: ProtocolSettings) -> dict[str, object]:
-    """One history: its digest, its number of steps, and how often each kind of event came."""
+def run_history(size: int, seed: int, settings: ProtocolSettings) -> dict[str, object]:
+    """Run one history; return its digest, its number of steps, and the count of each kind of event."""
     group, random = RecordedGroup(size, seed, settings), Random(seed)
     group.run(15.0)
-    for turn in range(8):
+    for step in range(8):
         group.reads_first = random.random() < 0.5
         group.link.loss, group.link.doubled = random.choice((0.0, 0.1, 0.3)), random.choice((0.0, 0.3))
         name, other = random.sample(sorted(group.nodes), 2)
-        group.hand(group.nodes[name], FactsChanged({"state": 1.0, "held": float(turn)}))
-        group.write(name, EntryWritten(f"bar:w{turn}", 0.0, 6.0, is_urgent=True))
-        group.write(other, EntryWritten("out:w1", float(turn % 2), 1e6, True, is_urgent=turn % 3 > 0))
-        match turn % 6:
+        group.hand(group.nodes[name], FactsChanged({"state": 1.0, "held": float(step)}))
+        group.write(name, EntryWritten(f"bar:w{step}", 0.0, 6.0, is_urgent=True))
+        group.write(other, EntryWritten("out:w1", float(step % 2), 1e6, True, is_urgent=step % 3 > 0))
+        match step % 6:
             case 0:
                 group.stop(name, random.choice((0.5, 5.0, 12.0)))
             case 1:
                 group.cut(name, other, both=False)
             case 2:
-                gone = group.kill(name).protocol.me
+                killed = group.kill(name).protocol.me
                 group.run(group.now + random.uniform(0.1, 4.0))
-                group.add(name, gone.address, gone.zone, ("10.0.0.0:1", "10.0.0.1:1"))
+                group.add(name, killed.address, killed.zone, ("10.0.0.0:1", "10.0.0.1:1"))
             case 3:
                 for third in group.nodes:
                     group.cut(name, third)
             case 4:
-                group.add(f"late{turn}", f"10.9.0.{turn}:1", "z1", ("10.0.0.1:1",))
+                group.add(f"late{step}", f"10.9.0.{step}:1", "z1", ("10.0.0.1:1",))
                 twin = group.nodes[name]
                 group.add(name, "10.9.9.9:1", "z2", ("10.0.0.0:1",))
                 group.nodes["twin"] = twin
@@ -131,7 +132,7 @@
 
 @pytest.mark.parametrize("name", list(HISTORIES))
 def test_history_matches_its_recorded_digest(name: str) -> None:
-    assert play(*HISTORIES[name]) == json.loads(FIXTURE.read_text())[name]
+    assert run_history(*HISTORIES[name]) == json.loads(FIXTURE.read_text())[name]
 
 
 def test_recorded_histories_cover_each_kind_of_event() -> None:
@@ -141,4 +142,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps({name: play(*history) for name, history in HISTORIES.items()}, indent=1))
+    print(json.dumps({name: run_history(*history) for name, history in HISTORIES.items()}, indent=1))
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""The membership messages' bytes: those of the program before its names changed, sent and read alike."""
+"""The membership messages are compared with recorded bytes, which guards the wire format against changes."""
 
 from __future__ import annotations
 
