--- a/oxbowyard/membership/table.py
+++ b/oxbowyard/membership/table.py
@@ -14,7 +14,7 @@
 
 
 class MembershipSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """`[membership]`. All schedulers of a group should have the same settings except for their addresses."""
+    """`[membership]`. All schedulers of a group should have the same but for their addresses."""
 
     listen: Address  # UDP and TCP; an IPv4 address of this machine
     advertise: Address | None = None  # where the other members reach it; None means `listen`
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -90,7 +90,7 @@
             node: Node, event: NotifyMemberEvent, seed: int = seed, faulted: set[str] = faulted
         ) -> None:
             if event.kind is MemberEventKind.DIED:
-                assert event.name in faulted, f"seed {seed}: {node.name} declared {event.name} dead"
+                assert event.name in faulted, f"seed {seed}: {event.name} was declared dead by {node.name}"
 
         group.watch = check
         for _ in range(4):
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -242,7 +242,7 @@
 def test_worker_ejected_by_one_scheduler_is_avoided_by_its_peers(tmp_path: Path, workers: str) -> None:
     """Guard against schedulers that each have to find a faulty worker themselves.
 
-    No process listens on w4's port: one scheduler ejects w4 after its first attempt and tells the others.
+    No process listens on w4's port: one scheduler ejects w4 after its first attempt and notifies the others.
     """
     with fleet(tmp_path, CONFIG | {"discovery": workers}) as group:
         members = start_members(group, 3)
