--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -45,8 +45,8 @@
         self.attempts.append((backend, request.id))
         return await self._attempt(backend, request, context)
 
-    async def serve(self, job_class: str, patience: float = 1.0, id_: str = "r") -> Answer:
-        return await self.scheduler.serve(Request(id_, job_class, patience))
+    async def serve(self, job_class: str, timeout_s: float = 1.0, id_: str = "r") -> Answer:
+        return await self.scheduler.serve(Request(id_, job_class, timeout_s))
 
 
 async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -81,7 +81,7 @@
     raise RuntimeError("our own code")
 
 
-async def lost(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def reset_connection(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     return AttemptOutcome(Result.RESET)
 
@@ -99,8 +99,8 @@
         (deaf, "once", AnswerKind.FAILED, 1),
         (breaks, "once", AnswerKind.FAILED, 1),
         (breaks_before, "once", AnswerKind.REJECTED, 3),
-        (lost, "once", AnswerKind.FAILED, 1),
-        (lost, "free", AnswerKind.REJECTED, 3),
+        (reset_connection, "once", AnswerKind.FAILED, 1),
+        (reset_connection, "free", AnswerKind.REJECTED, 3),
         (full, "once", AnswerKind.REJECTED, 3),
     ],
 )
@@ -109,7 +109,7 @@
         stage = Stage(attempt)
         loop = asyncio.get_running_loop()
         start = loop.time()
-        answer = await stage.serve(job_class, patience=0.5)
+        answer = await stage.serve(job_class, timeout_s=0.5)
         assert answer.kind is kind
         assert loop.time() - start < 0.5 + 0.05
         assert 1 <= len(stage.attempts) <= most
@@ -123,7 +123,7 @@
 def test_a_request_that_the_decisions_hold_is_answered() -> None:
     async def play() -> None:
         stage = Stage(served, workers=0)
-        assert (await stage.serve("once", patience=0.3)).kind is AnswerKind.REJECTED
+        assert (await stage.serve("once", timeout_s=0.3)).kind is AnswerKind.REJECTED
         assert stage.attempts == [] and stage.measure.answers == {AnswerKind.REJECTED: 1}
 
     asyncio.run(play())
@@ -149,7 +149,7 @@
         raise ZeroDivisionError
 
     async def play() -> None:
-        stage = Stage(lost)
+        stage = Stage(reset_connection)
         handlers = stage.facade._dispatcher._handlers
         broken = {k: fault if k.__name__ == "AttemptEnded" else v for k, v in handlers.items()}
         monkeypatch.setattr(stage.facade._dispatcher, "_handlers", broken)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from test_core import FREE, ONCE, SETTINGS, Stage, lost
+from test_core import FREE, ONCE, SETTINGS, Stage, reset_connection
 
 from oxbowyard.control.cordon_file import CordonFile
 from oxbowyard.control.maintenance import Maintenance
@@ -66,14 +66,14 @@
     """Taken as one that must not run twice, it is never attempted again after its class turned harmless."""
 
     async def play() -> None:
-        stage = Stage(lost)
+        stage = Stage(reset_connection)
         loosened = replace(SETTINGS, classes=(FREE, replace(ONCE, retry_safety=RetrySafety.IDEMPOTENT)))
-        waiting = asyncio.ensure_future(stage.serve("once", patience=0.5))
+        waiting = asyncio.ensure_future(stage.serve("once", timeout_s=0.5))
         await asyncio.sleep(0)
         stage.scheduler.apply_settings(loosened)
         assert (await waiting).kind is AnswerKind.FAILED
         assert len(stage.attempts) == 1
-        fresh = await stage.serve("once", patience=0.5, id_="r2")  # taken after: harmless now
+        fresh = await stage.serve("once", timeout_s=0.5, id_="r2")  # taken after: harmless now
         assert fresh.kind is AnswerKind.REJECTED and len(stage.attempts) > 2
 
     asyncio.run(play())
@@ -81,9 +81,9 @@
 
 def test_a_new_class_is_counted_from_nothing() -> None:
     async def play() -> None:
-        stage = Stage(lost)
+        stage = Stage(reset_connection)
         stage.scheduler.apply_settings(replace(SETTINGS, classes=(*SETTINGS.classes, NEW)))
-        await stage.serve("new", patience=0.3)
+        await stage.serve("new", timeout_s=0.3)
         assert stage.measure.answers_by_class()["new"] == {AnswerKind.REJECTED: 1}
 
     asyncio.run(play())
