--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""The HTTP transport alone."""
+"""Unit tests of the HTTP backend transport and the registry of addresses."""
 
 from __future__ import annotations
 
@@ -14,91 +14,91 @@
 from oxbowyard.discovery.registry import DRAIN_MARGIN_MS, Registry
 
 
-def listed(registry: Registry, port: int, state: str) -> None:
+def apply_entry(registry: Registry, port: int, state: str) -> None:
     row = {"uid": "w", "endpoint": f"127.0.0.1:{port}", "state": state}
     registry.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": [row]}))
 
 
-def test_nothing_is_sent_once_the_drain_second_has_passed_while_connecting() -> None:
-    """A slow connect may outlast it, and the second counts to the first byte sent."""
-    got: list[bytes] = []
+def test_request_is_not_sent_when_drain_grace_ends_while_connecting() -> None:
+    """A slow connect may outlast the drain grace, within which the first byte has to be sent."""
+    received: list[bytes] = []
     clock = [0.0]
 
-    async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        got.append(await reader.read())
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        received.append(await reader.read())
         writer.close()
 
-    async def play() -> AttemptOutcome:
-        server = await asyncio.start_server(taken, "127.0.0.1", 0)
+    async def scenario() -> AttemptOutcome:
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         registry = Registry(lambda: clock[0], 1000.0)
         backends = HttpBackends(registry, {}, 250.0)
         port = server.sockets[0].getsockname()[1]
-        listed(registry, port, "draining")
-        looked = registry.address
+        apply_entry(registry, port, "draining")
+        lookup = registry.address
 
-        def address(uid: str) -> str | None:  # the first look is before the connect, which takes long
-            found = looked(uid)
+        def address(uid: str) -> str | None:  # the first lookup precedes the connect, which is slow
+            found = lookup(uid)
             clock[0] = 1000.0 - DRAIN_MARGIN_MS
             return found
 
         registry.address = address  # type: ignore[method-assign]
         context = AttemptContext(1.0, lambda: None)
-        ending = await backends.attempt("w", Request("r", "preview", 1.0, "/preview", b"body"), context)
+        outcome = await backends.attempt("w", Request("r", "preview", 1.0, "/preview", b"body"), context)
         assert not context.is_last_byte_written
         await backends.close()
         server.close()
         await server.wait_closed()
         await asyncio.sleep(0)
-        return ending
+        return outcome
 
-    ending = asyncio.run(play())
-    assert ending.result is Result.NOT_SENT and "left while connecting" in ending.reason
-    assert b"".join(got) == b""
+    outcome = asyncio.run(scenario())
+    assert outcome.result is Result.NOT_SENT and "left while connecting" in outcome.reason
+    assert b"".join(received) == b""
 
 
-def test_a_backend_that_left_and_came_back_is_sent_to() -> None:
+def test_backend_that_left_and_returned_has_its_new_address() -> None:
     registry = Registry(lambda: 5000.0, 1000.0)
-    listed(registry, 1, "gone")
-    assert registry.address("w") == "127.0.0.1:1"  # within the second
-    listed(registry, 2, "ready")
+    apply_entry(registry, 1, "gone")
+    assert registry.address("w") == "127.0.0.1:1"  # within the drain grace of one second
+    apply_entry(registry, 2, "ready")
     assert registry.address("w") == "127.0.0.1:2" and registry.address("x") is None
 
 
 @pytest.mark.parametrize(
-    ("job_class", "whole", "result"),
+    ("job_class", "is_complete", "result"),
     [
-        ("accession", False, Result.UNREACHABLE),  # reset before its last byte: it never ran
+        ("accession", False, Result.UNREACHABLE),  # reset before the last byte: the job never ran
         ("accession", True, Result.RESET),
         ("preview", True, Result.RESET),
     ],
 )
-def test_a_reset_before_the_last_byte_proves_that_the_job_never_ran(
-    job_class: str, whole: bool, result: Result
+def test_reset_counts_as_unreachable_only_before_the_last_request_byte(
+    job_class: str, is_complete: bool, result: Result
 ) -> None:
-    async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(5 if whole else 4)
+        await reader.readexactly(5 if is_complete else 4)
         writer.transport.abort()
 
-    async def play() -> AttemptOutcome:
-        server = await asyncio.start_server(taken, "127.0.0.1", 0)
+    async def scenario() -> AttemptOutcome:
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         registry = Registry(lambda: 0.0, 1000.0)
-        listed(registry, server.sockets[0].getsockname()[1], "ready")
+        apply_entry(registry, server.sockets[0].getsockname()[1], "ready")
         backends = HttpBackends(registry, {}, 250.0, {"accession"})
         request = Request("r", job_class, 1.0, "/x", b"sheet")
-        ending = await backends.attempt("w", request, AttemptContext(1.0, lambda: None))
+        outcome = await backends.attempt("w", request, AttemptContext(1.0, lambda: None))
         await backends.close()
         server.close()
-        return ending
+        return outcome
 
-    assert asyncio.run(play()).result is result
+    assert asyncio.run(scenario()).result is result
 
 
-def test_each_attempt_has_a_connection_of_its_own() -> None:
-    """A kept one may be closed by then, unseen: what is written to it ends as a reset."""
+def test_each_attempt_opens_a_new_connection() -> None:
+    """A reused connection may already be closed without notice: a request written to it ends as a reset."""
     ports: list[int] = []
 
-    async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         ports.append(writer.get_extra_info("peername")[1])
         line = b'{"id":"r","state":"done","result":"made"}'
         with contextlib.suppress(asyncio.IncompleteReadError):
@@ -106,10 +106,10 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(line) + line)
         writer.close()
 
-    async def play() -> None:
-        server = await asyncio.start_server(taken, "127.0.0.1", 0)
+    async def scenario() -> None:
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         registry = Registry(lambda: 0.0, 1000.0)
-        listed(registry, server.sockets[0].getsockname()[1], "ready")
+        apply_entry(registry, server.sockets[0].getsockname()[1], "ready")
         backends = HttpBackends(registry, {}, 250.0)
         for _ in range(3):
             context = AttemptContext(1.0, lambda: None)
@@ -119,5 +119,5 @@
         await backends.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert len(ports) == len(set(ports)) == 3
--- a/tests/test_bad_numbers.py
+++ b/tests/test_bad_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers that are none, or too large: an error of the parser's own, and nothing infinite inside."""
+"""Invalid numbers in configuration: each is reported as a configuration error, and none becomes infinite."""
 
 from __future__ import annotations
 
@@ -48,57 +48,57 @@
 NUMBERS = st.one_of(st.floats(), st.integers(-(10**400), 10**400), st.booleans())
 
 
-def scalars(value: object, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    """The places of all scalars in a document."""
+def scalar_paths(value: object, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
+    """Yield the paths of all scalars in a document."""
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from scalars(item, (*path, key))
+            yield from scalar_paths(item, (*path, key))
     elif isinstance(value, list):
         for index, item in enumerate(value):
-            yield from scalars(item, (*path, index))
+            yield from scalar_paths(item, (*path, index))
     else:
         yield path
 
 
-def replaced(document: Any, path: tuple[str | int, ...], value: object) -> Any:
-    """A copy with another value at one place."""
+def replace_at(document: Any, path: tuple[str | int, ...], value: object) -> Any:
+    """Return a copy with another value at one path."""
     copy = json.loads(json.dumps(document))
-    place = copy
+    target = copy
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
+        target = target[key]
+    target[path[-1]] = value
     return copy
 
 
-def to_toml(table: dict[str, Any]) -> str:
-    """A document of tables of scalars and lists."""
+def encode_toml(table: dict[str, Any]) -> str:
+    """Return a TOML document of scalars, lists and inline tables."""
 
-    def text(value: object) -> str:
+    def encode(value: object) -> str:
         if isinstance(value, dict):
-            return "{" + ", ".join(f"{json.dumps(k)} = {text(v)}" for k, v in value.items()) + "}"
+            return "{" + ", ".join(f"{json.dumps(k)} = {encode(v)}" for k, v in value.items()) + "}"
         if isinstance(value, float) and not math.isfinite(value):
             return {math.inf: "inf", -math.inf: "-inf"}.get(value, "nan")
         return json.dumps(value)
 
-    return "".join(f"{json.dumps(key)} = {text(value)}\n" for key, value in table.items())
+    return "".join(f"{json.dumps(key)} = {encode(value)}\n" for key, value in table.items())
 
 
-def floats_in(value: object) -> Iterator[float]:
-    """Every number inside a configuration."""
+def iter_floats(value: object) -> Iterator[float]:
+    """Yield every float inside a configuration."""
     if isinstance(value, float):
         yield value
     elif isinstance(value, msgspec.Struct):
         for name in value.__struct_fields__:
-            yield from floats_in(getattr(value, name))
+            yield from iter_floats(getattr(value, name))
     elif is_dataclass(value) and not isinstance(value, type):
         for field in fields(value):
-            yield from floats_in(getattr(value, field.name))
+            yield from iter_floats(getattr(value, field.name))
     elif isinstance(value, dict):
         for item in value.values():
-            yield from floats_in(item)
+            yield from iter_floats(item)
     elif isinstance(value, (list, tuple)):
         for item in value:
-            yield from floats_in(item)
+            yield from iter_floats(item)
 
 
 OPERATOR: dict[str, Any] = tomllib.loads((ROOT / "deploy/operator.toml").read_text()) | {
@@ -110,32 +110,32 @@
 
 
 @pytest.mark.parametrize("value", [v for v in BAD_VALUES if v is not None], ids=repr)
-def test_no_value_in_the_operators_file_raises_or_gets_infinity_in(value: object, tmp_path: Path) -> None:
-    # Guards against NaN, which passes every bound, and against errors that are no line about the file.
+def test_bad_value_in_the_operator_file_is_rejected_or_finite(value: object, tmp_path: Path) -> None:
+    # Guards against NaN, which passes every bound check, and against exceptions other than OperatorFileError.
     path = tmp_path / "operator.toml"
-    for place in scalars(OPERATOR):
-        path.write_text(to_toml(replaced(OPERATOR, place, value)))
+    for path_in_file in scalar_paths(OPERATOR):
+        path.write_text(encode_toml(replace_at(OPERATOR, path_in_file, value)))
         try:
             config = load_operator(path, CLASSES)
         except OperatorFileError:
             continue
-        assert all(math.isfinite(number) for number in floats_in(config)), place
+        assert all(math.isfinite(number) for number in iter_floats(config)), path_in_file
 
 
 @pytest.mark.parametrize("value", BAD_VALUES, ids=repr)
-def test_no_value_in_the_platforms_file_raises_or_gets_infinity_in(value: object, tmp_path: Path) -> None:
+def test_bad_value_in_the_platform_file_is_rejected_or_finite(value: object, tmp_path: Path) -> None:
     document = json.loads((ROOT / "examples/config.json").read_text())
     path = tmp_path / "config.json"
-    for place in scalars(document):
-        path.write_text(json.dumps(replaced(document, place, value)))
+    for path_in_file in scalar_paths(document):
+        path.write_text(json.dumps(replace_at(document, path_in_file, value)))
         try:
             config = load({"LB_CONFIG": str(path)})
         except ConfigurationError:
             continue
-        allowed = {"max_poll_interval_ms"}  # infinite: discovery is not asked
+        allowed = {"max_poll_interval_ms"}  # infinite when discovery is not polled
         numbers = [n for f in fields(config.settings) if f.name not in allowed
-                   for n in floats_in(getattr(config.settings, f.name))]  # fmt: skip
-        assert all(math.isfinite(number) for number in (*numbers, config.memory_mb)), place
+                   for n in iter_floats(getattr(config.settings, f.name))]  # fmt: skip
+        assert all(math.isfinite(number) for number in (*numbers, config.memory_mb)), path_in_file
 
 
 @pytest.mark.parametrize(
@@ -148,12 +148,12 @@
         {"settings": {"lanes": [1]}},
     ],
 )
-def test_check_names_the_fault_of_settings_that_are_no_table(document: object, tmp_path: Path) -> None:
+def test_check_command_reports_settings_that_are_not_a_table(document: object, tmp_path: Path) -> None:
     # Guards against a command that ends in a traceback.
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
-    done = CliRunner().invoke(app, ["check", str(path)])
-    assert done.exit_code == 2 and "settings" in done.output and done.exception.__class__ is SystemExit
+    result = CliRunner().invoke(app, ["check", str(path)])
+    assert result.exit_code == 2 and "settings" in result.output and result.exception.__class__ is SystemExit
 
 
 def gearman_document(**values: object) -> dict[str, Any]:
@@ -171,25 +171,25 @@
 
 
 @given(key=st.sampled_from(GEARMAN_KEYS), value=NUMBERS)
-def test_a_number_of_the_gearman_file_is_rejected_or_means_what_it_says(key: str, value: object) -> None:
-    # Guards against NaN that passes `<= 0`, and against 0.5 that becomes 0, which means no limit.
+def test_number_in_the_gearman_table_is_rejected_or_applied_as_given(key: str, value: object) -> None:
+    # Guards against NaN, which passes a check for `<= 0`, and against 0.5, which becomes 0: no limit.
     try:
         config = parse_gearman(gearman_document(**{key: value}), (FREE, ONCE))
     except ValueError:
         return
-    assert all(math.isfinite(number) for number in floats_in(config))
+    assert all(math.isfinite(number) for number in iter_floats(config))
     assert config.max_queue >= 1 and config.max_connections >= 1 and config.max_packet_bytes >= 1
     assert config.functions["f"].deadline_s > 0
 
 
 @given(st.dictionaries(st.sampled_from(["state", "held", "slots", "major", "minor", "new"]), st.floats()))
-def test_a_peers_facts_are_shown_whatever_they_say(facts: dict[str, float]) -> None:
-    # Guards against a peer whose NaN makes the operators' view of the group raise.
+def test_peer_facts_with_invalid_numbers_are_shown_finite(facts: dict[str, float]) -> None:
+    # Guards against a peer's NaN that makes the members view of the admin API raise.
     shown = shown_facts(facts)
     assert all(math.isfinite(value) for value in shown.values() if isinstance(value, float))
 
 
-def test_text_commands_take_a_number_or_say_what_they_take() -> None:
+def test_maxqueue_command_accepts_an_integer_or_reports_incomplete_arguments() -> None:
     config: GearmanConfig = parse_gearman(gearman_document(), (FREE, ONCE))
     commands = TextCommands(config, Jobs.__new__(Jobs), None)  # type: ignore[arg-type]
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core without any wire: every request gets its one answer, whatever fails around it."""
+"""Tests of the core without a network: every request gets exactly one answer, whatever fails."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Stage:
-    """A scheduler over a transport that is one function."""
+    """A scheduler whose transport is one function."""
 
     def __init__(self, attempt: Attempt, workers: int = 2, limits: Limits | None = None) -> None:
         clock = make_unix_ms_clock()
@@ -49,20 +49,20 @@
         return await self.scheduler.serve(Request(id_, job_class, timeout_s))
 
 
-async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def succeed(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     context.on_started()
     return AttemptOutcome(Result.OK, b"made")
 
 
-async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def hang(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
-async def deaf(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
-    """Does not end when it is called off."""
+async def ignore_cancellation(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+    """Ignore cancellation and end on its own."""
     context.is_last_byte_written = True
     while True:
         try:
@@ -72,12 +72,12 @@
             continue
 
 
-async def breaks(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def raise_after_send(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     raise RuntimeError("our own code")
 
 
-async def breaks_before(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def raise_before_send(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     raise RuntimeError("our own code")
 
 
@@ -86,82 +86,86 @@
     return AttemptOutcome(Result.RESET)
 
 
-async def full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def reject_as_full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     return AttemptOutcome(Result.FULL)
 
 
 @pytest.mark.parametrize(
-    ("attempt", "job_class", "kind", "most"),
+    ("attempt", "job_class", "kind", "max_attempts"),
     [
-        (served, "once", AnswerKind.SERVED, 1),
-        (hangs, "once", AnswerKind.FAILED, 1),
-        (hangs, "free", AnswerKind.REJECTED, 3),
-        (deaf, "once", AnswerKind.FAILED, 1),
-        (breaks, "once", AnswerKind.FAILED, 1),
-        (breaks_before, "once", AnswerKind.REJECTED, 3),
+        (succeed, "once", AnswerKind.SERVED, 1),
+        (hang, "once", AnswerKind.FAILED, 1),
+        (hang, "free", AnswerKind.REJECTED, 3),
+        (ignore_cancellation, "once", AnswerKind.FAILED, 1),
+        (raise_after_send, "once", AnswerKind.FAILED, 1),
+        (raise_before_send, "once", AnswerKind.REJECTED, 3),
         (reset_connection, "once", AnswerKind.FAILED, 1),
         (reset_connection, "free", AnswerKind.REJECTED, 3),
-        (full, "once", AnswerKind.REJECTED, 3),
+        (reject_as_full, "once", AnswerKind.REJECTED, 3),
     ],
 )
-def test_one_answer_in_time(attempt: Attempt, job_class: str, kind: AnswerKind, most: int) -> None:
-    async def play() -> None:
+def test_request_gets_one_answer_before_its_deadline(
+    attempt: Attempt, job_class: str, kind: AnswerKind, max_attempts: int
+) -> None:
+    async def scenario() -> None:
         stage = Stage(attempt)
         loop = asyncio.get_running_loop()
         start = loop.time()
         answer = await stage.serve(job_class, timeout_s=0.5)
         assert answer.kind is kind
         assert loop.time() - start < 0.5 + 0.05
-        assert 1 <= len(stage.attempts) <= most
+        assert 1 <= len(stage.attempts) <= max_attempts
         async with asyncio.timeout(5):
             await stage.scheduler.wait_until_idle()
         assert stage.measure.answers == {kind: 1}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_that_the_decisions_hold_is_answered() -> None:
-    async def play() -> None:
-        stage = Stage(served, workers=0)
+def test_queued_request_without_workers_is_rejected() -> None:
+    async def scenario() -> None:
+        stage = Stage(succeed, workers=0)
         assert (await stage.serve("once", timeout_s=0.3)).kind is AnswerKind.REJECTED
         assert stage.attempts == [] and stage.measure.answers == {AnswerKind.REJECTED: 1}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_fault_in_the_decisions_answers_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fault(*_: Any) -> None:
+def test_exception_in_the_dispatcher_rejects_the_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_fault(*_: Any) -> None:
         raise ZeroDivisionError
 
-    async def play() -> None:
-        stage = Stage(served)
+    async def scenario() -> None:
+        stage = Stage(succeed)
         dispatcher = stage.facade._dispatcher
-        monkeypatch.setattr(dispatcher, "_handlers", dict.fromkeys(dispatcher._handlers, fault))
-        assert (await stage.serve("once")).kind is AnswerKind.REJECTED  # it surely never ran
+        monkeypatch.setattr(dispatcher, "_handlers", dict.fromkeys(dispatcher._handlers, raise_fault))
+        assert (await stage.serve("once")).kind is AnswerKind.REJECTED  # it certainly never ran
         monkeypatch.undo()
         assert (await stage.serve("once", id_="r2")).kind is AnswerKind.SERVED
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_fault_after_the_attempt_answers_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fault(*_: Any) -> None:
+def test_exception_in_the_dispatcher_after_an_attempt_fails_the_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def raise_fault(*_: Any) -> None:
         raise ZeroDivisionError
 
-    async def play() -> None:
+    async def scenario() -> None:
         stage = Stage(reset_connection)
         handlers = stage.facade._dispatcher._handlers
-        broken = {k: fault if k.__name__ == "AttemptEnded" else v for k, v in handlers.items()}
+        broken = {k: raise_fault if k.__name__ == "AttemptEnded" else v for k, v in handlers.items()}
         monkeypatch.setattr(stage.facade._dispatcher, "_handlers", broken)
         assert (await stage.serve("once")).kind is AnswerKind.FAILED
         assert len(stage.attempts) == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_leaves_is_one_answer_in_the_count() -> None:
-    async def play() -> None:
-        stage = Stage(hangs)
+def test_client_disconnect_counts_as_one_answer() -> None:
+    async def scenario() -> None:
+        stage = Stage(hang)
         task = asyncio.create_task(stage.serve("once"))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -173,12 +177,12 @@
             and stage.scheduler.open_request_count == 0
         )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_too_many_open_requests_are_rejected_and_an_open_id_is_not_admitted_twice() -> None:
-    async def play() -> None:
-        stage = Stage(hangs, limits=Limits(max_open_requests=1))
+def test_open_request_limit_rejects_and_duplicate_open_id_fails() -> None:
+    async def scenario() -> None:
+        stage = Stage(hang, limits=Limits(max_open_requests=1))
         first = asyncio.create_task(stage.serve("once", id_="a"))
         await asyncio.sleep(0)
         assert (await stage.serve("once", id_="b")).kind is AnswerKind.REJECTED
@@ -188,15 +192,15 @@
         await stage.scheduler.wait_until_idle()
         assert stage.measure.answers == {AnswerKind.CLIENT_DISCONNECTED: 1, AnswerKind.REJECTED: 1}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_the_service_measure() -> None:
+def test_service_measure_weighs_answers_in_time() -> None:
     measure = ServiceMeasure(SETTINGS.classes)
     assert measure.share == 1.0
     for name in ("free", "once"):
         measure.record_request(name, is_retry=False)
-    measure.record_request("free", is_retry=True)  # belongs to its first try
+    measure.record_request("free", is_retry=True)  # counts as part of the first submission
     measure.record_answer("free", AnswerKind.SERVED, 0.5, 0.2)
     measure.record_answer("once", AnswerKind.SERVED, 1.5, 0.2)  # too late
     assert measure.share == pytest.approx(1 / 9)
--- a/tests/test_core_records.py
+++ b/tests/test_core_records.py
@@ -1,4 +1,4 @@
-"""The records of the core alone: the rules of an open request, and the lists of backends by their source."""
+"""Unit tests of the records of the core: open requests, and endpoint lists by source."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from oxbowyard.decision.facade import Readiness, Result, Scope, StartAttempt, WorkerFault, WorkerInfo
 
 
-def open_request(loop: asyncio.AbstractEventLoop, repeat_window_s: float | None) -> OpenRequest:
+def make_open_request(loop: asyncio.AbstractEventLoop, repeat_window_s: float | None) -> OpenRequest:
     answer: asyncio.Future[Answer] = loop.create_future()
     return OpenRequest(Request("r", "once", 1.0), 0.0, 1.0, answer, repeat_window_s, max_attempts=2)
 
 
-def running_attempt(loop: asyncio.AbstractEventLoop, sent_at: float = 5.0) -> RunningAttempt:
+def make_running_attempt(loop: asyncio.AbstractEventLoop, sent_at: float = 5.0) -> RunningAttempt:
     async def outcome() -> AttemptOutcome:
         return AttemptOutcome(Result.OK)
 
@@ -38,45 +38,45 @@
         (Result.TIMEOUT, math.inf, RunState.MAY_BE_RUNNING, math.inf, True),
     ],
 )
-def test_what_an_outcome_says_of_the_run(
+def test_attempt_outcome_determines_run_state_and_retry(
     result: Result, window_s: float | None, state: RunState, repeat_by: float, may_go_on: bool
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        entry = open_request(loop, window_s)
-        entry.record_outcome(running_attempt(loop), result)
-        assert (entry.run_state, entry.repeat_deadline) == (state, repeat_by)
-        assert entry.may_be_attempted is may_go_on
-        assert entry.is_repeat_harmless is may_go_on
-        assert entry.make_answer(AnswerKind.FAILED, "x").run_state is state
+        request = make_open_request(loop, window_s)
+        request.record_outcome(make_running_attempt(loop), result)
+        assert (request.run_state, request.repeat_deadline) == (state, repeat_by)
+        assert request.may_be_attempted is may_go_on
+        assert request.is_repeat_harmless is may_go_on
+        assert request.make_answer(AnswerKind.FAILED, "x").run_state is state
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_one_attempt_at_a_time_up_to_the_limit_and_none_after_the_answer() -> None:
-    async def play() -> None:
+def test_open_request_allows_one_attempt_at_a_time_until_limit_or_answer() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        entry = open_request(loop, math.inf)
-        entry.attempt = attempt = running_attempt(loop)
-        assert not entry.may_be_attempted
+        request = make_open_request(loop, math.inf)
+        request.attempt = attempt = make_running_attempt(loop)
+        assert not request.may_be_attempted
         states = []
         for attempt.context.is_last_byte_written in (False, True):
-            states.append(entry.run_state)
+            states.append(request.run_state)
         assert states == [RunState.NEVER_RAN, RunState.MAY_BE_RUNNING]
-        entry.attempt = None
-        entry.attempt_count = 1
-        assert entry.may_be_attempted
-        entry.attempt_count = 2
-        assert not entry.may_be_attempted
-        entry.attempt_count = 0
-        entry.answer.set_result(Answer(AnswerKind.FAILED))
-        assert entry.is_answered and not entry.may_be_attempted
+        request.attempt = None
+        request.attempt_count = 1
+        assert request.may_be_attempted
+        request.attempt_count = 2
+        assert not request.may_be_attempted
+        request.attempt_count = 0
+        request.answer.set_result(Answer(AnswerKind.FAILED))
+        assert request.is_answered and not request.may_be_attempted
         await attempt.task
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_complete_list_is_complete_for_its_own_source() -> None:
+def test_full_list_replaces_only_entries_of_its_own_source() -> None:
     lists = EndpointLists()
     a, b, own = WorkerInfo("a"), WorkerInfo("b"), WorkerInfo("gearman:1")
     assert lists.update(Scope.FULL, (a, b), "discovery") == (a, b)
@@ -87,7 +87,7 @@
     assert lists.update(Scope.FULL, (b,), "discovery") == (b,)
 
 
-def test_a_cold_start_that_a_list_announces_is_no_fault_to_report() -> None:
+def test_cold_start_announced_by_a_list_is_excluded_from_faults() -> None:
     lists = EndpointLists()
     lists.update(Scope.FULL, (WorkerInfo("told", started_at_ms=4000.0), WorkerInfo("guessed")), "discovery")
     faults = [
--- a/tests/test_decision_replay.py
+++ b/tests/test_decision_replay.py
@@ -1,3 +1,5 @@
+"""The histories of the decision replay are deterministic and cover every event and action."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -12,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", ["ordered", "replaced", "private"])
-def test_a_history_is_the_same_each_time(name: str) -> None:
+def test_same_seed_gives_the_same_history(name: str) -> None:
     draw = replace(next(d for d in decision_replay.DRAWS if d.name == name), seconds=10.0)
     first, second = decision_replay.World(draw, 3), decision_replay.World(draw, 3)
     first.run()
@@ -20,7 +22,7 @@
     assert first.digest.digest() == second.digest.digest() and first.count["outcome"] > 100
 
 
-def test_another_seed_is_another_history() -> None:
+def test_different_seeds_give_different_histories() -> None:
     draw = replace(decision_replay.DRAWS[0], seconds=5.0)
     digests = set()
     for seed in (1, 2):
@@ -30,11 +32,11 @@
     assert len(digests) == 2
 
 
-def test_the_recorded_histories_cover_what_the_decisions_know() -> None:
+def test_recorded_histories_cover_all_events_and_actions() -> None:
     recorded = orjson.loads(RECORDED.read_bytes())
     assert set(recorded) == {draw.name for draw in decision_replay.DRAWS}
     assert sum(history["events"] for history in recorded.values()) >= 100_000
     seen = {name for history in recorded.values() for name in history["counts"]}
-    wanted = {"passOn", "decline", "giveUp", "abandon", "defer", "follow", "close"}
-    assert {f"-> {name}" for name in wanted} <= seen
+    expected = {"passOn", "decline", "giveUp", "abandon", "defer", "follow", "close"}
+    assert {f"-> {name}" for name in expected} <= seen
     assert {"powerOff", "aborted", "ackFirst", "notice", "membership", "reminder"} <= seen
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""The facade: small decisions, none of them lost, and when to tick next."""
+"""Unit tests of the facade: the actions of each call, and the time of the next tick."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         return self.now
 
 
-def make(workers: int) -> tuple[Facade, Clock]:
+def make_facade(workers: int) -> tuple[Facade, Clock]:
     clock = Clock()
     settings = Settings(classes=(FREE, ONCE), max_attempts=3, may_cancel=True, reports_starts=True)
     facade = Facade(settings, 1, clock)
@@ -39,20 +39,20 @@
     return facade, clock
 
 
-def test_a_held_req_is_decided_about_by_a_later_tick() -> None:
-    facade, clock = make(0)
-    turns = [facade.decide(RequestReceived(name, "once", 5000)) for name in ("a", "b")]
-    assert [t.actions for t in turns] == [(QueueRequest("a"),), (QueueRequest("b"),)]
-    due = turns[1].next_tick_ms
-    assert due is not None and due > clock.now
+def test_queued_request_is_sent_by_a_later_tick() -> None:
+    facade, clock = make_facade(0)
+    decisions = [facade.decide(RequestReceived(name, "once", 5000)) for name in ("a", "b")]
+    assert [decision.actions for decision in decisions] == [(QueueRequest("a"),), (QueueRequest("b"),)]
+    due_ms = decisions[1].next_tick_ms
+    assert due_ms is not None and due_ms > clock.now
     facade.update_endpoints(Scope.FULL, (WorkerInfo("w0"),))
     assert facade.tick(clock.now).actions == ()  # not due yet
-    clock.now = due
-    assert set(facade.tick(due).actions) == {StartAttempt("a", 0, "w0"), StartAttempt("b", 0, "w0")}
+    clock.now = due_ms
+    assert set(facade.tick(due_ms).actions) == {StartAttempt("a", 0, "w0"), StartAttempt("b", 0, "w0")}
 
 
-def test_fetches_are_numbered_and_the_last_word_is_final() -> None:
-    facade, _ = make(2)
+def test_attempts_are_numbered_and_a_final_result_ends_the_request() -> None:
+    facade, _ = make_facade(2)
     (first,) = facade.decide(RequestReceived("r", "free", 5000)).actions
     assert isinstance(first, StartAttempt) and first.attempt == 0
     facade.report(AttemptStarted("r", 0, first.worker))
@@ -61,24 +61,24 @@
     assert facade.report(AttemptEnded("r", 1, second.worker, Result.OK, is_final=True)).actions == ()
 
 
-def test_what_may_have_run_is_failed_and_what_did_not_is_refused() -> None:
-    facade, _ = make(1)
-    for name, result, wanted in (("x", Result.RESET, FailRequest), ("y", Result.TIMEOUT, FailRequest)):
+def test_request_that_may_have_run_fails_and_one_that_did_not_is_rejected() -> None:
+    facade, _ = make_facade(1)
+    for name, result, expected in (("x", Result.RESET, FailRequest), ("y", Result.TIMEOUT, FailRequest)):
         facade.decide(RequestReceived(name, "once", 5000))
         (answer,) = facade.report(AttemptEnded(name, 0, "w0", result)).actions
-        assert isinstance(answer, wanted)
+        assert isinstance(answer, expected)
     (answer,) = facade.decide(RequestReceived("late", "once", 0.0)).actions
     assert isinstance(answer, RejectRequest)
 
 
-def test_a_client_that_leaves_has_its_fetch_cancelled() -> None:
-    facade, _ = make(1)
+def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
+    facade, _ = make_facade(1)
     facade.decide(RequestReceived("r", "once", 5000))
     assert facade.report(ClientDisconnected("r")).actions == (CancelAttempt("r", 0),)
 
 
-def test_the_clock_may_stand_or_step_back() -> None:
-    facade, clock = make(1)
+def test_request_is_sent_after_the_clock_steps_back() -> None:
+    facade, clock = make_facade(1)
     clock.now -= 500
-    (decision,) = facade.decide(RequestReceived("r", "once", 5000)).actions
-    assert isinstance(decision, StartAttempt)
+    (action,) = facade.decide(RequestReceived("r", "once", 5000)).actions
+    assert isinstance(action, StartAttempt)
--- a/tests/test_settings_update.py
+++ b/tests/test_settings_update.py
@@ -1,4 +1,4 @@
-"""A reload that changes the rules of repeats: the stricter of old and new, while clients may use either."""
+"""A reload that changes retry rules applies the stricter of both while clients may use either."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 ]
 
 
-def with_rule(retry_safety: RetrySafety, scope: str, window_ms: float) -> JobClass:
+def make_class(retry_safety: RetrySafety, scope: str, window_ms: float) -> JobClass:
     return JobClass("guarded", 1000.0, 5000.0, retry_safety, scope, window_ms)
 
 
-def allowed_for_ms(job_class: JobClass, scope: str) -> float:
-    """For how long a repeat is allowed at a worker that shares this with the first one, and nothing less."""
+def retry_window_ms(job_class: JobClass, scope: str) -> float:
+    """Return how long a retry is allowed on a worker that shares exactly this scope with the first worker."""
     if job_class.retry_safety is RetrySafety.IDEMPOTENT:
         return float("inf")
     if job_class.retry_safety is RetrySafety.NOT_IDEMPOTENT:
@@ -36,16 +36,16 @@
 
 
 @pytest.mark.parametrize(("old", "new"), list(itertools.product(RULES, RULES)))
-def test_meanwhile_no_repeat_is_allowed_that_either_rule_forbids(
+def test_transition_allows_no_retry_that_the_old_or_new_rule_forbids(
     old: tuple[RetrySafety, str, float], new: tuple[RetrySafety, str, float]
 ) -> None:
-    # Guards against a longer window, or a wider scope, that holds while clients still use the old one.
-    before, after = with_rule(*old), with_rule(*new)
-    step = plan_settings_update(replace(SETTINGS, classes=(before,)), replace(SETTINGS, classes=(after,)))
-    (meanwhile,) = step.transition.classes
+    # Guards against a longer window or a wider scope that applies while clients still use the old rule.
+    before, after = make_class(*old), make_class(*new)
+    update = plan_settings_update(replace(SETTINGS, classes=(before,)), replace(SETTINGS, classes=(after,)))
+    (transition,) = update.transition.classes
     for scope in SCOPES:
-        least = min(allowed_for_ms(before, scope), allowed_for_ms(after, scope))
-        assert allowed_for_ms(meanwhile, scope) <= least, scope
-    if is_safe_to_retry_anywhere(meanwhile):
+        stricter_ms = min(retry_window_ms(before, scope), retry_window_ms(after, scope))
+        assert retry_window_ms(transition, scope) <= stricter_ms, scope
+    if is_safe_to_retry_anywhere(transition):
         assert is_safe_to_retry_anywhere(before) and is_safe_to_retry_anywhere(after)
-    assert step.final.classes == (after,)
+    assert update.final.classes == (after,)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: what it says on the wire, and how it takes a broken one."""
+"""Tests of the simulator adapter: the lines it writes, and its handling of malformed input."""
 
 from __future__ import annotations
 
@@ -63,17 +63,18 @@
 ]
 
 
-def run(lines: list[list[Any]]) -> list[list[Any]]:
-    out = io.BytesIO()
-    simhost.serve([json.dumps(line).encode() for line in lines], out)
-    return [json.loads(line) for line in out.getvalue().splitlines()]
+def serve_lines(lines: list[list[Any]]) -> list[list[Any]]:
+    output = io.BytesIO()
+    simhost.serve([json.dumps(line).encode() for line in lines], output)
+    return [json.loads(line) for line in output.getvalue().splitlines()]
 
 
-def test_every_event_is_taken_and_every_batch_answered() -> None:
-    reply = run(BATCH)
-    assert [m for m in reply if m[0] == "ready"] == [["ready"], ["ready"]]
-    assert sum(m[0] == "passOn" for m in reply) == 1  # its retry waits: the only other worker is cold
-    assert any(m[0] == "defer" for m in reply)
+def test_every_event_is_accepted_and_every_batch_is_answered() -> None:
+    reply = serve_lines(BATCH)
+    assert [line for line in reply if line[0] == "ready"] == [["ready"], ["ready"]]
+    # The retry stays queued because the only other worker is cold.
+    assert sum(line[0] == "passOn" for line in reply) == 1
+    assert any(line[0] == "defer" for line in reply)
 
 
 @pytest.mark.parametrize(
@@ -89,17 +90,17 @@
         (LogMessage("text"), ["record", 3, "text"]),
     ],
 )
-def test_actions_on_the_wire(action: Action, line: list[Any]) -> None:
+def test_actions_are_encoded_as_lines(action: Action, line: list[Any]) -> None:
     assert json.loads(simhost.encode(3, action)) == line
 
 
 @pytest.mark.parametrize("name", ["siblings", "lanes", "rules", "policyLimits"])
-def test_a_missing_setting_is_named(name: str) -> None:
+def test_missing_setting_is_named_in_the_error(name: str) -> None:
     with pytest.raises(ValueError, match=name):
         parse_settings({k: v for k, v in FACTS.items() if k != name})
 
 
-def call(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_process(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "oxbowyard.simhost"],
         input=text,
@@ -114,24 +115,24 @@
 @pytest.mark.parametrize(
     "text", ["{nonsense\n", '["end"]\n', '["batch",1]\n', '["batch",1]\n["outcome",0]\n["batch",2]\n']
 )
-def test_a_broken_wire_gets_one_plain_message(text: str) -> None:
-    done = call(text)
-    assert done.returncode == 1 and done.stdout == ""
-    assert done.stderr.startswith("oxbowyard: ") and done.stderr.count("\n") == 1
+def test_malformed_input_ends_the_process_with_one_error_line(text: str) -> None:
+    process = run_process(text)
+    assert process.returncode == 1 and process.stdout == ""
+    assert process.stderr.startswith("oxbowyard: ") and process.stderr.count("\n") == 1
 
 
-def test_the_end_between_batches_is_no_fault() -> None:
-    assert (call("").returncode, call('["batch",1]\n["end"]\n').stdout) == (0, '["ready"]\n')
+def test_end_of_input_between_batches_is_a_clean_exit() -> None:
+    assert (run_process("").returncode, run_process('["batch",1]\n["end"]\n').stdout) == (0, '["ready"]\n')
 
 
-def test_hash_seeds_change_nothing() -> None:
+def test_output_does_not_depend_on_the_hash_seed() -> None:
     text = "".join(json.dumps(line) + "\n" for line in BATCH)
-    assert call(text, "1").stdout == call(text, "2").stdout != ""
+    assert run_process(text, "1").stdout == run_process(text, "2").stdout != ""
 
 
-def test_a_failure_of_the_decisions_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_dispatcher_is_reported_as_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: object, now: float, event: object) -> list[Action]:
         raise RuntimeError("boom")
 
     monkeypatch.setattr(Dispatcher, "handle", broken)
-    assert ["internalError", 0, "RuntimeError: boom"] in run(BATCH)
+    assert ["internalError", 0, "RuntimeError: boom"] in serve_lines(BATCH)
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -1,7 +1,7 @@
-"""A watch that dies, at every place where it can: what it missed is heard in time, and another begins.
+"""A watch that fails at any point is replaced, and the changes that it missed arrive in time.
 
-On real sockets, in virtual time. The stand-in for discovery stops at a named byte of a named answer: nothing
-is left to chance, and waiting costs nothing.
+The tests use real sockets and virtual time. The simulated discovery service falls silent at a given byte of a
+given answer, so the failures are deterministic and waiting costs nothing.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from oxbowyard.discovery.poll_schedule import PollSchedule
 from oxbowyard.discovery.registry import Registry
 
-GRACE = 0.8  # seconds: the shortest drain grace met so far
-WHOLE = 10_000  # more bytes than any answer has
+DRAIN_GRACE_S = 0.8  # seconds: the shortest drain grace observed so far
+COMPLETE_BYTES = 10_000  # bytes: more than any answer has
 
 
 def entry(uid: str = "w1", state: object = "ready", **more: Any) -> dict[str, Any]:
@@ -31,18 +31,18 @@
 
 
 class Discovery:
-    """Answers as told. `stops` names after how many bytes of the n-th answer it falls silent."""
+    """A scripted discovery service. `stops` maps an answer number to the bytes sent before the silence."""
 
     def __init__(self, stops: dict[int, int], reset: bool = False) -> None:
         self.rev, self.row = 1, entry()
         self.changed = asyncio.Event()
         self.stops, self.reset = stops, reset
         self.calls: list[tuple[float, str]] = []
-        self.silent_at: list[tuple[float, float]] = []  # since when, and how long that call might wait
-        self.answers: list[dict[str, Any]] = []  # given once each, in place of the true one
-        self.overloaded = False  # every other call is turned down at once, the rest after a wait
+        self.silent_at: list[tuple[float, float]] = []  # start of the silence, and wait of that call
+        self.answers: list[dict[str, Any]] = []  # sent once each, in place of the correct answer
+        self.overloaded = False  # every other call is rejected at once, the rest after a wait
 
-    def change(self, row: dict[str, Any]) -> None:
+    def apply_change(self, row: dict[str, Any]) -> None:
         self.rev, self.row = self.rev + 1, row
         self.changed.set()
         self.changed = asyncio.Event()
@@ -56,7 +56,7 @@
                 self.calls.append((loop.time(), target))
                 query = dict(p.split("=") for p in target.partition("?")[2].split("&") if p)
                 wait = int(query.get("wait_ms", "0")) / 1000
-                stop = self.stops.get(number, WHOLE)
+                stop = self.stops.get(number, COMPLETE_BYTES)
                 if self.overloaded:
                     await asyncio.sleep(number % 2 * 1.0)
                     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -98,111 +98,114 @@
         await asyncio.Event().wait()
 
 
-class Seen:
-    """What a registry and the decisions were told, and when."""
+class RecordedUpdates:
+    """Records the updates of a registry and of the decisions, with their times."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.registry = Registry(lambda: self.loop.time() * 1000, GRACE * 1000)
-        self.told: list[tuple[float, Readiness]] = []
-        self.fault: Callable[[], None] = lambda: None
+        self.registry = Registry(lambda: self.loop.time() * 1000, DRAIN_GRACE_S * 1000)
+        self.received: list[tuple[float, Readiness]] = []
+        self.fault_hook: Callable[[], None] = lambda: None
 
-    def learn(self, scope: Scope, infos: tuple[WorkerInfo, ...]) -> None:
-        self.fault()
-        self.told += [(self.loop.time(), info.readiness) for info in infos]
+    def on_endpoints(self, scope: Scope, infos: tuple[WorkerInfo, ...]) -> None:
+        self.fault_hook()
+        self.received += [(self.loop.time(), info.readiness) for info in infos]
 
     def drained_at(self) -> float:
-        return next(at for at, readiness in self.told if readiness is Readiness.DRAINING)
+        return next(at for at, readiness in self.received if readiness is Readiness.DRAINING)
 
 
-async def _started(
-    service: Discovery, seen: Seen, pace: PollSchedule
+async def _start(
+    service: Discovery, updates: RecordedUpdates, schedule: PollSchedule
 ) -> tuple[asyncio.Server, asyncio.Task[None]]:
     server = await asyncio.start_server(service.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()[:2]
-    discovery = DiscoveryClient(f"{host}:{port}", seen.registry, seen.learn, schedule=pace)
+    discovery = DiscoveryClient(f"{host}:{port}", updates.registry, updates.on_endpoints, schedule=schedule)
     return server, asyncio.create_task(discovery.run())
 
 
-async def _ended(server: asyncio.Server, task: asyncio.Task[None]) -> None:
-    assert not task.done(), "the watch must not die"
+async def _stop(server: asyncio.Server, task: asyncio.Task[None]) -> None:
+    assert not task.done(), "the watch task must not end"
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     server.close()
 
 
-@pytest.mark.parametrize("schedulers", [0, 6, 40, 200])  # that share one service; 0: an agent
+@pytest.mark.parametrize("schedulers", [0, 6, 40, 200])  # that share one service; 0: a local agent
 @pytest.mark.parametrize("reset", [False, True])
-@pytest.mark.parametrize("stop", [0, 1, 20, 60, 130])  # unanswered; in the status line, the head, the body
-# The whole list; the first watch; one that goes on; two and three in a row.
-@pytest.mark.parametrize("at", [(0,), (1,), (2,), (2, 3), (2, 3, 4)])
-def test_a_drain_missed_by_a_dead_watch_binds_in_time(
-    schedulers: int, reset: bool, stop: int, at: tuple[int, ...]
+# No answer; within the status line, the headers, the body.
+@pytest.mark.parametrize("stop", [0, 1, 20, 60, 130])
+# The full list; the first watch; a continued watch; two and three calls in a row.
+@pytest.mark.parametrize("silent_answers", [(0,), (1,), (2,), (2, 3), (2, 3, 4)])
+def test_drain_missed_by_a_silent_watch_applies_in_time(
+    schedulers: int, reset: bool, stop: int, silent_answers: tuple[int, ...]
 ) -> None:
-    """It counts as told 6 s after the watch fell silent. At 200 a third failure in a row is not promised."""
-    at = at[:2] if schedulers == 200 else at
+    """The bound is 6 s after the watch fell silent. With 200 schedulers it does not cover a third failure."""
+    silent_answers = silent_answers[:2] if schedulers == 200 else silent_answers
 
-    async def scene() -> None:
-        discovery, seen = Discovery(dict.fromkeys(at, stop), reset), Seen()
+    async def scenario() -> None:
+        discovery, updates = Discovery(dict.fromkeys(silent_answers, stop), reset), RecordedUpdates()
         schedule = PollSchedule(schedulers > 0, schedulers, Random(3), 10_000.0)
-        server, task = await _started(discovery, seen, schedule)
+        server, task = await _start(discovery, updates, schedule)
         while not discovery.silent_at:
             await asyncio.sleep(0.01)
-            if stop and len(discovery.calls) > at[0]:  # it stops within its answer: there has to be one
-                discovery.change(entry())
+            if stop and len(discovery.calls) > silent_answers[0]:  # an answer must begin for the stop in it
+                discovery.apply_change(entry())
         since, _ = discovery.silent_at[0]
-        discovery.change(entry(state="draining"))
+        discovery.apply_change(entry(state="draining"))
         await asyncio.sleep(12.0)
-        assert seen.drained_at() <= since + 6.0
-        assert seen.registry.address("w1") is None
-        await _ended(server, task)
+        assert updates.drained_at() <= since + 6.0
+        assert updates.registry.address("w1") is None
+        await _stop(server, task)
 
-    play(scene, most=60.0)
+    play(scenario, most=60.0)
 
 
 @pytest.mark.parametrize("overloaded", [True, False])
-def test_a_list_that_a_living_service_does_not_renew_expires(overloaded: bool) -> None:
-    """It turns calls down at once and after a wait, as one does that is full: what it has counts as told
-    after 6 s. One that says nothing at all may be out of reach: then the list stays in force."""
+def test_list_expires_when_an_overloaded_service_rejects_all_calls(overloaded: bool) -> None:
+    """An overloaded service rejects calls at once and after a wait: the list expires after 6 s. A silent
+    service may be unreachable: the list stays valid."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         silent = {} if overloaded else dict.fromkeys(range(2, 40), 0)
-        service, seen = Discovery(silent), Seen()
-        server, task = await _started(service, seen, PollSchedule(True, 40, Random(3), 10_000.0))
+        service, updates = Discovery(silent), RecordedUpdates()
+        server, task = await _start(service, updates, PollSchedule(True, 40, Random(3), 10_000.0))
         while len(service.calls) < 3:
             await asyncio.sleep(0.01)
-        service.overloaded, since = overloaded, seen.loop.time()
-        while seen.loop.time() < since + 12.0:
+        service.overloaded, since = overloaded, updates.loop.time()
+        while updates.loop.time() < since + 12.0:
             await asyncio.sleep(0.05)
-            may_send = seen.registry.address("w1") is not None
-            if seen.loop.time() >= since + 9.0:  # two calls show that it is full, 3 s at most
+            may_send = updates.registry.address("w1") is not None
+            if updates.loop.time() >= since + 9.0:  # two calls show the overload, within 3 s
                 assert may_send is not overloaded
-        assert (seen.told[-1][1] is Readiness.DRAINING) is overloaded, "the decisions know it as well"
+        assert (updates.received[-1][1] is Readiness.DRAINING) is overloaded, (
+            "the decisions are updated as well"
+        )
         service.overloaded = False
         await asyncio.sleep(15.0)
-        assert seen.registry.address("w1") is not None and seen.told[-1][1] is Readiness.READY
-        await _ended(server, task)
+        assert updates.registry.address("w1") is not None and updates.received[-1][1] is Readiness.READY
+        await _stop(server, task)
 
-    play(scene, most=60.0)
+    play(scenario, most=60.0)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_news_that_a_dead_watch_held_back_has_no_grace_left(late: bool) -> None:
-    async def scene() -> None:
-        discovery, seen = Discovery({2: 0} if late else {}), Seen()
-        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
+def test_drain_delayed_by_a_silent_watch_has_no_grace_left(late: bool) -> None:
+    async def scenario() -> None:
+        discovery, updates = Discovery({2: 0} if late else {}), RecordedUpdates()
+        server, task = await _start(discovery, updates, PollSchedule(False, 3, Random(3)))
         while len(discovery.calls) < 3:
             await asyncio.sleep(0.01)
-        discovery.change(entry(state="draining"))
-        while not any(readiness is Readiness.DRAINING for _, readiness in seen.told):
+        discovery.apply_change(entry(state="draining"))
+        while not any(readiness is Readiness.DRAINING for _, readiness in updates.received):
             await asyncio.sleep(0.001)
-        assert (seen.registry.address("w1") is None) is late
-        await _ended(server, task)
+        assert (updates.registry.address("w1") is None) is late
+        await _stop(server, task)
 
-    play(scene, most=60.0)
+    play(scenario, most=60.0)
 
 
-ABSURD: list[dict[str, Any]] = [
+MALFORMED_ENTRIES: list[dict[str, Any]] = [
     entry("w2", boot_ms="soon"), entry("w2", pod_group=[1]), entry("w2", capacity_hint=[1]),
     entry("w2", state=[]),
     entry("w2", endpoint=None), {"uid": "w2"}, entry("w2", state="asleep"),
@@ -210,8 +213,8 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("row", [*ABSURD, 7, None, "w2"])
-def test_an_entry_of_a_wrong_type_is_left_out_and_the_rest_counts(row: object) -> None:
+@pytest.mark.parametrize("row", [*MALFORMED_ENTRIES, 7, None, "w2"])
+def test_malformed_entry_is_skipped_and_the_others_are_applied(row: object) -> None:
     event = parse_endpoint_list({"rev": 1, "all": True, "targets": [row, entry()]})
     assert [listed.info.name for listed in event.endpoints] == ["w1"]
 
@@ -220,77 +223,77 @@
 @pytest.mark.parametrize("broken", [
     {"boot_ms": "soon"}, {"pod_group": [1]}, {"capacity_hint": -1.0}, {"endpoint": None}, {"endpoint": "x"},
 ])  # fmt: skip
-def test_that_a_worker_ends_binds_whatever_else_of_its_entry_is_broken(
+def test_draining_or_gone_state_applies_despite_other_malformed_fields(
     state: str, broken: dict[str, Any]
 ) -> None:
-    """The entry used to be left out, and the worker was sent to for as long as the list stood."""
+    """Guards against skipping the entry: requests went to the worker for as long as the list was valid."""
     now = [0.0]
     registry = Registry(lambda: now[0], 1000.0)
     registry.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": [entry()]}))
     row = entry(state=state, **broken)
     registry.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": [row]}))
-    assert registry.address("w1") == "10.0.0.1:80", "within its grace it may be sent to where it is"
+    assert registry.address("w1") == "10.0.0.1:80", "the known address stays valid within the drain grace"
     now[0] = 1000.0
     assert registry.address("w1") is None
     row = entry("w3", state, endpoint=None)
     registry.apply(parse_endpoint_list({"rev": 3, "all": False, "targets": [row]}))
-    assert registry.address("w3") is None, "no endpoint is known of it"
+    assert registry.address("w3") is None, "its endpoint is unknown"
 
 
-def test_a_figure_beyond_all_numbers_is_a_broken_entry() -> None:
+def test_entry_with_an_infinite_number_is_skipped() -> None:
     row = json.loads(json.dumps(entry("w2", pod_group=0)).replace('"pod_group": 0', '"pod_group": 1e999'))
     event = parse_endpoint_list({"rev": 1, "all": True, "targets": [row, entry()]})
     assert [listed.info.name for listed in event.endpoints] == ["w1"]
 
 
-def test_a_fault_while_a_list_is_taken_does_not_end_the_watch() -> None:
-    """It used to end the task group: no list was ever taken again."""
+def test_exception_while_a_list_is_applied_does_not_end_the_watch() -> None:
+    """Guards against an exception that ends the task group: no list was ever applied again."""
 
-    async def scene() -> None:
-        discovery, seen = Discovery({}), Seen()
+    async def scenario() -> None:
+        discovery, updates = Discovery({}), RecordedUpdates()
 
-        def broken() -> None:
-            seen.fault = lambda: None
+        def raise_once() -> None:
+            updates.fault_hook = lambda: None
             raise KeyError("a fault of ours")
 
-        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
+        server, task = await _start(discovery, updates, PollSchedule(False, 3, Random(3)))
         while len(discovery.calls) < 3:
             await asyncio.sleep(0.01)
-        seen.fault = broken
-        discovery.change(entry(state="draining"))
+        updates.fault_hook = raise_once
+        discovery.apply_change(entry(state="draining"))
         await asyncio.sleep(1.0)
-        assert seen.told[-1][1] is Readiness.DRAINING, "the change that was lost is told again"
-        await _ended(server, task)
+        assert updates.received[-1][1] is Readiness.DRAINING, "the lost change is sent again"
+        await _stop(server, task)
 
-    play(scene, most=60.0)
+    play(scenario, most=60.0)
 
 
-def test_an_older_list_is_asked_for_again_before_it_counts() -> None:
-    async def scene() -> None:
-        discovery, seen = Discovery({}), Seen()
-        server, task = await _started(discovery, seen, PollSchedule(False, 3, Random(3)))
-        discovery.change(entry(state="draining"))
+def test_older_revision_is_applied_only_after_a_full_list_confirms_it() -> None:
+    async def scenario() -> None:
+        discovery, updates = Discovery({}), RecordedUpdates()
+        server, task = await _start(discovery, updates, PollSchedule(False, 3, Random(3)))
+        discovery.apply_change(entry(state="draining"))
         await asyncio.sleep(1.0)
-        # One answer from before the drain, whole and well-formed, as from a lagging copy: the drain stays.
+        # One well-formed answer from before the drain, as from a lagging replica: the drain stays in force.
         discovery.answers.append({"rev": 1, "all": True, "targets": [entry()]})
-        discovery.change(entry(state="draining"))
+        discovery.apply_change(entry(state="draining"))
         await asyncio.sleep(1.0)
-        assert {r for _, r in seen.told[1:]} == {Readiness.DRAINING}
-        discovery.rev = 0  # it begins to count anew: believed once it says so of the whole list
-        discovery.change(entry())
+        assert {r for _, r in updates.received[1:]} == {Readiness.DRAINING}
+        discovery.rev = 0  # revisions restart: accepted once a full list confirms it
+        discovery.apply_change(entry())
         await asyncio.sleep(3.0)
-        assert seen.told[-1][1] is Readiness.READY and seen.registry.address("w1")
-        await _ended(server, task)
+        assert updates.received[-1][1] is Readiness.READY and updates.registry.address("w1")
+        await _stop(server, task)
 
-    play(scene, most=60.0)
+    play(scenario, most=60.0)
 
 
-def test_a_backend_gone_and_back_elsewhere_is_sent_to_where_it_is_now() -> None:
+def test_backend_that_returns_elsewhere_has_its_new_address() -> None:
     registry = Registry(lambda: 0.0, 1000.0)
     for state, endpoint in (("ready", "10.0.0.1:80"), ("gone", "10.0.0.1:80"), ("ready", "10.0.0.2:80")):
         registry.apply(
             parse_endpoint_list({"rev": 1, "all": False, "targets": [entry(state=state, endpoint=endpoint)]})
         )
     assert registry.address("w1") == "10.0.0.2:80"
-    registry.apply(WatchEvent(2, True, ()))  # an empty whole list: all are gone, and so said
+    registry.apply(WatchEvent(2, True, ()))  # an empty full list: all workers are reported as gone
     assert registry.endpoints["w1"].readiness is Readiness.GONE
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -1,5 +1,7 @@
-"""Forty watches against one discovery that turns most calls down: calls spread, all are heard, none is late
-for a drain. On loopback, in virtual time: minutes pass in a second, alike in every run."""
+"""Many watches of one overloaded discovery service: calls are spread, all are answered, drains apply in time.
+
+The tests use loopback sockets and virtual time: minutes pass in a second, and every run is the same.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +19,8 @@
 from oxbowyard.discovery.poll_schedule import NOTIFIED_WITHIN_S, OPENED_WATCHES_PER_S, PollSchedule
 from oxbowyard.discovery.registry import Registry
 
-CALLERS, GRACE_MS = 40, 1000.0
-DRAIN_AT = 30.0  # seconds: by then most have a watch that goes on
+SCHEDULERS, DRAIN_GRACE_MS = 40, 1000.0
+DRAIN_AT_S = 30.0  # by then most schedulers have a running watch
 
 
 def entry(state: str) -> dict[str, object]:
@@ -26,37 +28,40 @@
 
 
 class Discovery:
-    """Turns three calls in four down while more than two are at work; a watch waits for news, and goes on at
-    no cost where the next call comes within 200 ms, as the service was measured to do."""
+    """A discovery service that rejects three of four calls while it processes more than two.
+
+    A watch waits for a change. It continues at no cost if its next call comes within 200 ms, as with the real
+    service.
+    """
 
     def __init__(self) -> None:
         self.rev = 1
         self.state = "ready"
         self.changed = asyncio.Event()
         self.random = Random(7)
-        self.busy = 0
-        self.calls: Counter[float] = Counter()  # by second
-        self.told = 0  # answers that told of the drain
-        self.answered: dict[object, float] = {}  # by connection: when the last answer was given
+        self.processing = 0
+        self.call_counts: Counter[float] = Counter()  # by second of arrival
+        self.drain_answers = 0  # number of answers that contained the drain
+        self.last_answers: dict[object, float] = {}  # by connection: time of the last answer
 
-    async def hosts(self, request: web.Request) -> web.Response:
+    async def handle_hosts(self, request: web.Request) -> web.Response:
         loop = asyncio.get_running_loop()
-        begins = loop.time() - self.answered.get(request.transport, -1.0) > 0.2
-        if begins and not await self.begin():
+        is_new_watch = loop.time() - self.last_answers.get(request.transport, -1.0) > 0.2
+        if is_new_watch and not await self.process():
             return web.Response(status=503)
         response = await self.answer(request)
-        self.answered[request.transport] = loop.time()
+        self.last_answers[request.transport] = loop.time()
         return response
 
-    async def begin(self) -> bool:
-        self.calls[float(int(asyncio.get_running_loop().time()))] += 1
-        if self.busy > 2 and self.random.random() < 0.75:
+    async def process(self) -> bool:
+        self.call_counts[float(int(asyncio.get_running_loop().time()))] += 1
+        if self.processing > 2 and self.random.random() < 0.75:
             return False
-        self.busy += 1
+        self.processing += 1
         try:
-            await asyncio.sleep(0.2)  # the work of a call; a watch that waits costs nothing
+            await asyncio.sleep(0.2)  # the processing time of a call; a waiting watch costs nothing
         finally:
-            self.busy -= 1
+            self.processing -= 1
         return True
 
     async def answer(self, request: web.Request) -> web.Response:
@@ -65,23 +70,23 @@
             wait = int(request.query.get("wait_ms", "0")) / 1000
             try:
                 async with asyncio.timeout(wait):
-                    await self.changed.wait()  # the event of the next change, not of one long past
+                    await self.changed.wait()  # the event of the next change, not of an earlier one
             except TimeoutError:
                 return web.json_response({"rev": self.rev, "all": False, "targets": []})
         if self.state == "draining":
-            self.told += 1
+            self.drain_answers += 1
         body = {"rev": self.rev, "all": after is None, "targets": [entry(self.state)]}
         return web.Response(body=json.dumps(body), content_type="application/json")
 
-    def drain(self) -> None:
+    def start_drain(self) -> None:
         self.rev, self.state = 2, "draining"
         self.changed.set()
         self.changed = asyncio.Event()
 
 
-async def _served(service: Discovery) -> tuple[web.AppRunner, int]:
+async def _start_service(service: Discovery) -> tuple[web.AppRunner, int]:
     app = web.Application()
-    app.router.add_get("/discovery/hosts", service.hosts)
+    app.router.add_get("/discovery/hosts", service.handle_hosts)
     runner = web.AppRunner(app, handle_signals=False)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -89,74 +94,78 @@
     return runner, site._server.sockets[0].getsockname()[1]  # type: ignore[union-attr]
 
 
-def test_forty_watches_spread_their_calls_and_none_is_late_for_a_drain() -> None:
-    heard: dict[int, float] = {}
-    bound: list[bool] = []  # for each, whether it sends nothing new to the drained worker 0.9 s after told
+def test_forty_watches_spread_their_calls_and_apply_a_drain_in_time() -> None:
+    notified_at: dict[int, float] = {}
+    # For each scheduler, whether it sends nothing new to the drained worker 0.9 s after its notification.
+    drain_applied: list[bool] = []
     registries: list[Registry] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         service = Discovery()
-        runner, port = await _served(service)
+        runner, port = await _start_service(service)
         tasks = []
-        for i in range(CALLERS):
-            registry = Registry(lambda: loop.time() * 1000, GRACE_MS)
+        for i in range(SCHEDULERS):
+            registry = Registry(lambda: loop.time() * 1000, DRAIN_GRACE_MS)
             registries.append(registry)
 
-            def learn(
+            def on_endpoints(
                 scope: Scope, infos: tuple[WorkerInfo, ...], i: int = i, registry: Registry = registry
             ) -> None:
-                if i not in heard and any(info.readiness.value == "draining" for info in infos):
-                    heard[i] = loop.time()  # told at this moment: the answer was written a moment before
+                if i not in notified_at and any(info.readiness.value == "draining" for info in infos):
+                    notified_at[i] = loop.time()  # time of notification, just after the answer was written
                     loop.call_later(
-                        GRACE_MS / 1000 - 0.1, lambda: bound.append(registry.address("w1") is None)
+                        DRAIN_GRACE_MS / 1000 - 0.1,
+                        lambda: drain_applied.append(registry.address("w1") is None),
                     )
 
-            pace = PollSchedule(True, CALLERS, Random(i))
-            client = DiscoveryClient(f"127.0.0.1:{port}", registry, learn, schedule=pace)
+            schedule = PollSchedule(True, SCHEDULERS, Random(i))
+            client = DiscoveryClient(f"127.0.0.1:{port}", registry, on_endpoints, schedule=schedule)
             client.restore({"rev": 1, "all": True, "targets": [entry("ready")]})
             tasks.append(asyncio.create_task(client.run()))
-        await asyncio.sleep(DRAIN_AT)
-        service.drain()
+        await asyncio.sleep(DRAIN_AT_S)
+        service.start_drain()
         await asyncio.sleep(90.0)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await runner.cleanup()
-        assert max(service.calls.values()) <= OPENED_WATCHES_PER_S, "calls spread"
-        assert max(service.calls) < NOTIFIED_WITHIN_S, "and each had its answer before its old list expired"
-        assert len(heard) == CALLERS, "all hear the drain"
-        assert service.told >= CALLERS, "each was told by a call of its own"
-        assert bound == [True] * CALLERS, "none late for the drain"
-        assert sorted(heard.values())[CALLERS // 2] - DRAIN_AT < 1.0, "most at once, by a watch that goes on"
+        assert max(service.call_counts.values()) <= OPENED_WATCHES_PER_S, "calls are spread"
+        assert max(service.call_counts) < NOTIFIED_WITHIN_S, "each has its answer before its old list expires"
+        assert len(notified_at) == SCHEDULERS, "all are notified of the drain"
+        assert service.drain_answers >= SCHEDULERS, "each is notified by a call of its own"
+        assert drain_applied == [True] * SCHEDULERS, "the drain applies everywhere in time"
+        assert sorted(notified_at.values())[SCHEDULERS // 2] - DRAIN_AT_S < 1.0, (
+            "most are notified at once by their running watch"
+        )
 
-    play(scene, most=600.0)
+    play(scenario, most=600.0)
 
 
-RESTARTED, READY_WITHIN_S = 20, 6.0  # a tenth of 200; the bound where a day ends soon
+RESTARTED_COUNT, READY_WITHIN_S = 20, 6.0  # a tenth of 200 schedulers; the bound for a run that ends soon
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_a_tenth_of_two_hundred_that_restart_together_are_ready_in_time(known: bool) -> None:
-    """The service is slow: three calls at work, 0.2 s each, and most others are turned down. With a list in
-    hand each is ready at once; without one it has to be heard first."""
+@pytest.mark.parametrize("has_stored_list", [True, False])
+def test_twenty_of_200_schedulers_restarted_together_are_ready_in_time(has_stored_list: bool) -> None:
+    """The service is slow: it processes three calls at a time, 0.2 s each, and rejects most others. With a
+    stored list each scheduler is ready at once; without one it needs an answer first."""
     ready_at: list[float] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         service = Discovery()
-        runner, port = await _served(service)
+        runner, port = await _start_service(service)
         tasks = []
 
         async def note_ready(client: DiscoveryClient) -> None:
             await client.ready.wait()
             ready_at.append(loop.time())
 
-        for i in range(RESTARTED):
-            registry = Registry(lambda: loop.time() * 1000, GRACE_MS)
+        for i in range(RESTARTED_COUNT):
+            registry = Registry(lambda: loop.time() * 1000, DRAIN_GRACE_MS)
             schedule = PollSchedule(True, 200, Random(i), 10_000.0)
             client = DiscoveryClient(f"127.0.0.1:{port}", registry, lambda *_: None, schedule=schedule)
-            if known:
+            if has_stored_list:
                 client.restore({"rev": 1, "all": True, "targets": [entry("ready")]})
             tasks += [asyncio.create_task(client.run()), asyncio.create_task(note_ready(client))]
         await asyncio.sleep(READY_WITHIN_S)
@@ -165,6 +174,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await runner.cleanup()
 
-    play(scene, most=60.0)
-    assert len(ready_at) >= 0.9 * RESTARTED
-    assert not known or max(ready_at) == 0.0
+    play(scenario, most=60.0)
+    assert len(ready_at) >= 0.9 * RESTARTED_COUNT
+    assert not has_stored_list or max(ready_at) == 0.0
--- a/tests/test_workers_in_part.py
+++ b/tests/test_workers_in_part.py
@@ -1,4 +1,4 @@
-"""Workers that fail in part: they turn a class away, lose jobs, stand still, refuse connects for a moment."""
+"""Partial worker failures: a worker rejects one class, loses jobs, stalls or briefly refuses connects."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ONCE = JobClass("once", latency_objective_ms=1000, deadline_ms=12000)
 
 
-def make(workers: int = 3, **more: object) -> Dispatcher:
+def make_dispatcher(workers: int = 3, **overrides: object) -> Dispatcher:
     values: dict[str, object] = {
         "classes": (FREE, ONCE),
         "max_attempts": 3,
@@ -32,114 +32,122 @@
         "connect_timeout_ms": 200.0,
         "ramp_ms": 8000.0,
         "initial_capacity_share": 0.3,
-    } | more
-    d = Dispatcher(Settings(**values), seed=1)  # type: ignore[arg-type]
+    } | overrides
+    dispatcher = Dispatcher(Settings(**values), seed=1)  # type: ignore[arg-type]
     infos = tuple(WorkerInfo(f"w{i}", kind="std") for i in range(workers))
-    d.handle(0.0, EndpointsChanged(Scope.FULL, infos))
-    return d
+    dispatcher.handle(0.0, EndpointsChanged(Scope.FULL, infos))
+    return dispatcher
 
 
-def ask(d: Dispatcher, now: float, name: str, cls: str = "free") -> str | None:
-    """Where a job is sent, if it is."""
-    sends = [
+def submit(dispatcher: Dispatcher, now: float, request_id: str, cls: str = "free") -> str | None:
+    """Submit a job and return the worker that it is sent to, if any."""
+    workers = [
         a.worker
-        for a in d.handle(now, RequestReceived(name, cls, 5000.0, "k"))
+        for a in dispatcher.handle(now, RequestReceived(request_id, cls, 5000.0, "k"))
         if isinstance(a, StartAttempt)
     ]
-    return sends[0] if sends else None
+    return workers[0] if workers else None
 
 
-def served(d: Dispatcher, now: float, name: str, cls: str = "free", takes: float = 200.0) -> str:
-    worker = ask(d, now, name, cls)
+def run_job(
+    dispatcher: Dispatcher, now: float, request_id: str, cls: str = "free", duration_ms: float = 200.0
+) -> str:
+    worker = submit(dispatcher, now, request_id, cls)
     assert worker is not None
-    d.handle(now + 1, AttemptStarted(name, 0, worker))
-    d.handle(now + takes, AttemptEnded(name, 0, worker, Result.OK, takes, True))
+    dispatcher.handle(now + 1, AttemptStarted(request_id, 0, worker))
+    dispatcher.handle(now + duration_ms, AttemptEnded(request_id, 0, worker, Result.OK, duration_ms, True))
     return worker
 
 
-def test_a_class_turned_away_with_slots_free_goes_elsewhere_and_the_other_stays() -> None:
-    """The answer took 300 ms, and was taken for a full queue: jobs of the other class were refused for it."""
-    d = make()
-    home = served(d, 1, "warm")
-    assert ask(d, 300, "once1", "once") == home
-    d.handle(611, AttemptEnded("once1", 0, home, Result.FULL, 311))
-    assert d.state.requests["once1"].attempts[-1].worker.name != home
-    for i in range(3):  # again and again: longer than its first bar
+def test_class_rejected_despite_free_slots_goes_elsewhere_and_other_class_stays() -> None:
+    """Guards against treating the rejection, which took 300 ms, as a full queue: jobs of the other class were
+    rejected for it."""
+    dispatcher = make_dispatcher()
+    home_worker = run_job(dispatcher, 1, "warm")
+    assert submit(dispatcher, 300, "once1", "once") == home_worker
+    dispatcher.handle(611, AttemptEnded("once1", 0, home_worker, Result.FULL, 311))
+    assert dispatcher.state.requests["once1"].attempts[-1].worker.name != home_worker
+    for i in range(3):  # repeatedly: for longer than the first ejection
         now = 700 + 40 * i
-        assert ask(d, now, f"once-{i}", "once") != home
-        assert served(d, now + 1, f"free-{i}", takes=30) == home
+        assert submit(dispatcher, now, f"once-{i}", "once") != home_worker
+        assert run_job(dispatcher, now + 1, f"free-{i}", duration_ms=30) == home_worker
 
 
-def test_a_full_queue_is_still_one() -> None:
-    d = make()
-    home = d.state.workers[served(d, 1, "warm")]
+def test_rejection_by_a_full_queue_does_not_eject_the_class() -> None:
+    dispatcher = make_dispatcher()
+    worker = dispatcher.state.workers[run_job(dispatcher, 1, "warm")]
     for i in range(12):
-        ask(d, 300, f"r{i}", "once")
-    last = next(reversed(home.unstarted))
-    assert last.load_before >= home.pool.slots
-    d.handle(400, AttemptEnded(last.request.id, 0, home.name, Result.FULL, 100))
-    assert home.queue_wait_ms > 0 and ONCE.name not in home.class_ejections
-
-
-def test_connects_refused_for_a_moment_are_no_restart() -> None:
-    """One reset while connecting made a worker count as cold for its whole ramp, at every scheduler."""
-    d = make(1)
-    served(d, 1, "warm")
-    for name, down, cold in (("brief", 300.0, False), ("long", 1300.0, True)):
+        submit(dispatcher, 300, f"r{i}", "once")
+    last_attempt = next(reversed(worker.unstarted))
+    assert last_attempt.load_before >= worker.pool.slots
+    dispatcher.handle(400, AttemptEnded(last_attempt.request.id, 0, worker.name, Result.FULL, 100))
+    assert worker.queue_wait_ms > 0 and ONCE.name not in worker.class_ejections
+
+
+def test_brief_connect_failures_do_not_make_a_worker_cold() -> None:
+    """One reset while connecting made every scheduler treat the worker as cold for the complete ramp."""
+    dispatcher = make_dispatcher(1)
+    run_job(dispatcher, 1, "warm")
+    for name, outage_ms, is_cold in (("brief", 300.0, False), ("long", 1300.0, True)):
         now = 1000.0 if name == "brief" else 9000.0
-        assert ask(d, now, name) == "w0"
-        d.handle(now + 1, AttemptEnded(name, 0, "w0", Result.UNREACHABLE, 1.0, True))
-        assert d.state.workers["w0"].is_unreachable
-        assert served(d, now + down, f"{name}-after") == "w0"
-        assert not d.state.workers["w0"].is_unreachable
-        assert (slow_start.warmth(d.state, d.state.workers["w0"], now + down + 300) < 1) is cold
-
-
-def test_a_worker_that_stands_still_gets_a_trial_that_may_move_on() -> None:
-    """All jobs of its keys were refused for as long as a lost one waited there: 12 s."""
-    d = make()
-    home = served(d, 1, "warm")
-    assert ask(d, 1000, "lost", "once") == home
-    now = 1000 + 2 * 300 + 1.0  # two of its mean times, which are short
-    assert ask(d, now, "trial") == home
-    assert ask(d, now + 1, "next") != home  # one trial
-    assert ask(d, now + 2, "once", "once") != home  # never with a job that can't move on
-    moved = d.handle(now + 500, TimerFired(0))
-    assert CancelAttempt("trial", 0) in moved  # it has not begun: it goes where it begins at once
-    assert ask(d, now + 1001, "again") == home
-
-
-def test_a_job_that_a_later_one_overtook_is_lost_and_its_class_keeps_off() -> None:
-    """The worker took accessions and never began them, while it served label checks."""
-    d = make()
-    home = served(d, 1, "warm")
-    assert ask(d, 1000, "lost", "once") == home
-    assert served(d, 1050, "passes") == home
-    worker = d.state.workers[home]
-    assert not worker.unstarted and worker.in_flight == 1  # it makes nobody wait
-    assert ask(d, 3000, "once", "once") != home
-    assert served(d, 3100, "free") == home
-    d.handle(13000, AttemptEnded("lost", 0, home, Result.TIMEOUT, 12000.0))
+        assert submit(dispatcher, now, name) == "w0"
+        dispatcher.handle(now + 1, AttemptEnded(name, 0, "w0", Result.UNREACHABLE, 1.0, True))
+        assert dispatcher.state.workers["w0"].is_unreachable
+        assert run_job(dispatcher, now + outage_ms, f"{name}-after") == "w0"
+        assert not dispatcher.state.workers["w0"].is_unreachable
+        assert (
+            slow_start.warmth(dispatcher.state, dispatcher.state.workers["w0"], now + outage_ms + 300) < 1
+        ) is is_cold
+
+
+def test_stalled_worker_receives_one_trial_job_that_can_move() -> None:
+    """All jobs of its keys were rejected for as long as a lost job waited there: 12 s."""
+    dispatcher = make_dispatcher()
+    home_worker = run_job(dispatcher, 1, "warm")
+    assert submit(dispatcher, 1000, "lost", "once") == home_worker
+    now = 1000 + 2 * 300 + 1.0  # after two mean service times, which are short
+    assert submit(dispatcher, now, "trial") == home_worker
+    assert submit(dispatcher, now + 1, "next") != home_worker  # only one trial
+    # The trial is never a job that cannot move to another worker.
+    assert submit(dispatcher, now + 2, "once", "once") != home_worker
+    moved = dispatcher.handle(now + 500, TimerFired(0))
+    # The trial has not started: it moves to a worker where it starts at once.
+    assert CancelAttempt("trial", 0) in moved
+    assert submit(dispatcher, now + 1001, "again") == home_worker
+
+
+def test_job_overtaken_on_a_fifo_worker_counts_as_lost_and_ejects_its_class() -> None:
+    """The worker accepted accessions and never started them, while it served label checks."""
+    dispatcher = make_dispatcher()
+    home_worker = run_job(dispatcher, 1, "warm")
+    assert submit(dispatcher, 1000, "lost", "once") == home_worker
+    assert run_job(dispatcher, 1050, "passes") == home_worker
+    worker = dispatcher.state.workers[home_worker]
+    assert not worker.unstarted and worker.in_flight == 1  # the lost job delays no other job
+    assert submit(dispatcher, 3000, "once", "once") != home_worker
+    assert run_job(dispatcher, 3100, "free") == home_worker
+    dispatcher.handle(13000, AttemptEnded("lost", 0, home_worker, Result.TIMEOUT, 12000.0))
     assert worker.in_flight == 0
 
 
-def test_where_jobs_do_not_begin_in_order_overtaking_says_nothing() -> None:
-    d = make(fifo_workers=False)
-    home = served(d, 1, "warm")
-    ask(d, 1000, "waits", "once")
-    served(d, 1050, "passes")
+def test_overtaken_job_is_not_lost_on_a_worker_without_fifo_order() -> None:
+    dispatcher = make_dispatcher(fifo_workers=False)
+    home_worker = run_job(dispatcher, 1, "warm")
+    submit(dispatcher, 1000, "waits", "once")
+    run_job(dispatcher, 1050, "passes")
     assert (
-        len(d.state.workers[home].unstarted) == 1 and ONCE.name not in d.state.workers[home].class_ejections
+        len(dispatcher.state.workers[home_worker].unstarted) == 1
+        and ONCE.name not in dispatcher.state.workers[home_worker].class_ejections
     )
 
 
-def test_the_settings_say_whether_jobs_begin_in_order() -> None:
-    facts = {
+def test_queue_order_setting_determines_fifo_workers() -> None:
+    settings = {
         "policyLimits": {"maxAttempts": 1},
         "rules": {},
         "siblings": 1,
         "lanes": [{"name": "a", "aim": 1.0, "deadline": 2.0}],
     }
-    assert parse_settings(facts | {"familyInfo": {"queueOrder": "fifo"}}).fifo_workers
+    assert parse_settings(settings | {"familyInfo": {"queueOrder": "fifo"}}).fifo_workers
     for order in ("backfill", "priority", None):
-        assert not parse_settings(facts | {"familyInfo": {"queueOrder": order}}).fifo_workers
+        assert not parse_settings(settings | {"familyInfo": {"queueOrder": order}}).fifo_workers
