--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -201,7 +201,7 @@
 
 def test_max_queue_wait_grows_with_priority_weight_per_service_time() -> None:
     """Guards against long jobs of low weight that fill the queues while short jobs of high weight miss their
-    objective (port, overload day)."""
+    objective (simulator: port, overload day)."""
     high_weight = JobClass(
         "dear",
         latency_objective_ms=400,
@@ -248,7 +248,8 @@
 
 
 def test_idempotent_job_that_does_not_start_moves_to_another_worker() -> None:
-    """Guards against short lookups that wait behind long non-idempotent jobs (port, rough days)."""
+    """Guards against short lookups that wait behind long non-idempotent jobs (simulator:
+    port, rough days)."""
     dispatcher = make_dispatcher()
     (home_worker,) = started_workers(submit(dispatcher, 1, "first", "once"))
     dispatcher.state.move_budget = 5.0
@@ -331,7 +332,7 @@
 
 
 def test_worker_that_fails_one_class_still_receives_other_classes() -> None:
-    """Half of the workers failed one class and served the others (port, class_fail days)."""
+    """Half of the workers failed one class and served the others (simulator: port, class_fail days)."""
     dispatcher = make_dispatcher()
     (home_worker,) = started_workers(submit(dispatcher, 1, "r0"))
     dispatcher.handle(10, AttemptEnded("r0", 0, home_worker, Result.ERROR, 9))
@@ -341,8 +342,8 @@
 
 
 def test_non_idempotent_job_avoids_a_failing_worker_until_other_jobs_succeed() -> None:
-    """Errors seldom come alone: accessions were still sent to workers that failed previews (kushiro,
-    fleet 3)."""
+    """Errors seldom come alone: accessions were still sent to workers that failed previews (simulator:
+    kushiro, fleet 3)."""
     dispatcher = make_dispatcher()
     (home_worker,) = started_workers(submit(dispatcher, 1, "r0", "keyed"))
     dispatcher.handle(10, AttemptEnded("r0", 0, home_worker, Result.ERROR, 9, True))
@@ -354,8 +355,8 @@
 
 
 def test_stalled_worker_loses_rank_as_its_completions_become_overdue() -> None:
-    """Jobs that start and never end produce no event: the missing completions have to show it (kushiro,
-    wide 3: the worker was silent, then dead)."""
+    """Jobs that start and never end produce no event: the missing completions have to show it (simulator:
+    kushiro, wide 3: the worker was silent, then dead)."""
     dispatcher = make_dispatcher()
     now = 0.0
     home_worker = ""
@@ -406,7 +407,8 @@
 
 
 def test_refused_connect_marks_worker_unreachable_but_slow_handshake_does_not() -> None:
-    """Connects timed out during slow handshakes, and live workers were treated as dead (port, rough-2)."""
+    """Connects timed out in slow handshakes, and live workers were treated as dead (simulator: port,
+    rough-2)."""
     dispatcher = make_dispatcher(2, ramp_ms=20000, initial_capacity_share=0.1)
     for name, elapsed_ms, is_refused in (("r1", 250.0, False), ("r2", 3.0, True)):
         (worker,) = started_workers(submit(dispatcher, 1, name, key=name))
@@ -443,7 +445,8 @@
 
 
 def test_hot_key_widens_its_worker_set_among_many_schedulers() -> None:
-    """With 100 schedulers the own counts are 0 or 1, so no worker set was ever widened (vc, big-1)."""
+    """With 100 schedulers the own counts are 0 or 1, so no worker set was ever widened (simulator: vc,
+    big-1)."""
     dispatcher = make_dispatcher(40, scheduler_count=100)
     for i in range(60):
         name = f"r{i}"
@@ -551,7 +554,7 @@
 
 
 def test_single_reset_does_not_eject_a_worker_with_other_open_connections() -> None:
-    """Single resets ejected workers that went on working (kushiro, wide+reset+stale)."""
+    """Single resets ejected workers that went on working (simulator: kushiro, wide+reset+stale)."""
     for other_requests, is_ejected in ((1, False), (0, True)):
         dispatcher = make_dispatcher()
         (home_worker,) = started_workers(submit(dispatcher, 1, "r0"))
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -66,7 +66,8 @@
 
 @pytest.mark.parametrize("live", [True, False])
 def test_loaded_worker_is_avoided_by_its_live_weight(live: bool) -> None:
-    """Own jobs at a worker are half a minute apart: only its weight shows the load of the 39 others."""
+    """The scheduler's own jobs at a worker are half a minute apart: only the weight shows the load of the
+    other 39."""
     dispatcher = _make_dispatcher(live_weights=live)
     home_worker = _submit(dispatcher, 1, "r0")
     assert home_worker is not None
@@ -93,7 +94,8 @@
 
 @pytest.mark.parametrize(("waiting", "taken"), [(0.0, True), (30.0, False)])
 def test_reported_queue_counts_as_queue_wait(waiting: float, taken: bool) -> None:
-    """Own jobs at a worker are too few to show its queue: thousands were sent to full workers (join+mass)."""
+    """A scheduler's own jobs at a worker are too few to show its queue: thousands of jobs were sent to full
+    workers (scenario join+mass)."""
     dispatcher = _make_dispatcher_with_reports(waiting)
     sent = [_submit(dispatcher, 5000.0 + i, f"q{i}", f"q{i}") is not None for i in range(40)]
     assert any(sent) is taken and all(sent) is taken
@@ -124,7 +126,8 @@
 
 
 def test_workers_that_refuse_connects_stay_ejected_even_if_they_are_the_majority() -> None:
-    """A stale list names as many removed workers as live ones, and requests go to the removed (herd+vast)."""
+    """A stale list names as many removed workers as live ones, and requests go to the removed ones (scenario
+    herd+vast)."""
     dispatcher = _make_dispatcher()
     dispatcher.handle(1, RequestReceived("first", "free", 10000, "k"))
     for name in NAMES[:45]:
@@ -268,7 +271,7 @@
 
 
 def test_zone_that_returns_cold_is_neither_overloaded_nor_idle() -> None:
-    """zone+vast: a third of the workers is silent for 5 s, then returns restarted, with new start times."""
+    """Scenario zone+vast: a third of the workers is silent for 5 s, then returns with new start times."""
     fleet = _make_zoned_fleet(1)
     lost_workers = {n for n in NAMES if _zoned_worker_info(n).zone == "a"}
     _send_requests(fleet, 1000.0, 200, set())
@@ -298,7 +301,7 @@
 
 
 def test_replacement_of_most_workers_within_seconds_overloads_no_new_worker() -> None:
-    """join+vast: 36 of 60 workers leave and 36 new, cold ones join, spread over 7 s."""
+    """Scenario join+vast: 36 of 60 workers leave and 36 new, cold ones join, spread over 7 s."""
     fleet = _make_zoned_fleet(2)
     _send_requests(fleet, 1000.0, 200, set())
     started_at_ms: dict[str, float] = {}
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -41,21 +41,21 @@
     (SHORT, ONCE), scheduler_count=3, max_attempts=3, reports_starts=True, may_cancel=True,
     ramp_ms=22000.0, initial_capacity_share=0.15, overload_multiple=2.5, overload_window_ms=3000.0,
 )  # fmt: skip
-START, SERVED = 1e12, 60
+START_MS, JOB_COUNT = 1e12, 60
 PID = 4711
 
 
-def make_dispatcher(seed: int, now: float = START) -> Dispatcher:
+def make_dispatcher(seed: int, now: float = START_MS) -> Dispatcher:
     dispatcher = Dispatcher(SETTINGS, seed)
-    cold = WorkerInfo("w4", kind="std", started_at_ms=START - 5000.0)
+    cold = WorkerInfo("w4", kind="std", started_at_ms=START_MS - 5000.0)
     infos = (*(WorkerInfo(name, kind="std") for name in NAMES[:4]), cold)
     dispatcher.handle(now, EndpointsChanged(Scope.FULL, infos))
     return dispatcher
 
 
-def serve_jobs(dispatcher: Dispatcher, count: int = SERVED) -> float:
+def serve_jobs(dispatcher: Dispatcher, count: int = JOB_COUNT) -> float:
     """Run `count` jobs, of which those on w1 fail, and return the time of the last completion."""
-    now = START
+    now = START_MS
     for i in range(count):
         now += 100.0
         cls = ONCE if i % 3 == 0 else SHORT
@@ -178,8 +178,8 @@
 def test_intact_file_with_another_schema_is_rejected(change: dict[str, object]) -> None:
     old = make_dispatcher(1)
     now = serve_jobs(old, 10)
-    taken = orjson.loads(encode(snapshot.take(old.state, now), PID).partition(b"\n")[2]) | change
-    content = encode(taken, PID)
+    document = orjson.loads(encode(snapshot.take(old.state, now), PID).partition(b"\n")[2]) | change
+    content = encode(document, PID)
     if "version" in change:
         content = content.replace(b'"version":1', b'"version":2', 1)
     with pytest.raises(UnusableFileError):
@@ -232,7 +232,7 @@
 def test_successor_dispatches_a_class_with_restored_ejections() -> None:
     # Guards against a successor that raises KeyError when it looks up a worker's ejection for a class.
     old = make_dispatcher(1)
-    now = serve_jobs(old, SERVED // 2)  # soon after a failed job of w1: its ejections expire later
+    now = serve_jobs(old, JOB_COUNT // 2)  # soon after a failed job of w1: its ejections expire later
     ejections = old.state.workers["w1"].class_ejections.values()
     assert all(ejection.until_ms > now + 200.0 for ejection in ejections), "w1 is ejected for both classes"
     assert len(ejections) == 2
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -59,17 +59,17 @@
 class World:
     """Simulated workers and clients that check every action of the dispatcher."""
 
-    def __init__(self, seed: int, siblings: int, gap: float) -> None:
+    def __init__(self, seed: int, scheduler_count: int, gap_ms: float) -> None:
         self.rng = random.Random(seed)
-        self.gap = gap
+        self.gap_ms = gap_ms
         self.pending_events: list[Event] = []
         self.ordered_requests: dict[str, list[str]] = {}  # by key: its ordered requests, in order of arrival
         self.key_of: dict[str, str] = {}
         self.gaps: dict[str, tuple[float, str]] = {}  # by key: end of the ordering gap, and its request
         settings = Settings(
             CLASSES,
-            scheduler_count=siblings,
-            ordered_gap_ms=gap,
+            scheduler_count=scheduler_count,
+            ordered_gap_ms=gap_ms,
             must_subscribe=True,
             reports_starts=True,
             may_cancel=True,
@@ -132,7 +132,7 @@
         if result not in NEVER_RAN:
             self.first_runs.setdefault(name, (worker, when))
         if name in self.key_of and result in MAY_STILL_RUN:
-            self.gaps[self.key_of[name]] = self.now + self.gap, name
+            self.gaps[self.key_of[name]] = self.now + self.gap_ms, name
         final = name not in self.open_requests
         if result is Result.OK and not final:
             del self.open_requests[name]
@@ -202,20 +202,22 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize(("siblings", "gap"), [(2, 0.0), (2, 250.0), (100, 40.0)])
-def test_rules_hold_for_random_event_sequences(seed: int, siblings: int, gap: float) -> None:
-    world = World(seed, siblings, gap)
-    for i in range(1500 if siblings < 10 else 6000):
+@pytest.mark.parametrize(("scheduler_count", "gap_ms"), [(2, 0.0), (2, 250.0), (100, 40.0)])
+def test_rules_hold_for_random_event_sequences(seed: int, scheduler_count: int, gap_ms: float) -> None:
+    world = World(seed, scheduler_count, gap_ms)
+    for i in range(1500 if scheduler_count < 10 else 6000):
         world.step(i)
     # With 100 schedulers most workers are cold, and all schedulers share them: few requests are sent.
-    assert len(world.sends) > (200 if siblings < 10 else 20)
+    assert len(world.sends) > (200 if scheduler_count < 10 else 20)
     world.finish()
-    state = world.dispatcher.state
+    dispatcher = world.dispatcher
     assert (
-        not state.requests
-        and not state.queued_requests
-        and not state.unstarted_attempts
-        and state.in_flight == 0
+        not dispatcher.state.requests
+        and not dispatcher.state.queued_requests
+        and not dispatcher.state.unstarted_attempts
+        and dispatcher.state.in_flight == 0
     )
-    assert all(w.in_flight == 0 and not w.running and not w.unstarted for w in state.workers.values())
-    assert not any(line.requests for line in state.key_queues.values())
+    assert all(
+        w.in_flight == 0 and not w.running and not w.unstarted for w in dispatcher.state.workers.values()
+    )
+    assert not any(line.requests for line in dispatcher.state.key_queues.values())
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -21,8 +21,8 @@
 from oxbowyard.discovery.poll_schedule import PollSchedule
 from oxbowyard.discovery.registry import Registry
 
-DRAIN_GRACE_S = 0.8  # seconds: the shortest drain grace observed so far
-COMPLETE_BYTES = 10_000  # bytes: more than any answer has
+DRAIN_GRACE_S = 0.8  # the shortest drain grace observed so far
+COMPLETE_BYTES = 10_000  # more than any answer has
 
 
 def entry(uid: str = "w1", state: object = "ready", **more: Any) -> dict[str, Any]:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -142,7 +142,7 @@
     play(scenario, most=600.0)
 
 
-RESTARTED_COUNT, READY_WITHIN_S = 20, 6.0  # a tenth of 200 schedulers; the bound for a run that ends soon
+RESTARTED_COUNT, READY_WITHIN_S = 20, 6.0  # a tenth of 200 schedulers; the bound for a short simulated day
 
 
 @pytest.mark.parametrize("has_stored_list", [True, False])
