--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -120,9 +121,9 @@
         # The old one goes on, and can tell nobody anything any more.
         old._attempt = served
         with pytest.raises(JobRejectedError) as caught:
-            while True:
+            for number in itertools.count():
                 await asyncio.sleep(0.01)
-                old.stage.submit(f"late{len(old.stage.attempts)}", "once", durable=True)
+                old.stage.submit(f"late{number}", "once", durable=True)
         assert (
             caught.value.code is RejectionCode.STORE_UNAVAILABLE and "another scheduler" in caught.value.text
         )
