--- a/tests/test_cancel_crossings.py
+++ b/tests/test_cancel_crossings.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 import pytest
-from test_job_queue import Stage
+from test_job_queue import QueueHarness
 from virtual import play
 
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request, RunState, reason_not_to_send
@@ -22,7 +22,7 @@
     """A job at a worker that answers, or is sent the last byte, when the scene says so."""
 
     def __init__(self, job_class: str, ends: Result = Result.OK) -> None:
-        self.stage = Stage(self.attempt)
+        self.harness = QueueHarness(self.attempt)
         self.job_class = job_class
         self.ends = ends
         self.may_send = asyncio.Event()
@@ -39,12 +39,12 @@
         return AttemptOutcome(self.ends, b"made")
 
     async def begin(self) -> None:
-        self.stage.submit("j", self.job_class)
+        self.harness.submit("j", self.job_class)
         await asyncio.sleep(0.1)
 
     async def cancel_beside(self, event: asyncio.Event, turns: int, cancel_first: bool) -> None:
         """Cancel the job some turns of the loop after, or just before, the event."""
-        steps: list[Callable[[], object]] = [event.set, lambda: self.stage.room.cancel("j")]
+        steps: list[Callable[[], object]] = [event.set, lambda: self.harness.job_queue.cancel("j")]
         if cancel_first:
             steps.reverse()
         steps[0]()
@@ -55,16 +55,16 @@
     async def end(self) -> tuple[JobOutcome, RunState]:
         self.may_send.set()
         self.may_answer.set()
-        await self.stage.until("j")
-        final = self.stage.finals["j"]
-        return final.outcome, final.run_state
+        await self.harness.until("j")
+        result = self.harness.results["j"]
+        return result.outcome, result.run_state
 
 
 @pytest.mark.parametrize("turns", range(6))
 @pytest.mark.parametrize("ends", ENDS)
 @pytest.mark.parametrize("job_class", CLASSES)
 @pytest.mark.parametrize("cancel_first", [False, True])
-def test_a_cancel_beside_the_answer_never_says_that_a_job_never_ran(
+def test_cancel_concurrent_with_answer_never_reports_never_ran(
     cancel_first: bool, job_class: str, ends: Result, turns: int
 ) -> None:
     # Guards against a job recorded as never run although it was served: its client may send it again.
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("turns", range(6))
 @pytest.mark.parametrize("job_class", CLASSES)
 @pytest.mark.parametrize("cancel_first", [False, True])
-def test_a_cancelled_job_that_is_said_to_have_never_run_is_not_sent(
+def test_cancelled_job_reported_as_never_ran_is_not_sent(
     cancel_first: bool, job_class: str, turns: int
 ) -> None:
     # Guards against the last byte of a job whose cancel was recorded a moment before.
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from test_job_queue import Attempt, Stage, error, hangs, served
+from test_job_queue import Attempt, QueueHarness, answer_error, answer_ok, hang
 
 from oxbowyard.core.request import (
     AttemptContext,
@@ -49,7 +49,7 @@
 DEADLINES = {"free": 5.0, "once": 5.0}
 
 
-class Kept_:
+class DurableHarness:
     """A scheduler on a store; several after each other are runs of one."""
 
     def __init__(self, path: Path, attempt: Attempt, lease_s: float | None = None, **more: Any) -> None:
@@ -57,10 +57,10 @@
         self.durable_store = DurableStore(DurableSettings(str(path), lease_s=lease_s), True, self.wall)
         self.sent: list[str] = []  # jobs whose last byte was written
         self._attempt = attempt
-        self.stage = Stage(self.attempt, journal=self.durable_store.journal, **more)
-        self.room = self.stage.room
-        self.room.set_last_number(self.durable_store.last_number)
-        self.recovery = self.durable_store.recovery(self.room, DEADLINES)
+        self.queue_harness = QueueHarness(self.attempt, journal=self.durable_store.journal, **more)
+        self.job_queue = self.queue_harness.job_queue
+        self.job_queue.set_last_number(self.durable_store.last_number)
+        self.recovery = self.durable_store.recovery(self.job_queue, DEADLINES)
 
     def wall(self) -> float:
         return time.time() + self.stepped
@@ -72,8 +72,8 @@
 
     async def submit(self, id_: str, job_class: str = "once", **wait: Any) -> None:
         """As a front does: acknowledged once it is on disk."""
-        self.stage.submit(id_, job_class, durable=True, **wait)
-        await self.room.intake.wait_until_durable()
+        self.queue_harness.submit(id_, job_class, durable=True, **wait)
+        await self.job_queue.intake.wait_until_durable()
 
     async def until(self, condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(10):
@@ -81,11 +81,11 @@
                 await asyncio.sleep(0.002)
 
     def state(self, id_: str) -> JobState | JobOutcome | None:
-        job = self.room.find(id_)
+        job = self.job_queue.find(id_)
         return (job.outcome or job.state) if job else None
 
-    async def final(self, id_: str) -> JobOutcome | None:
-        known = await self.room.find_record(id_)
+    async def find_outcome(self, id_: str) -> JobOutcome | None:
+        known = await self.job_queue.find_record(id_)
         return known.result.outcome if known and known.result else None
 
 
@@ -97,47 +97,49 @@
     asyncio.run(with_bounded_window())
 
 
-def test_after_a_crash_each_job_is_where_it_surely_is(tmp_path: Path) -> None:
+def test_recovery_after_crash_restores_state_of_each_job(tmp_path: Path) -> None:
     async def scene() -> None:
         path = tmp_path / "jobs.db"
-        old = Kept_(path, hangs)
+        old = DurableHarness(path, hang)
         await old.submit("done", "once")
         await old.until(lambda: old.sent)
-        old._attempt = served
+        old._attempt = answer_ok
         await old.submit("ended", "once", idempotency_key="k", fingerprint=b"p")
-        await old.until(lambda: "ended" in old.stage.finals)
+        await old.until(lambda: "ended" in old.queue_harness.results)
         await old.submit("timed", "once", delay_s=60.0)
         await old.submit("child", "once", dependencies=(Dependency("done", DependencyCondition.ENDED),))
-        old._attempt = hangs
+        old._attempt = hang
         await old.submit("preview", "free")
         await old.until(lambda: "preview" in old.sent)
 
-        new = Kept_(path, served)
+        new = DurableHarness(path, answer_ok)
         await new.recovery.run()
         assert new.state("done") is JobState.INDETERMINATE and new.state("timed") is JobState.SCHEDULED
         assert new.state("child") is JobState.BLOCKED  # its parent is neither served nor ended
         await new.until(lambda: new.state("preview") is JobOutcome.SERVED)
         assert "done" not in new.sent and new.sent[0].startswith("preview")
         # The old one goes on, and can tell nobody anything any more.
-        old._attempt = served
+        old._attempt = answer_ok
         with pytest.raises(JobRejectedError) as caught:
             for number in itertools.count():
                 await asyncio.sleep(0.01)
-                old.stage.submit(f"late{number}", "once", durable=True)
+                old.queue_harness.submit(f"late{number}", "once", durable=True)
         assert (
             caught.value.code is RejectionCode.STORE_UNAVAILABLE and "another scheduler" in caught.value.text
         )
         assert not [id_ for id_ in old.sent if id_.startswith("late")]
         # Whoever asks again finds the one answer there is.
-        assert await new.final("ended") is JobOutcome.SERVED
-        again = await new.room.intake.find_existing(
+        assert await new.find_outcome("ended") is JobOutcome.SERVED
+        again = await new.job_queue.intake.find_existing(
             [(Request("x", "once", 5.0), WaitOptions(idempotency_key="k", fingerprint=b"p", durable=True))]
         )
         assert again is not None and again[0].job.id == "ended" and again[0].result is not None
         with pytest.raises(JobRejectedError, match="there is a job ended"):
-            await new.room.intake.find_existing([(Request("ended", "once", 5.0), WaitOptions(durable=True))])
+            await new.job_queue.intake.find_existing(
+                [(Request("ended", "once", 5.0), WaitOptions(durable=True))]
+            )
         with pytest.raises(JobRejectedError, match="another job"):
-            await new.room.intake.find_existing(
+            await new.job_queue.intake.find_existing(
                 [
                     (
                         Request("x", "once", 5.0),
@@ -145,14 +147,14 @@
                     )
                 ]
             )
-        assert new.room.resolve("done", "Aiko", JobOutcome.SERVED, b"filed by hand")
+        assert new.job_queue.resolve("done", "Aiko", JobOutcome.SERVED, b"filed by hand")
         await new.until(lambda: new.state("child") is JobOutcome.SERVED)
         await new.durable_store.close()
         await old.durable_store.close()
 
-        last = Kept_(path, served)
+        last = DurableHarness(path, answer_ok)
         await last.recovery.run()
-        known = await last.room.find_record("done")
+        known = await last.job_queue.find_record("done")
         assert known is not None and known.result is not None
         assert (known.result.outcome, known.result.body, known.result.resolved_by) == (
             JobOutcome.SERVED,
@@ -166,12 +168,12 @@
 
 
 @pytest.mark.parametrize(("point", "sent"), [("before the grant", False), ("after the grant", True)])
-def test_a_grant_is_on_disk_before_the_last_byte(point: str, sent: bool, tmp_path: Path) -> None:
+def test_lease_is_on_disk_before_last_byte_is_sent(point: str, sent: bool, tmp_path: Path) -> None:
     """The crash comes between a grant and its bytes: the job may have run only if the grant was on disk."""
 
     async def scene() -> None:
         path = tmp_path / "jobs.db"
-        old = Kept_(path, served)
+        old = DurableHarness(path, answer_ok)
         reached = asyncio.Event()
 
         async def crash(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -182,10 +184,10 @@
             raise AssertionError
 
         old.attempt = crash  # type: ignore[method-assign]
-        old.stage._attempt = crash
+        old.queue_harness._attempt = crash
         await old.submit("a")
         await reached.wait()
-        new = Kept_(path, served)
+        new = DurableHarness(path, answer_ok)
         await new.recovery.run()
         if sent:
             assert new.state("a") is JobState.INDETERMINATE and new.sent == []
@@ -197,9 +199,9 @@
     play(scene)
 
 
-def test_a_silent_worker_leaves_doubt_until_there_is_proof(tmp_path: Path) -> None:
+def test_job_of_silent_worker_is_indeterminate_until_resolved(tmp_path: Path) -> None:
     async def scene() -> None:
-        kept = Kept_(tmp_path / "jobs.db", hangs)
+        harness = DurableHarness(tmp_path / "jobs.db", hang)
         leases: dict[str, str] = {}
 
         async def silent(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -207,39 +209,48 @@
             context.is_last_byte_written = True
             return AttemptOutcome(Result.RESET)
 
-        kept._attempt = silent
+        harness._attempt = silent
         ids = ("late", "returned", "wrong", "word")
         for id_ in ids:
-            await kept.submit(id_, delay_s=0.05 if id_ == "word" else 0.0)
-        assert await kept.room.wait("word", 20.0) is None  # a poll ends with the doubt, not with its time
-        await kept.submit("child", dependencies=(Dependency("late"),))
-        await kept.until(lambda: all(kept.state(id_) is JobState.INDETERMINATE for id_ in ids))
-        assert kept.state("child") is JobState.BLOCKED
-        room = kept.room
-        assert not room.deliver_late_result(
+            await harness.submit(id_, delay_s=0.05 if id_ == "word" else 0.0)
+        assert (
+            await harness.job_queue.wait("word", 20.0) is None
+        )  # a poll ends with the doubt, not with its time
+        await harness.submit("child", dependencies=(Dependency("late"),))
+        await harness.until(lambda: all(harness.state(id_) is JobState.INDETERMINATE for id_ in ids))
+        assert harness.state("child") is JobState.BLOCKED
+        job_queue = harness.job_queue
+        assert not job_queue.deliver_late_result(
             "late", leases["wrong"], JobOutcome.SERVED, b"x"
         )  # another's lease
-        assert not room.deliver_late_result("late", "", JobOutcome.SERVED, b"x")
-        kept._attempt = served
-        assert room.deliver_late_result("late", leases["late"], JobOutcome.SERVED, b"filed")
-        assert not room.deliver_late_result("late", leases["late"], JobOutcome.FAILED, b"")  # twice
-        assert not room.resolve("late", "Aiko", JobOutcome.FAILED)  # too late: it has its end
-        await kept.until(lambda: kept.state("child") is JobOutcome.SERVED)
-        assert kept.stage.finals["late"].body == b"filed"
-        assert room.deliver_late_result("returned", leases["returned"], None)  # it never began: it may go on
-        await kept.until(lambda: kept.state("returned") is JobOutcome.SERVED)
-        assert room.resolve("word", "Aiko", None)
-        await kept.until(lambda: kept.state("word") is JobOutcome.SERVED)
-        assert [x.partition("~")[0] for x in kept.sent].count("returned") == 2 and len(set(kept.sent)) == 7
+        assert not job_queue.deliver_late_result("late", "", JobOutcome.SERVED, b"x")
+        harness._attempt = answer_ok
+        assert job_queue.deliver_late_result("late", leases["late"], JobOutcome.SERVED, b"filed")
+        assert not job_queue.deliver_late_result("late", leases["late"], JobOutcome.FAILED, b"")  # twice
+        assert not job_queue.resolve("late", "Aiko", JobOutcome.FAILED)  # too late: it has its end
+        await harness.until(lambda: harness.state("child") is JobOutcome.SERVED)
+        assert harness.queue_harness.results["late"].body == b"filed"
+        assert job_queue.deliver_late_result(
+            "returned", leases["returned"], None
+        )  # it never began: it may go on
+        await harness.until(lambda: harness.state("returned") is JobOutcome.SERVED)
+        assert job_queue.resolve("word", "Aiko", None)
+        await harness.until(lambda: harness.state("word") is JobOutcome.SERVED)
+        assert [x.partition("~")[0] for x in harness.sent].count("returned") == 2 and len(
+            set(harness.sent)
+        ) == 7
         with pytest.raises(ValueError, match="name"):
-            room.resolve("wrong", "", JobOutcome.SERVED)
-        assert set(kept.stage.ends.values()) == {1} and kept.state("wrong") is JobState.INDETERMINATE
-        await kept.durable_store.close()
+            job_queue.resolve("wrong", "", JobOutcome.SERVED)
+        assert (
+            set(harness.queue_harness.ends.values()) == {1}
+            and harness.state("wrong") is JobState.INDETERMINATE
+        )
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_lease_that_lapses_frees_what_may_be_repeated_and_doubts_the_rest(tmp_path: Path) -> None:
+def test_expired_lease_reruns_idempotent_job_and_makes_others_indeterminate(tmp_path: Path) -> None:
     async def scene() -> None:
         async def tells(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             context.is_last_byte_written = True
@@ -254,25 +265,25 @@
             await asyncio.sleep(60)
             raise AssertionError
 
-        kept = Kept_(tmp_path / "jobs.db", tells, lease_s=0.3)
+        harness = DurableHarness(tmp_path / "jobs.db", tells, lease_s=0.3)
         for id_, job_class in (("talks", "once"), ("silent", "once"), ("preview", "free")):
-            await kept.submit(id_, job_class)
+            await harness.submit(id_, job_class)
         for hours in (-1.0, 24.0):  # the clock steps while the leases run
-            kept.stepped = hours * 3600
+            harness.stepped = hours * 3600
             await asyncio.sleep(0.05)
-        assert kept.state("silent") is JobState.STARTED and kept.state("talks") is JobState.STARTED
-        await kept.until(lambda: kept.state("silent") is JobState.INDETERMINATE)
-        known = await kept.room.find_record("silent")
+        assert harness.state("silent") is JobState.STARTED and harness.state("talks") is JobState.STARTED
+        await harness.until(lambda: harness.state("silent") is JobState.INDETERMINATE)
+        known = await harness.job_queue.find_record("silent")
         assert known is not None and "it was with w" in known.job.reason
-        await kept.until(lambda: kept.state("preview") is JobOutcome.SERVED)
-        await kept.until(lambda: kept.state("talks") is JobOutcome.SERVED)
-        assert [x.partition("~")[0] for x in kept.sent].count("silent") == 1
-        await kept.durable_store.close()
+        await harness.until(lambda: harness.state("preview") is JobOutcome.SERVED)
+        await harness.until(lambda: harness.state("talks") is JobOutcome.SERVED)
+        assert [x.partition("~")[0] for x in harness.sent].count("silent") == 1
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_leases_lapse_in_order_and_once() -> None:
+def test_leases_expire_in_order_and_once() -> None:
     leases = LeaseTable(100.0)
     for at, job in enumerate("abc"):
         leases.begin(float(at), job)
@@ -288,18 +299,18 @@
     assert leases.take_expired(1000.0) == ["a"] and leases.next_expiry_ms() is None
 
 
-def test_a_full_memory_leaves_the_rest_on_disk(tmp_path: Path) -> None:
+def test_recovery_leaves_jobs_on_disk_while_memory_is_full(tmp_path: Path) -> None:
     async def scene() -> None:
         path = tmp_path / "jobs.db"
-        old = Kept_(path, served)
+        old = DurableHarness(path, answer_ok)
         for i in range(40):
             await old.submit(f"j{i}", delay_s=60.0 if i < 10 else 0.5)
-        new = Kept_(path, served, max_jobs=20)
+        new = DurableHarness(path, answer_ok, max_jobs=20)
         new.recovery._page_size = 5
         back = asyncio.create_task(new.recovery.run())
-        await new.until(lambda: new.room.held.jobs == 20)
+        await new.until(lambda: new.job_queue.held.jobs == 20)
         await asyncio.sleep(0.05)
-        assert new.state("j30") is None and (await new.room.find_record("j30")) is not None
+        assert new.state("j30") is None and (await new.job_queue.find_record("j30")) is not None
         await back  # as the first ones end, the rest comes
         await new.until(lambda: all(new.state(f"j{i}") is JobOutcome.SERVED for i in range(10, 40)))
         await new.durable_store.close()
@@ -308,100 +319,102 @@
     play(scene)
 
 
-def test_a_workers_own_failure_is_an_end_and_no_doubt(tmp_path: Path) -> None:
+def test_error_answer_of_worker_ends_job_as_failed(tmp_path: Path) -> None:
     async def scene() -> None:
-        kept = Kept_(tmp_path / "jobs.db", error)
-        await kept.submit("a")
-        await kept.until(lambda: kept.state("a") is JobOutcome.FAILED)
-        await kept.durable_store.close()
+        harness = DurableHarness(tmp_path / "jobs.db", answer_error)
+        await harness.submit("a")
+        await harness.until(lambda: harness.state("a") is JobOutcome.FAILED)
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_crash_during_recovery_and_during_that_one(tmp_path: Path) -> None:
+def test_crashes_during_recovery_lose_no_job(tmp_path: Path) -> None:
     async def scene() -> None:
         path = tmp_path / "jobs.db"
-        kept = Kept_(path, hangs)
+        harness = DurableHarness(path, hang)
         for i in range(30):
-            await kept.submit(f"j{i}", delay_s=0.0 if i < 4 else 60.0)
-        await kept.until(lambda: len(kept.sent) == 4)
-        kept.room.stop()
+            await harness.submit(f"j{i}", delay_s=0.0 if i < 4 else 60.0)
+        await harness.until(lambda: len(harness.sent) == 4)
+        harness.job_queue.stop()
         for _ in range(2):
-            kept = Kept_(path, served)
-            kept.recovery._page_size = 6
-            back = asyncio.create_task(kept.recovery.run())
-            while kept.state("j5") is None:
+            harness = DurableHarness(path, answer_ok)
+            harness.recovery._page_size = 6
+            back = asyncio.create_task(harness.recovery.run())
+            while harness.state("j5") is None:
                 await asyncio.sleep(0.001)
             with pytest.raises(JobRejectedError) as caught:  # a parent that may not be back yet
-                kept.stage.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
+                harness.queue_harness.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
             assert caught.value.code is RejectionCode.RECOVERING
             back.cancel()
-        kept = Kept_(path, served)
-        await kept.recovery.run()
-        states = [kept.state(f"j{i}") for i in range(30)]
-        assert states == [JobState.INDETERMINATE] * 4 + [JobState.SCHEDULED] * 26 and kept.sent == []
-        kept.stage.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
-        await kept.durable_store.close()
+        harness = DurableHarness(path, answer_ok)
+        await harness.recovery.run()
+        states = [harness.state(f"j{i}") for i in range(30)]
+        assert states == [JobState.INDETERMINATE] * 4 + [JobState.SCHEDULED] * 26 and harness.sent == []
+        harness.queue_harness.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_store_that_breaks_tells_whoever_waits_and_lets_the_program_stop(
+def test_broken_store_rejects_waiting_submissions_and_allows_shutdown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def damaged(self: Database, changes: Any) -> None:
         raise StoreError(StoreFailure.DAMAGED, "injected")
 
     async def scene() -> None:
-        kept = Kept_(tmp_path / "jobs.db", hangs)
-        await kept.submit("before", delay_s=60.0)
+        harness = DurableHarness(tmp_path / "jobs.db", hang)
+        await harness.submit("before", delay_s=60.0)
         monkeypatch.setattr(Database, "apply", damaged)
         with pytest.raises(JobRejectedError, match="broken; it is not known") as caught:
-            await kept.submit("a")
+            await harness.submit("a")
         assert caught.value.code is RejectionCode.STORE_UNAVAILABLE and caught.value.retry_after_s > 0
         with pytest.raises(JobRejectedError, match="the store is broken"):  # from now on at once
-            await kept.submit("b")
+            await harness.submit("b")
         with pytest.raises(JobRejectedError, match="not known"):
-            await kept.room.intake.wait_until_durable()
-        assert kept.sent == [] and kept.state("a") is JobState.SUBMITTED  # never sent: its grant is nowhere
-        kept.stage.submit("plain", "free")  # what needs no store goes on
-        await kept.until(lambda: "plain" in kept.sent)
-        kept.room.cancel("plain")
-        kept.room.stop()
-        await kept.room.wait_until_idle()
-        await kept.durable_store.close()
+            await harness.job_queue.intake.wait_until_durable()
+        assert (
+            harness.sent == [] and harness.state("a") is JobState.SUBMITTED
+        )  # never sent: its grant is nowhere
+        harness.queue_harness.submit("plain", "free")  # what needs no store goes on
+        await harness.until(lambda: "plain" in harness.sent)
+        harness.job_queue.cancel("plain")
+        harness.job_queue.stop()
+        await harness.job_queue.wait_until_idle()
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_hand_in_repeated_with_its_id_and_key_is_stored_once(tmp_path: Path) -> None:
+def test_submission_repeated_with_id_and_key_is_stored_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        kept = Kept_(tmp_path / "jobs.db", served)
+        harness = DurableHarness(tmp_path / "jobs.db", answer_ok)
         for _ in range(3):
-            await kept.submit("a", delay_s=60.0, idempotency_key="k", fingerprint=b"p")
-        assert kept.durable_store.journal.rejection_reason() == "" and kept.room.held.jobs == 1
-        await kept.durable_store.close()
+            await harness.submit("a", delay_s=60.0, idempotency_key="k", fingerprint=b"p")
+        assert harness.durable_store.journal.rejection_reason() == "" and harness.job_queue.held.jobs == 1
+        await harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_class_that_is_gone_keeps_its_jobs_in_the_store(tmp_path: Path) -> None:
+def test_jobs_of_removed_class_stay_in_store(tmp_path: Path) -> None:
     async def scene() -> None:
         path = tmp_path / "jobs.db"
-        kept = Kept_(path, served)
-        await kept.submit("a", "free", delay_s=60.0)
-        await kept.durable_store.close()
-        new = Kept_(path, served)
+        harness = DurableHarness(path, answer_ok)
+        await harness.submit("a", "free", delay_s=60.0)
+        await harness.durable_store.close()
+        new = DurableHarness(path, answer_ok)
         new.recovery._deadlines_s = {"once": 5.0}
         await new.recovery.run()
         assert new.state("a") is None and new.recovery.counts.unknown_class == 1
-        assert (await new.room.find_record("a")) is not None
+        assert (await new.job_queue.find_record("a")) is not None
         await new.durable_store.close()
 
     play(scene)
 
 
-def test_a_store_that_can_not_be_opened_is_one_line(tmp_path: Path) -> None:
+def test_store_open_failure_is_reported_in_one_line(tmp_path: Path) -> None:
     async def scene() -> None:
         path = tmp_path / "jobs.db"
         keeping = DurableStore(DurableSettings(str(path)))
@@ -430,12 +443,12 @@
     ("now", "max_wait_s", "delay_s"),
     [(1040.0, 60.0, 10.0), (1200.0, 0.0, 0.0), (-2600.0, 100.0, 50.0)],  # the clock stepped back an hour
 )
-def test_what_is_left_to_a_job_after_a_restart(now: float, max_wait_s: float, delay_s: float) -> None:
+def test_remaining_max_wait_and_delay_after_restart(now: float, max_wait_s: float, delay_s: float) -> None:
     found = recovered_state(stored(StoredState.WAITING, delay_s=50.0), [], unknown, now)
     assert (found.max_wait_s, found.delay_s, found.indeterminate_reason) == (max_wait_s, delay_s, "")
 
 
-def test_dependencies_that_ended_while_nobody_ran() -> None:
+def test_recovery_resolves_dependencies_that_have_ended() -> None:
     ends: dict[str, JobEnded | UnresolvedDependency] = {
         "served": JobEnded(2, "served", "yes", "", b"", 0.0, 1.0),
         "failed": JobEnded(3, "failed", "maybe", "", b"", 0.0, 1.0),
--- a/tests/test_durable_crash.py
+++ b/tests/test_durable_crash.py
@@ -7,12 +7,12 @@
 from benchmarks.durable_crash import JOBS, play
 
 
-def test_no_accession_runs_twice_and_each_job_has_one_answer() -> None:
+def test_no_non_idempotent_job_runs_twice_and_each_job_has_one_answer() -> None:
     jobs, ends, _, faults = asyncio.run(play(runs=2, seed=7, broken=False))
     assert faults == [] and jobs == 2 * 2 * JOBS == sum(ends.values())
 
 
-def test_the_audit_finds_a_grant_that_is_recorded_after_the_send() -> None:
+def test_audit_detects_lease_recorded_after_send() -> None:
     for seed in range(100, 110):  # most seeds show it; which ones is the machine's
         *_, faults = asyncio.run(play(runs=1, seed=seed, broken=True))
         if any("ran" in fault and "times" in fault for fault in faults):
--- a/tests/test_gearman_chaos.py
+++ b/tests/test_gearman_chaos.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_every_accession_is_counted(seed: int, tmp_path: Path) -> None:
+def test_each_job_ends_once_while_workers_are_killed(seed: int, tmp_path: Path) -> None:
     script = tmp_path / "start.txt"
     script.write_text('start gearman:max_queue=1000\nlist {"rev":1,"all":true,"targets":[]}\n')
     player = Player(script, tmp_path)
--- a/tests/test_gearman_durable.py
+++ b/tests/test_gearman_durable.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from test_durable import Kept_, play
-from test_job_queue import FREE, ONCE, Attempt, hangs, served
+from test_durable import DurableHarness, play
+from test_job_queue import FREE, ONCE, Attempt, answer_ok, hang
 
 from oxbowyard.decision.events import WorkerInfo
 from oxbowyard.gearman.codec import encode
@@ -60,9 +60,9 @@
 
     def __init__(self, path: Path, attempt: Attempt, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr("test_job_queue.CLASSES", (FREE, ONCE, *config_classes()))
-        self.kept = Kept_(path, attempt)
-        self.kept.stage.list_(*(WorkerInfo(f"g{i}", kind=KIND) for i in range(4)))
-        self.jobs = Jobs(config(), self.kept.stage.scheduler, "t", self.kept.room)
+        self.harness = DurableHarness(path, attempt)
+        self.harness.queue_harness.update_endpoints(*(WorkerInfo(f"g{i}", kind=KIND) for i in range(4)))
+        self.jobs = Jobs(config(), self.harness.queue_harness.scheduler, "t", self.harness.job_queue)
 
     def submit(self, packet_type: PacketType, function: str = "file", unique: bytes = b"u1") -> Client:
         client = Client()
@@ -100,12 +100,12 @@
 
 @pytest.mark.parametrize("function", ["file", "repeatable"])
 @pytest.mark.parametrize("second", [BACKGROUND, FOREGROUND])
-def test_a_second_submission_is_acknowledged_no_sooner_than_the_store_has_the_job(
+def test_second_submission_is_acknowledged_only_after_job_is_stored(
     second: PacketType, function: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a handle that a crash makes worthless: the first submission was not on disk yet.
     async def scene() -> None:
-        front = Front(tmp_path / "jobs.db", served, monkeypatch)
+        front = Front(tmp_path / "jobs.db", answer_ok, monkeypatch)
         async with slow_store(monkeypatch) as release:
             clients = [front.submit(BACKGROUND, function), front.submit(second, function)]
             await asyncio.sleep(0.05)
@@ -115,13 +115,13 @@
         if second is FOREGROUND:
             await until(lambda: clients[1].got(PacketType.WORK_COMPLETE))
         assert [client.paused for client in clients] == [0, 0]
-        await front.kept.durable_store.close()
+        await front.harness.durable_store.close()
 
     play(scene)
 
 
 @pytest.mark.parametrize("second", [BACKGROUND, FOREGROUND])
-def test_both_submitters_are_told_where_the_store_fails(
+def test_both_submitters_get_error_when_store_fails(
     second: PacketType, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a client that joined a job which was never stored, and waits for its end for ever.
@@ -129,51 +129,51 @@
         raise StoreError(StoreFailure.DAMAGED, "injected")
 
     async def scene() -> None:
-        front = Front(tmp_path / "jobs.db", served, monkeypatch)
+        front = Front(tmp_path / "jobs.db", answer_ok, monkeypatch)
         monkeypatch.setattr(Database, "apply", damaged)
         clients = [front.submit(BACKGROUND), front.submit(second)]
         await until(lambda: all(client.got(PacketType.ERROR) for client in clients))
         assert not any(client.got(PacketType.JOB_CREATED) for client in clients)
-        await front.kept.durable_store.close()
+        await front.harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_background_job_that_must_not_run_twice_does_not_join_one_that_is_not_stored(
+def test_non_idempotent_background_job_does_not_join_unstored_job(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a background job that is acknowledged and gone after a crash.
     async def scene() -> None:
-        front = Front(tmp_path / "jobs.db", hangs, monkeypatch)
+        front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(FOREGROUND)
         assert first.got(PacketType.JOB_CREATED)
         with pytest.raises(PacketRejectedError, match="not stored"):
             front.submit(BACKGROUND)
         front.jobs.remove_client(first)
-        await front.kept.durable_store.close()
+        await front.harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_repeatable_background_job_is_stored_beside_one_that_is_not(
+def test_idempotent_background_job_is_stored_separately_from_unstored_job(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        front = Front(tmp_path / "jobs.db", hangs, monkeypatch)
+        front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(FOREGROUND, "repeatable")
         second = front.submit(BACKGROUND, "repeatable")
         await until(lambda: second.got(PacketType.JOB_CREATED))
         handle = second.received[0][12:].decode()
-        assert await front.kept.room.find_record(handle) is not None
-        assert (await front.kept.durable_store._writer.read(lambda db: db.find(handle))) is not None
+        assert await front.harness.job_queue.find_record(handle) is not None
+        assert (await front.harness.durable_store._writer.read(lambda db: db.find(handle))) is not None
         front.jobs.remove_client(first)
-        front.kept.room.cancel(handle)
-        await front.kept.durable_store.close()
+        front.harness.job_queue.cancel(handle)
+        await front.harness.durable_store.close()
 
     play(scene)
 
 
-def test_a_client_that_joined_a_stored_job_gets_an_end_where_the_store_is_lost_later(
+def test_client_that_joined_stored_job_gets_failure_when_store_is_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a client that waits for ever, since the job's end can't be recorded.
@@ -181,7 +181,7 @@
         raise StoreError(StoreFailure.DAMAGED, "injected")
 
     async def scene() -> None:
-        front = Front(tmp_path / "jobs.db", hangs, monkeypatch)
+        front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(BACKGROUND)
         await until(lambda: first.got(PacketType.JOB_CREATED))
         second = front.submit(FOREGROUND)
@@ -190,6 +190,6 @@
         front.submit(BACKGROUND, unique=b"another")
         await until(lambda: second.got(PacketType.WORK_FAIL))
         front.jobs.remove_client(second)
-        await front.kept.durable_store.close()
+        await front.harness.durable_store.close()
 
     play(scene)
--- a/tests/test_gearman_stream.py
+++ b/tests/test_gearman_stream.py
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("pauses", [False, True])
 @pytest.mark.parametrize("fault", BAD)
 @pytest.mark.parametrize("piece", [1, 7, 20, 1000])
-def test_what_is_complete_before_an_error_is_handled_in_whatever_pieces_it_comes(
+def test_complete_packets_before_an_error_are_handled_for_any_segmentation(
     piece: int, fault: str, pauses: bool
 ) -> None:
     # Guards against jobs that are dropped because a later byte of the same piece is wrong.
@@ -117,7 +117,7 @@
     asyncio.run(scene())
 
 
-def test_a_workload_with_a_nul_as_its_own_unique_id_keeps_the_arguments_apart() -> None:
+def test_workload_with_nul_as_its_own_unique_id_is_not_split() -> None:
     # Guards against a worker that gets a part of the unique id as its workload.
     workload = b"first\0second"
     submission = parse_submission(PacketType.SUBMIT_JOB, [b"f", b"-", workload], CONFIG.functions, False)
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -44,7 +44,7 @@
 Attempt = Callable[[str, Request, AttemptContext], Awaitable[AttemptOutcome]]
 
 
-class Stage:
+class QueueHarness:
     """A job queue over a scheduler whose transport is one function."""
 
     def __init__(
@@ -70,17 +70,17 @@
         self._attempt = attempt
         measure = ServiceMeasure(settings.classes)
         self.scheduler = Scheduler(settings, self.facade, self, clock, measure, Limits())
-        self.room = JobQueue(waiting, CLASSES, self.scheduler, clock, "t", wall, journal)
-        self.finals: dict[str, JobResult] = {}
+        self.job_queue = JobQueue(waiting, CLASSES, self.scheduler, clock, "t", wall, journal)
+        self.results: dict[str, JobResult] = {}
         self.ends: Counter[str] = Counter()
         if workers:
-            self.list_(*(WorkerInfo(f"w{i}") for i in range(workers)))
+            self.update_endpoints(*(WorkerInfo(f"w{i}") for i in range(workers)))
 
     def clock(self) -> float:
         """Virtual time in ms."""
         return asyncio.get_running_loop().time() * 1000
 
-    def list_(self, *infos: WorkerInfo, scope: Scope = Scope.FULL) -> None:
+    def update_endpoints(self, *infos: WorkerInfo, scope: Scope = Scope.FULL) -> None:
         self.scheduler.update_endpoints(scope, infos)
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -90,34 +90,34 @@
     def submit(self, id_: str, job_class: str = "free", **wait: Any) -> str:
         request = Request(id_, job_class, 3600.0, target=f"/{job_class}", payload=b"x")
 
-        def ended(final: JobResult) -> None:
-            self.finals[id_] = final
+        def ended(result: JobResult) -> None:
+            self.results[id_] = result
             self.ends[id_] += 1
 
-        return self.room.submit([(request, WaitOptions(**wait))], ended)[0].id
+        return self.job_queue.submit([(request, WaitOptions(**wait))], ended)[0].id
 
     async def until(self, *ids: str) -> list[JobOutcome]:
         async with asyncio.timeout(10):
-            while any(id_ not in self.finals for id_ in ids):
+            while any(id_ not in self.results for id_ in ids):
                 await asyncio.sleep(0.002)
-        return [self.finals[id_].outcome for id_ in ids]
+        return [self.results[id_].outcome for id_ in ids]
 
 
-async def served(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def answer_ok(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     context.on_started()
     await asyncio.sleep(0.001)
     return AttemptOutcome(Result.OK, b"made " + request.id.encode())
 
 
-async def hangs(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def hang(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     context.on_started()
     await asyncio.sleep(60)
     raise AssertionError("never here")
 
 
-async def error(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def answer_error(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     context.is_last_byte_written = True
     return AttemptOutcome(Result.ERROR)
 
@@ -126,14 +126,14 @@
     return AttemptOutcome(Result.FULL)
 
 
-def test_a_child_runs_after_its_parent_and_the_library_awaits_both() -> None:
+def test_serve_awaits_job_that_runs_after_its_parent() -> None:
     async def scene() -> None:
-        stage = Stage(served)
-        room = stage.room
+        harness = QueueHarness(answer_ok)
+        job_queue = harness.job_queue
         child = asyncio.create_task(
-            room.serve(Request("c", "once", 60.0), WaitOptions(dependencies=(Dependency("p"),)))
-            if stage.submit("p", delay_s=0.05)
-            else room.serve(Request("x", "once", 1.0), WaitOptions())
+            job_queue.serve(Request("c", "once", 60.0), WaitOptions(dependencies=(Dependency("p"),)))
+            if harness.submit("p", delay_s=0.05)
+            else job_queue.serve(Request("x", "once", 1.0), WaitOptions())
         )
         answer = await child
         assert (answer.kind, answer.body, answer.run_state) == (
@@ -141,42 +141,42 @@
             b"made c",
             RunState.HAS_RUN,
         )
-        assert [id_ for _, id_, _, _ in stage.attempts] == ["p", "c"]
-        again = await room.serve(Request("c2", "once", 60.0), WaitOptions(idempotency_key="k"))
+        assert [id_ for _, id_, _, _ in harness.attempts] == ["p", "c"]
+        again = await job_queue.serve(Request("c2", "once", 60.0), WaitOptions(idempotency_key="k"))
         assert again.body == b"made c2"
         assert (
-            await room.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
+            await job_queue.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
         ).body == b"made c2"  # the same job
 
     play(scene)
 
 
-def test_a_refused_job_is_asked_again_until_it_is_served() -> None:
+def test_rejected_job_is_resubmitted_until_served() -> None:
     async def scene() -> None:
-        stage = Stage(full)
-        stage.submit("a", max_wait_s=30.0)
-        while len(stage.attempts) < 10:
+        harness = QueueHarness(full)
+        harness.submit("a", max_wait_s=30.0)
+        while len(harness.attempts) < 10:
             await asyncio.sleep(0.005)
-        stage._attempt = served
-        assert await stage.until("a") == [JobOutcome.SERVED]
-        asks = {id_ for _, id_, _, _ in stage.attempts}
+        harness._attempt = answer_ok
+        assert await harness.until("a") == [JobOutcome.SERVED]
+        asks = {id_ for _, id_, _, _ in harness.attempts}
         assert len(asks) > 2  # each ask is a new request, as from a client that comes back
-        assert all(sum(x == id_ for _, x, _, _ in stage.attempts) <= 3 for id_ in asks)
+        assert all(sum(x == id_ for _, x, _, _ in harness.attempts) <= 3 for id_ in asks)
 
     play(scene)
 
 
-def test_refused_without_end_it_ends_with_its_patience() -> None:
+def test_job_rejected_repeatedly_ends_when_max_wait_expires() -> None:
     async def scene() -> None:
-        stage = Stage(full)
-        stage.submit("a", max_wait_s=0.4)
-        assert (await stage.until("a"))[0] in (JobOutcome.WAIT_EXPIRED, JobOutcome.REJECTED)
+        harness = QueueHarness(full)
+        harness.submit("a", max_wait_s=0.4)
+        assert (await harness.until("a"))[0] in (JobOutcome.WAIT_EXPIRED, JobOutcome.REJECTED)
         assert (
-            stage.finals["a"].run_state is RunState.NEVER_RAN
-            and stage.finals["a"].answer().kind is AnswerKind.REJECTED
+            harness.results["a"].run_state is RunState.NEVER_RAN
+            and harness.results["a"].answer().kind is AnswerKind.REJECTED
         )
-        stage.submit("b", "once", max_wait_s=30.0)  # its class does not queue
-        assert await stage.until("b") == [JobOutcome.REJECTED]
+        harness.submit("b", "once", max_wait_s=30.0)  # its class does not queue
+        assert await harness.until("b") == [JobOutcome.REJECTED]
 
     play(scene)
 
@@ -184,83 +184,85 @@
 @pytest.mark.parametrize(
     ("attempt", "end", "ran", "either"),
     [
-        (error, JobOutcome.FAILED, RunState.MAY_HAVE_RUN, JobOutcome.SERVED),
-        (hangs, JobOutcome.CANCELLED, RunState.MAY_BE_RUNNING, JobOutcome.DEPENDENCY_FAILED),
+        (answer_error, JobOutcome.FAILED, RunState.MAY_HAVE_RUN, JobOutcome.SERVED),
+        (hang, JobOutcome.CANCELLED, RunState.MAY_BE_RUNNING, JobOutcome.DEPENDENCY_FAILED),
     ],
 )
-def test_a_parent_that_may_still_run_frees_nobody(
+def test_parent_that_may_still_run_does_not_release_dependents(
     attempt: Attempt, end: JobOutcome, ran: RunState, either: JobOutcome
 ) -> None:
     async def scene() -> None:
-        stage = Stage(attempt)
-        stage.submit("p", "once")
-        stage.submit("strict", dependencies=(Dependency("p"),))
-        stage.submit("either", dependencies=(Dependency("p", DependencyCondition.ENDED),))
-        while not stage.attempts:
+        harness = QueueHarness(attempt)
+        harness.submit("p", "once")
+        harness.submit("strict", dependencies=(Dependency("p"),))
+        harness.submit("either", dependencies=(Dependency("p", DependencyCondition.ENDED),))
+        while not harness.attempts:
             await asyncio.sleep(0)
-        stage._attempt = served
+        harness._attempt = answer_ok
         await asyncio.sleep(0.01)
-        if attempt is hangs:
-            job = stage.room.cancel("p")
-            assert job is not None and stage.room.cancel("p") is job  # twice does no harm
-        assert await stage.until("p", "strict", "either") == [end, JobOutcome.DEPENDENCY_FAILED, either]
-        assert stage.finals["p"].run_state is ran
-        assert set(stage.ends.values()) == {1}
+        if attempt is hang:
+            job = harness.job_queue.cancel("p")
+            assert job is not None and harness.job_queue.cancel("p") is job  # twice does no harm
+        assert await harness.until("p", "strict", "either") == [end, JobOutcome.DEPENDENCY_FAILED, either]
+        assert harness.results["p"].run_state is ran
+        assert set(harness.ends.values()) == {1}
 
     play(scene)
 
 
-def test_a_client_that_leaves_ends_its_job_and_the_family() -> None:
+def test_client_disconnect_cancels_job_and_fails_dependents() -> None:
     async def scene() -> None:
-        stage = Stage(served)
-        waits = asyncio.create_task(stage.room.serve(Request("p", "once", 60.0), WaitOptions(delay_s=60.0)))
+        harness = QueueHarness(answer_ok)
+        waits = asyncio.create_task(
+            harness.job_queue.serve(Request("p", "once", 60.0), WaitOptions(delay_s=60.0))
+        )
         await asyncio.sleep(0)
-        stage.submit("c", dependencies=(Dependency("p"),))
+        harness.submit("c", dependencies=(Dependency("p"),))
         waits.cancel()
-        assert await stage.until("c") == [JobOutcome.DEPENDENCY_FAILED]
-        assert stage.attempts == [] and stage.room.find("p").outcome is JobOutcome.CANCELLED  # type: ignore[union-attr]
+        assert await harness.until("c") == [JobOutcome.DEPENDENCY_FAILED]
+        assert harness.attempts == [] and harness.job_queue.find("p").outcome is JobOutcome.CANCELLED  # type: ignore[union-attr]
 
     play(scene)
 
 
 @pytest.mark.parametrize("hours", [-1.0, 24.0])
-def test_the_systems_clock_may_step(hours: float) -> None:
+def test_scheduled_jobs_are_unaffected_by_wall_clock_steps(hours: float) -> None:
     async def scene() -> None:
         wall = [1e9]
-        stage = Stage(served, wall=lambda: wall[0])
-        stage.submit("a", not_before_unix_s=1e9 + 0.2)
-        stage.submit("b", delay_s=0.1)
+        harness = QueueHarness(answer_ok, wall=lambda: wall[0])
+        harness.submit("a", not_before_unix_s=1e9 + 0.2)
+        harness.submit("b", delay_s=0.1)
         wall[0] += hours * 3600
         await asyncio.sleep(0.05)
-        assert stage.attempts == []
-        assert await stage.until("a", "b") == [JobOutcome.SERVED, JobOutcome.SERVED]
-        stage.submit("past", not_before_unix_s=1.0)
-        assert await stage.until("past") == [JobOutcome.SERVED]
+        assert harness.attempts == []
+        assert await harness.until("a", "b") == [JobOutcome.SERVED, JobOutcome.SERVED]
+        harness.submit("past", not_before_unix_s=1.0)
+        assert await harness.until("past") == [JobOutcome.SERVED]
 
     play(scene)
 
 
-def test_a_thousand_that_wait_end_as_never_run_when_the_program_stops() -> None:
+def test_stop_ends_thousand_waiting_jobs_as_never_run() -> None:
     async def scene() -> None:
-        stage = Stage(hangs)
+        harness = QueueHarness(hang)
         for i in range(1_000):
-            stage.submit(f"j{i}", delay_s=60.0 if i % 2 else 0.0)
+            harness.submit(f"j{i}", delay_s=60.0 if i % 2 else 0.0)
         await asyncio.sleep(0.02)
-        asked = {id_ for _, id_, _, _ in stage.attempts}
-        poll = asyncio.create_task(stage.room.wait("j1", 60.0))
+        asked = {id_ for _, id_, _, _ in harness.attempts}
+        poll = asyncio.create_task(harness.job_queue.wait("j1", 60.0))
         await asyncio.sleep(0)
-        stage.room.stop()
-        final = await poll
-        assert final is not None and final.outcome is JobOutcome.SHUT_DOWN and final.retry_after_s > 0
-        assert final.run_state is RunState.NEVER_RAN
+        harness.job_queue.stop()
+        result = await poll
+        assert result is not None and result.outcome is JobOutcome.SHUT_DOWN and result.retry_after_s > 0
+        assert result.run_state is RunState.NEVER_RAN
         ids = [f"j{i}" for i in range(1_000) if f"j{i}" not in asked]
-        assert set(await stage.until(*ids)) == {JobOutcome.SHUT_DOWN} and set(stage.ends.values()) == {1}
+        assert set(await harness.until(*ids)) == {JobOutcome.SHUT_DOWN} and set(harness.ends.values()) == {1}
         with pytest.raises(JobRejectedError):
-            stage.submit("late")
+            harness.submit("late")
         for id_ in asked:
-            stage.room.cancel(id_)
-        await stage.room.wait_until_idle()
-        assert len(stage.ends) == 1_000
+            harness.job_queue.cancel(id_)
+        await harness.job_queue.wait_until_idle()
+        assert len(harness.ends) == 1_000
 
     play(scene)
 
@@ -286,22 +288,22 @@
             then()
 
 
-def test_every_change_goes_to_the_journal_and_a_release_waits_for_it() -> None:
+def test_changes_are_journaled_and_release_waits_for_durability() -> None:
     async def scene() -> None:
         journal = Slow()
-        stage = Stage(served, journal=journal)
-        stage.submit("a", durable=True)
-        stage.submit("b", delay_s=60.0, durable=True)
-        stage.submit("cut", durable=True)
-        stage.submit("plain")  # what is not to be kept does not wait for the disk
-        stage.room.cancel("cut")
-        assert await stage.until("plain") == [JobOutcome.SERVED]
-        assert "cut" not in stage.finals and ("a", JobState.SUBMITTED) in journal.changes
-        assert [id_ for _, id_, _, _ in stage.attempts] == ["plain"]
-        while "a" not in stage.finals:  # its release, and its answer
+        harness = QueueHarness(answer_ok, journal=journal)
+        harness.submit("a", durable=True)
+        harness.submit("b", delay_s=60.0, durable=True)
+        harness.submit("cut", durable=True)
+        harness.submit("plain")  # what is not to be kept does not wait for the disk
+        harness.job_queue.cancel("cut")
+        assert await harness.until("plain") == [JobOutcome.SERVED]
+        assert "cut" not in harness.results and ("a", JobState.SUBMITTED) in journal.changes
+        assert [id_ for _, id_, _, _ in harness.attempts] == ["plain"]
+        while "a" not in harness.results:  # its release, and its answer
             journal.settle()
             await asyncio.sleep(0.01)
-        assert await stage.until("a", "cut") == [JobOutcome.SERVED, JobOutcome.CANCELLED]
+        assert await harness.until("a", "cut") == [JobOutcome.SERVED, JobOutcome.CANCELLED]
         states = [state for id_, state in journal.changes if id_ == "a"]
         assert states == [
             JobState.BLOCKED,
@@ -310,26 +312,26 @@
             JobState.STARTED,
             JobState.ENDED,
         ]
-        assert [id_ for _, id_, _, _ in stage.attempts] == ["plain", "a"]
-        poll = asyncio.create_task(stage.room.wait("b", 60.0))
+        assert [id_ for _, id_, _, _ in harness.attempts] == ["plain", "a"]
+        poll = asyncio.create_task(harness.job_queue.wait("b", 60.0))
         await asyncio.sleep(0)
-        stage.room.stop()  # what waits is kept, so it has no end here
-        await stage.room.wait_until_idle()
-        assert await poll is None and "b" not in stage.finals
+        harness.job_queue.stop()  # what waits is kept, so it has no end here
+        await harness.job_queue.wait_until_idle()
+        assert await poll is None and "b" not in harness.results
 
     play(scene)
 
 
-def test_one_fronts_fault_does_not_cost_the_others_their_ends(caplog: pytest.LogCaptureFixture) -> None:
+def test_failing_end_callback_does_not_affect_other_jobs(caplog: pytest.LogCaptureFixture) -> None:
     async def scene() -> None:
-        stage = Stage(served)
+        harness = QueueHarness(answer_ok)
 
-        def broken(final: JobResult) -> None:
+        def broken(result: JobResult) -> None:
             raise ZeroDivisionError
 
-        stage.room.submit([(Request("bad", "free", 5.0), WaitOptions(delay_s=0.02))], broken)
-        stage.submit("good", delay_s=0.02)
-        assert await stage.until("good") == [JobOutcome.SERVED]
+        harness.job_queue.submit([(Request("bad", "free", 5.0), WaitOptions(delay_s=0.02))], broken)
+        harness.submit("good", delay_s=0.02)
+        assert await harness.until("good") == [JobOutcome.SERVED]
         assert "could not carry out" in caplog.text
 
     play(scene)
@@ -354,41 +356,43 @@
             return AttemptOutcome(Result.OK)
 
 
-def test_no_new_work_after_a_drain_notice_and_little_to_a_cold_successor() -> None:
+def test_draining_worker_gets_no_job_and_cold_successor_is_ramped_up() -> None:
     async def scene() -> None:
         workers = Slots(0.03)
-        stage = Stage(workers.attempt, workers=2)
-        ids = [stage.submit(f"j{i}") for i in range(300)]
-        while len(stage.attempts) < 60:
+        harness = QueueHarness(workers.attempt, workers=2)
+        ids = [harness.submit(f"j{i}") for i in range(300)]
+        while len(harness.attempts) < 60:
             await asyncio.sleep(0.002)
-        stage.list_(
+        harness.update_endpoints(
             WorkerInfo("w0", Readiness.DRAINING),
-            WorkerInfo("cold", started_at_ms=stage.clock()),
+            WorkerInfo("cold", started_at_ms=harness.clock()),
             scope=Scope.CHANGES,
         )
-        told = len(stage.attempts)
-        await stage.until(*ids)
-        after = Counter(backend for backend, _, _, _ in stage.attempts[told:])
+        told = len(harness.attempts)
+        await harness.until(*ids)
+        after = Counter(backend for backend, _, _, _ in harness.attempts[told:])
         assert not after["w0"]
         # 2.5 times what it can do: under 0.3 of 4 slots with jobs of 30 ms, for the 3 s that all take.
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
-        assert {final.outcome for final in stage.finals.values()} == {JobOutcome.SERVED}
+        assert {result.outcome for result in harness.results.values()} == {JobOutcome.SERVED}
 
     play(scene)
 
 
-def test_a_shrinking_fleet_gets_no_more_than_it_takes() -> None:
+def test_release_rate_follows_a_shrinking_fleet() -> None:
     async def scene() -> None:
         workers = Slots()
-        stage = Stage(workers.attempt, workers=6)
-        ids = [stage.submit(f"j{i}", delay_s=0.05) for i in range(400)]
-        while len(stage.attempts) < 100:
+        harness = QueueHarness(workers.attempt, workers=6)
+        ids = [harness.submit(f"j{i}", delay_s=0.05) for i in range(400)]
+        while len(harness.attempts) < 100:
             await asyncio.sleep(0.002)
-        stage.list_(*(WorkerInfo(f"w{i}", Readiness.GONE) for i in range(1, 6)), scope=Scope.CHANGES)
+        harness.update_endpoints(
+            *(WorkerInfo(f"w{i}", Readiness.GONE) for i in range(1, 6)), scope=Scope.CHANGES
+        )
         await asyncio.sleep(0.05)  # what was out has ended
         workers.is_waiting.clear()
-        await stage.until(*ids)
-        assert set(stage.ends.values()) == {1}
+        await harness.until(*ids)
+        assert set(harness.ends.values()) == {1}
         # All that are due, sent at once, would have made the last wait for 0.7 s.
         assert {backend for backend, _ in workers.is_waiting} == {"w0"}
         assert max(wait for _, wait in workers.is_waiting) < 0.4
@@ -396,54 +400,54 @@
     play(scene)
 
 
-def test_an_aged_job_is_asked_with_the_patience_to_queue() -> None:
+def test_aged_job_is_submitted_in_the_aged_class() -> None:
     async def scene() -> None:
-        stage = Stage(hangs, workers=1, age_limit_s=0.1, quiet_limit_s=0.1, aged_per_s=100.0)
+        harness = QueueHarness(hang, workers=1, age_limit_s=0.1, quiet_limit_s=0.1, aged_per_s=100.0)
         for i in range(12):
-            stage.submit(f"j{i}")
-        while not any(name.endswith(AGED_CLASS_SUFFIX) for _, _, name, _ in stage.attempts):
+            harness.submit(f"j{i}")
+        while not any(name.endswith(AGED_CLASS_SUFFIX) for _, _, name, _ in harness.attempts):
             await asyncio.sleep(0.005)
 
     play(scene)
 
 
-def test_limits_of_watchers_and_of_the_window() -> None:
+def test_watcher_limit_and_window_bound_are_applied() -> None:
     async def scene() -> None:
-        stage = Stage(served, max_watchers=1)
-        stage.submit("a", delay_s=60.0)
-        poll = asyncio.create_task(stage.room.wait("a", 60.0))
+        harness = QueueHarness(answer_ok, max_watchers=1)
+        harness.submit("a", delay_s=60.0)
+        poll = asyncio.create_task(harness.job_queue.wait("a", 60.0))
         await asyncio.sleep(0)
         with pytest.raises(JobRejectedError, match="1 wait already"):
-            await stage.room.wait("a", 60.0)
+            await harness.job_queue.wait("a", 60.0)
         poll.cancel()
         await asyncio.gather(poll, return_exceptions=True)
-        assert await stage.room.wait("a", 0.01) is None
-        assert with_bounded_window(stage.room.settings, max_open_requests=5).max_window == 2
+        assert await harness.job_queue.wait("a", 0.01) is None
+        assert with_bounded_window(harness.job_queue.settings, max_open_requests=5).max_window == 2
 
     play(scene)
 
 
-def test_answers_say_what_is_known_of_the_run() -> None:
+def test_answer_reports_run_state() -> None:
     async def scene() -> None:
-        stage = Stage(error)
-        answer: Answer = await stage.scheduler.serve(Request("r", "once", 1.0))
+        harness = QueueHarness(answer_error)
+        answer: Answer = await harness.scheduler.serve(Request("r", "once", 1.0))
         assert (answer.kind, answer.run_state) == (AnswerKind.FAILED, RunState.MAY_HAVE_RUN)
-        stage._attempt = hangs
-        answer = await stage.scheduler.serve(Request("r", "once", 0.1))
+        harness._attempt = hang
+        answer = await harness.scheduler.serve(Request("r", "once", 0.1))
         assert (answer.kind, answer.run_state) == (AnswerKind.FAILED, RunState.MAY_BE_RUNNING)
-        stage._attempt = full
-        answer = await stage.scheduler.serve(Request("r", "once", 0.3))
+        harness._attempt = full
+        answer = await harness.scheduler.serve(Request("r", "once", 0.3))
         assert (answer.kind, answer.run_state) == (AnswerKind.REJECTED, RunState.NEVER_RAN)
 
     play(scene)
 
 
-def test_served_reqs_leave_no_circles_and_full_collections_wait_for_few_jobs() -> None:
+def test_served_requests_leave_no_reference_cycles_and_full_gc_waits_for_few_jobs() -> None:
     async def scene() -> None:
-        stage = Stage(served)
+        harness = QueueHarness(answer_ok)
         await asyncio.sleep(0)
         gc.collect()
-        await stage.until(*(stage.submit(f"j{i}") for i in range(200)))
+        await harness.until(*(harness.submit(f"j{i}") for i in range(200)))
         await asyncio.sleep(10)
         assert gc.collect() < 50  # not one a request
         many = [FEW_JOBS + 1]
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -55,7 +55,7 @@
     return [i for i, _ in sends(d.handle(now, AttemptEnded(name, 0, "w", result, 1.0, final)))]
 
 
-def test_requests_of_one_key_go_one_at_a_time_whatever_class_in_order() -> None:
+def test_requests_of_one_key_run_in_order_one_at_a_time_across_classes() -> None:
     d = make()
     assert sends(ask(d, 1, "a"))
     assert not sends(ask(d, 2, "b", "paired")) and not sends(ask(d, 3, "c"))
@@ -65,7 +65,7 @@
     assert not d.state.key_queues and not d.state.requests
 
 
-def test_other_keys_no_key_and_other_classes_are_free() -> None:
+def test_other_keys_missing_keys_and_unordered_classes_are_not_blocked() -> None:
     d = make()
     ask(d, 1, "a")
     assert sends(ask(d, 2, "b", key="other")) and sends(ask(d, 3, "c", "plain"))
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("result", [Result.TIMEOUT, Result.RESET, Result.CANCELLED])
-def test_a_key_rests_after_an_attempt_that_may_still_run(result: Result) -> None:
+def test_key_is_blocked_for_gap_after_attempt_that_may_still_run(result: Result) -> None:
     d = make(gap=300)
     ask(d, 1, "a")
     ask(d, 2, "b")
@@ -82,7 +82,7 @@
     assert sends(d.handle(351, TimerFired(0)))
 
 
-def test_no_rest_after_an_error_or_without_a_gap() -> None:
+def test_key_is_not_blocked_after_error_or_without_gap() -> None:
     for gap, result in ((300.0, Result.ERROR), (0.0, Result.RESET)):
         d = make(gap=gap)
         ask(d, 1, "a")
@@ -90,7 +90,7 @@
         assert end(d, 50, "a", result) == ["b"]
 
 
-def test_a_client_that_leaves_keeps_its_place_until_the_outcome() -> None:
+def test_key_stays_blocked_after_client_disconnect_until_attempt_ends() -> None:
     d = make(gap=100)
     ask(d, 1, "a")
     ask(d, 2, "b")
@@ -101,7 +101,7 @@
     assert [i for i, _ in sends(d.handle(611, TimerFired(0)))] == ["b"]
 
 
-def test_one_that_leaves_while_it_waits_does_not_block_the_rest() -> None:
+def test_disconnect_of_queued_request_does_not_block_later_ones() -> None:
     d = make()
     for i, name in enumerate("abc"):
         ask(d, 1 + i, name)
@@ -109,14 +109,14 @@
     assert end(d, 20, "a", Result.OK, True) == ["c"]
 
 
-def test_an_own_retry_keeps_the_turn_even_while_the_key_rests() -> None:
+def test_retry_of_same_request_is_sent_while_key_is_blocked() -> None:
     d = make(gap=5000)
     ask(d, 1, "a", "paired")
     ask(d, 2, "b")
     assert end(d, 50, "a", Result.RESET) == ["a"]
 
 
-def test_what_cannot_get_its_turn_in_time_is_refused_at_once() -> None:
+def test_request_that_would_miss_its_deadline_in_key_queue_is_rejected_at_once() -> None:
     d = make()
     d.state.service_times_ms.add("order", 2000.0)
     ask(d, 1, "a")
@@ -124,14 +124,14 @@
     assert isinstance(answer, RejectRequest) and answer.request_id == "b"
 
 
-def test_lines_survive_the_eviction_of_keys() -> None:
+def test_key_queue_survives_eviction_of_affinity_keys() -> None:
     d = make()
     ask(d, 1, "a")
     d.state.keys.clear()
     assert not sends(ask(d, 2, "b"))
 
 
-def test_a_negative_rest_is_refused_by_name() -> None:
+def test_negative_turn_gap_is_rejected_by_name() -> None:
     with pytest.raises(ValueError, match="turn_gap"):
         Settings((ORDER,), ordered_gap_ms=-1.0)
 
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(("siblings", "multiple", "window"), SIZES)
-def test_many_dispatchers_together_do_not_push_over_a_cold_worker(
+def test_many_dispatchers_together_do_not_overload_a_cold_worker(
     siblings: int, multiple: float, window: float
 ) -> None:
     """Each alone may send less than one job a window; used up at once by all it tips the worker."""
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from test_durable import Kept_, play
-from test_job_queue import hangs, served
+from test_durable import DurableHarness, play
+from test_job_queue import answer_ok, hang
 
 from oxbowyard.store.database import Database
 from oxbowyard.store.record import StoreError, StoreFailure
@@ -24,14 +24,14 @@
     monkeypatch.setattr("oxbowyard.durable.recovery.READ_RETRY_INTERVAL_S", 0.01, raising=False)
 
 
-async def successor(path: Path) -> Kept_:
+async def successor(path: Path) -> DurableHarness:
     """A scheduler on the store of one that had jobs which wait."""
-    kept = Kept_(path, hangs)
+    harness = DurableHarness(path, hang)
     for number in range(JOBS):
-        await kept.submit(f"j{number}", delay_s=60.0)
-    kept.room.stop()
-    await kept.durable_store.close()
-    new = Kept_(path, served)
+        await harness.submit(f"j{number}", delay_s=60.0)
+    harness.job_queue.stop()
+    await harness.durable_store.close()
+    new = DurableHarness(path, answer_ok)
     new.recovery._page_size = PAGE
     return new
 
@@ -55,7 +55,7 @@
     ("query", "at"), [("last_number", 1), *(("unfinished_jobs", n) for n in range(1, 6))]
 )
 @pytest.mark.parametrize("failure", [StoreFailure.FAILED, StoreFailure.LOCKED])
-def test_a_read_that_fails_once_loses_no_job(
+def test_recovery_read_that_fails_once_loses_no_job(
     failure: StoreFailure, query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a recovery that takes a page which it could not read for the end of the jobs.
@@ -64,9 +64,9 @@
         monkeypatch.setattr(Database, query, failing(getattr(Database, query), at, failure))
         await new.recovery.run()
         assert [new.state(f"j{number}") for number in range(JOBS)] == [JobState.SCHEDULED] * JOBS
-        new.stage.submit("child", dependencies=(Dependency("j19"),))
+        new.queue_harness.submit("child", dependencies=(Dependency("j19"),))
         with pytest.raises(JobRejectedError) as caught:
-            new.stage.submit("other", dependencies=(Dependency("unknown"),))
+            new.queue_harness.submit("other", dependencies=(Dependency("unknown"),))
         assert caught.value.code is not RejectionCode.RECOVERING
         await new.durable_store.close()
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     ("query", "at"), [("last_number", 1), ("unfinished_jobs", 1), ("unfinished_jobs", 2)]
 )
-def test_a_store_that_is_damaged_is_not_taken_as_read(
+def test_recovery_of_damaged_store_does_not_finish(
     query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # Guards against dependents judged by jobs that were never read back.
@@ -88,7 +88,7 @@
             await new.recovery.run()
         assert "recovery of earlier jobs stopped: damaged" in caplog.text
         with pytest.raises(JobRejectedError) as caught:
-            new.stage.submit("child", dependencies=(Dependency("j19"),))
+            new.queue_harness.submit("child", dependencies=(Dependency("j19"),))
         assert caught.value.code is RejectionCode.RECOVERING
         await new.durable_store.close()
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,7 +37,7 @@
 }
 
 
-def taken(number: int, **changes: Any) -> JobAccepted:
+def job_accepted(number: int, **changes: Any) -> JobAccepted:
     fields: dict[str, Any] = {
         "number": number,
         "id": f"j{number}",
@@ -57,7 +57,7 @@
     return JobAccepted(**(fields | changes))
 
 
-def ended(number: int, at: float = 1e9, by: str = "") -> JobEnded:
+def job_ended(number: int, at: float = 1e9, by: str = "") -> JobEnded:
     return JobEnded(number, "served", "yes", "", b"made", 0.0, at, by)
 
 
@@ -88,23 +88,23 @@
         return getattr(self._db, name)
 
 
-def test_what_is_applied_is_read_again(tmp_path: Path) -> None:
+def test_applied_changes_are_read_back_after_reopening(tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
     lease = Lease("secret", "w1", 1e9)
-    first_job = taken(1, idempotency_key="k", payload=b"\0\xff", priority=0.5, wait_for_idle=True)
-    db.apply([first_job, taken(2), taken(3)])
+    first_job = job_accepted(1, idempotency_key="k", payload=b"\0\xff", priority=0.5, wait_for_idle=True)
+    db.apply([first_job, job_accepted(2), job_accepted(3)])
     db.apply(
         [
             JobStateChanged(1, StoredState.GRANTED, 1, lease),
             JobStateChanged(1, StoredState.STARTED, 1),
-            ended(2, by="Aiko"),
+            job_ended(2, by="Aiko"),
         ]
     )
     db.apply(
         [
             JobStateChanged(1, StoredState.INDETERMINATE, 1),
-            ended(2, at=5.0),
+            job_ended(2, at=5.0),
             JobStateChanged(2, StoredState.WAITING, 9),
         ]
     )  # the first end stands
@@ -114,7 +114,7 @@
     assert first is not None and second is not None
     assert (first.state, first.lease, first.accepted.payload) == (StoredState.INDETERMINATE, lease, b"\0\xff")
     assert first.accepted.wait_for_idle is True and db.find_by_idempotency_key("", "k") == first
-    assert second.ended == ended(2, by="Aiko") and second.accepted.payload == b""
+    assert second.ended == job_ended(2, by="Aiko") and second.accepted.payload == b""
     assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j1", "j3"]
     assert db.unfinished_jobs(1, 9)[0].accepted.id == "j3" and db.last_number() == 3
     assert db.count_by_state() == {StoredState.INDETERMINATE: 1, StoredState.ENDED: 1, StoredState.WAITING: 1}
@@ -122,17 +122,17 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_fault_at_any_one_write_keeps_all_or_nothing(name: str, tmp_path: Path) -> None:
+def test_fault_at_any_write_leaves_batch_atomic(name: str, tmp_path: Path) -> None:
     code, trouble = FAULTS[name]
     changes: list[Change] = [
-        taken(2),
+        job_accepted(2),
         JobStateChanged(1, StoredState.GRANTED, 1, Lease("s", "w", 1.0)),
-        ended(1),
+        job_ended(1),
     ]
     for at in range(1, 6):  # begin, three changes, commit
         path = tmp_path / f"{at}.db"
         db = Database(path, connect=lambda path: Failing(path, code, 1 << 30))
-        db.apply([taken(1)])
+        db.apply([job_accepted(1)])
         db._db.at = db._db.writes + at
         with pytest.raises(StoreError) as caught:
             db.apply(changes)
@@ -144,16 +144,16 @@
         assert check(path) == 2
 
 
-def test_two_programs_never_have_one_store_and_a_fenced_one_writes_nothing(tmp_path: Path) -> None:
+def test_store_has_one_owner_and_fenced_owner_cannot_write(tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     old = Database(path)
-    old.apply([taken(1)])
+    old.apply([job_accepted(1)])
     with pytest.raises(StoreError, match="another program") as caught:
         Database(path)
     assert caught.value.failure is StoreFailure.LOCKED
     new = Database(path, take_over=True)  # the old one was stopped, and is thought dead
     with pytest.raises(StoreError) as caught:
-        old.apply([ended(1)])
+        old.apply([job_ended(1)])
     assert caught.value.failure is StoreFailure.FENCED
     new.apply([JobStateChanged(1, StoredState.INDETERMINATE, 1)])
     assert new.count_by_state() == {StoredState.INDETERMINATE: 1}
@@ -179,12 +179,10 @@
         (lambda p: (p.unlink(), p.mkdir()), StoreFailure.READ_ONLY),
     ],
 )
-def test_a_store_that_can_not_be_used_is_said_so_at_the_start(
-    spoil: Any, trouble: StoreFailure, tmp_path: Path
-) -> None:
+def test_unusable_store_is_reported_when_opened(spoil: Any, trouble: StoreFailure, tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
-    db.apply([taken(n) for n in range(1, 50)])
+    db.apply([job_accepted(n) for n in range(1, 50)])
     db.close()
     spoil(path)
     with pytest.raises(StoreError) as caught:
@@ -193,28 +191,28 @@
     assert isinstance(caught.value, StoreError) and "\n" not in str(caught.value)
 
 
-def test_an_older_version_is_brought_up(tmp_path: Path) -> None:
+def test_older_schema_version_is_migrated(tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
-    db.apply([taken(1), ended(1)])
+    db.apply([job_accepted(1), job_ended(1)])
     db.close()
     raw = sqlite3.connect(path)
     raw.execute("ALTER TABLE jobs DROP COLUMN resolved_by")
     raw.close()
     pragma(path, "user_version = 1")
     db = Database(path)
-    db.apply([taken(2), ended(2, by="Aiko")])
+    db.apply([job_accepted(2), job_ended(2, by="Aiko")])
     found = db.find("j2")
     assert found is not None and found.ended is not None and found.ended.resolved_by == "Aiko"
     db.close()
 
 
-def test_a_torn_last_page_costs_only_what_was_not_acknowledged(tmp_path: Path) -> None:
+def test_torn_wal_loses_only_unacknowledged_changes(tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
-    db.apply([taken(1)])
+    db.apply([job_accepted(1)])
     whole = path.with_name("jobs.db-wal").stat().st_size
-    db.apply([taken(2)])
+    db.apply([job_accepted(2)])
     copy = tmp_path / "after" / "jobs.db"
     copy.parent.mkdir()
     copy.write_bytes(path.read_bytes())
@@ -230,9 +228,9 @@
     db.close()
 
 
-def test_answers_are_forgotten_by_age_and_number_in_slices(tmp_path: Path) -> None:
+def test_prune_deletes_results_by_age_and_count_in_bounded_steps(tmp_path: Path) -> None:
     db = Database(tmp_path / "jobs.db")
-    db.apply([taken(n) for n in range(1, 21)] + [ended(n, at=float(n)) for n in range(1, 20)])
+    db.apply([job_accepted(n) for n in range(1, 21)] + [job_ended(n, at=float(n)) for n in range(1, 20)])
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=3) == 3
     assert db.prune(ended_before=6.0, max_results=100, max_deletions=30) == 2
     assert db.prune(ended_before=0.0, max_results=10, max_deletions=30) == 4
@@ -240,14 +238,14 @@
     db.close()
 
 
-def test_a_snapshot_is_checked_and_restored(
+def test_snapshot_is_checked_and_restored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, copy = tmp_path / "jobs.db", tmp_path / "copy.db"
     db = Database(path)
-    db.apply([taken(n) for n in range(1, 200)])
+    db.apply([job_accepted(n) for n in range(1, 200)])
     assert snapshot(path, copy) == 199  # while it is in service
-    db.apply([ended(1)])
+    db.apply([job_ended(1)])
     with pytest.raises(StoreError, match="another program"):
         restore(copy, path)
     db.close()
@@ -265,11 +263,11 @@
     assert command() == 0 and "ok, 199 jobs" in capsys.readouterr().out
 
 
-def test_the_size_that_the_settings_allow_is_a_full_store(tmp_path: Path) -> None:
+def test_store_at_max_bytes_is_reported_as_full(tmp_path: Path) -> None:
     db = Database(tmp_path / "jobs.db", max_bytes=64 * 4096)
     with pytest.raises(StoreError) as caught:
         for n in range(1, 1000):
-            db.apply([taken(n, payload=b"x" * 4000)])
+            db.apply([job_accepted(n, payload=b"x" * 4000)])
     assert caught.value.failure is StoreFailure.FULL
     db.close()
 
@@ -283,12 +281,12 @@
             await asyncio.sleep(0.002)
 
 
-def test_many_changes_share_a_commit_and_nobody_is_told_before(tmp_path: Path) -> None:
+def test_changes_share_commits_and_are_reported_durable_only_afterwards(tmp_path: Path) -> None:
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
         told: list[int] = []
         for n in range(1, 501):
-            writer.put(taken(n))
+            writer.put(job_accepted(n))
             writer.when_durable(lambda n=n: told.append(n))  # type: ignore[misc]
         assert told == []
         await until(lambda: len(told) == 500)
@@ -306,7 +304,7 @@
     [("full", False, StoreHealth.SERVING), ("fsync", False, StoreHealth.SERVING),
      ("damaged", False, StoreHealth.BROKEN), ("fsync", True, StoreHealth.BROKEN)],
 )  # fmt: skip
-def test_a_failing_disk_stalls_the_store_and_acknowledges_nothing(
+def test_failing_disk_stalls_store_and_acknowledges_nothing(
     name: str, lasting: bool, last: StoreHealth, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.02)
@@ -323,7 +321,7 @@
         writer = Writer(database, states.append)
         told: list[str] = []
         opened[0].at = opened[0].writes + 2
-        writer.put(taken(1))
+        writer.put(job_accepted(1))
         writer.when_durable(lambda: told.append("safe"))
         await until(lambda: last in states if last is StoreHealth.BROKEN else "safe" in told)
         assert bool(told) == (last is StoreHealth.SERVING)
@@ -335,17 +333,17 @@
     asyncio.run(scene())
 
 
-def test_a_stopped_process_that_goes_on_can_not_write(tmp_path: Path) -> None:
+def test_resumed_process_is_fenced_after_takeover(tmp_path: Path) -> None:
     """A real one: stopped in service, its successor takes over, then it is let go on."""
     path = tmp_path / "jobs.db"
     code = f"""
 import sys; sys.path.insert(0, {str(Path(__file__).parent)!r})
 from pathlib import Path
-from test_store import Database, StoreError, taken, time
+from test_store import Database, StoreError, job_accepted, time
 db = Database(Path({str(path)!r}))
 for n in range(1, 1_000_000):
     try:
-        db.apply([taken(n)])
+        db.apply([job_accepted(n)])
     except StoreError as fault:
         print(n, fault.failure.value, flush=True)
         break
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 import pytest
-from test_durable import Kept_, play
-from test_job_queue import served
+from test_durable import DurableHarness, play
+from test_job_queue import answer_ok
 from test_store_thread import Hook, HookedConnection, sqlite_error
 
 from oxbowyard.store.database import Database
@@ -48,9 +48,9 @@
             return None
 
 
-def install(kept: Kept_, calls: FailingCalls) -> Writer:
+def install(harness: DurableHarness, calls: FailingCalls) -> Writer:
     """From now on the store's calls may fail."""
-    writer = kept.durable_store._writer
+    writer = harness.durable_store._writer
     hook = Hook()
     hook.check = calls.check
     database = writer._database
@@ -61,32 +61,34 @@
 
 async def life(path: Path, calls: FailingCalls) -> list[str]:
     """A store's service with one fault; returns the jobs that were acknowledged."""
-    kept = Kept_(path, served)
-    writer = install(kept, calls)
+    harness = DurableHarness(path, answer_ok)
+    writer = install(harness, calls)
     acknowledged = []
-    recovery = asyncio.create_task(kept.recovery.run())  # beside the service, as in the program
+    recovery = asyncio.create_task(harness.recovery.run())  # beside the service, as in the program
     for id_, delay_s in (("a", 0.0), ("b", 60.0), ("c", 60.0)):
-        if await in_time(acknowledge(kept, id_, delay_s)):
+        if await in_time(acknowledge(harness, id_, delay_s)):
             acknowledged.append(id_)
-    kept.room.cancel("b")
-    await in_time(kept.room.find_record("c"))
-    await in_time(kept.room.find_record("unknown"))
+    harness.job_queue.cancel("b")
+    await in_time(harness.job_queue.find_record("c"))
+    await in_time(harness.job_queue.find_record("unknown"))
     await asyncio.sleep(0.05)  # old results are looked for
     assert writer._thread.is_alive() or writer.health in LOST_STATES
-    if await in_time(acknowledge(kept, "last", 60.0)):
+    if await in_time(acknowledge(harness, "last", 60.0)):
         acknowledged.append("last")
         if "a" in acknowledged:
-            await kept.until(lambda: kept.state("a") is JobOutcome.SERVED or writer.health in LOST_STATES)
+            await harness.until(
+                lambda: harness.state("a") is JobOutcome.SERVED or writer.health in LOST_STATES
+            )
     else:
         assert writer.health is not StoreHealth.SERVING
     async with asyncio.timeout(WAIT_S):
-        await kept.durable_store.close()
+        await harness.durable_store.close()
         await recovery
     return acknowledged
 
 
-async def acknowledge(kept: Kept_, id_: str, delay_s: float) -> bool:
-    await kept.submit(id_, delay_s=delay_s)
+async def acknowledge(harness: DurableHarness, id_: str, delay_s: float) -> bool:
+    await harness.submit(id_, delay_s=delay_s)
     return True
 
 
@@ -94,7 +96,7 @@
     ("error", "lasting"),
     [*((error, False) for error in ERRORS), *((error, True) for error in ERRORS if error != "full")],
 )
-def test_a_call_that_fails_leaves_nobody_waiting_and_loses_nothing(
+def test_failing_sqlite_call_blocks_no_caller_and_loses_no_acknowledged_job(
     error: str, lasting: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against any one call of SQLite that ends the store's service unsaid.
@@ -120,20 +122,20 @@
     play(scene)
 
 
-def test_a_disk_that_stays_full_stalls_the_store_until_it_is_closed(
+def test_permanently_full_disk_stalls_store_until_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a client that is never told: a store that is full takes up its work again by itself.
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.005)
 
     async def scene() -> None:
-        kept = Kept_(tmp_path / "jobs.db", served)
-        writer = install(kept, FailingCalls(1, sqlite3.SQLITE_FULL, lasting=True))
-        waiting = asyncio.ensure_future(kept.submit("a", delay_s=60.0))
-        await kept.until(lambda: writer.health is StoreHealth.STALLED)
+        harness = DurableHarness(tmp_path / "jobs.db", answer_ok)
+        writer = install(harness, FailingCalls(1, sqlite3.SQLITE_FULL, lasting=True))
+        waiting = asyncio.ensure_future(harness.submit("a", delay_s=60.0))
+        await harness.until(lambda: writer.health is StoreHealth.STALLED)
         with pytest.raises(JobRejectedError, match="full or failing"):
-            await kept.submit("b", delay_s=60.0)
-        await kept.durable_store.close()
+            await harness.submit("b", delay_s=60.0)
+        await harness.durable_store.close()
         with pytest.raises(JobRejectedError):
             await waiting
 
--- a/tests/test_store_thread.py
+++ b/tests/test_store_thread.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from test_store import ended, taken
+from test_store import job_accepted, job_ended
 
 from oxbowyard.store.database import Database, connect
 from oxbowyard.store.record import Change, StoredState, StoreError
@@ -113,7 +113,7 @@
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.02)
 
 
-def test_an_error_while_old_results_are_counted_is_tried_again(tmp_path: Path) -> None:
+def test_error_while_counting_old_results_is_retried(tmp_path: Path) -> None:
     # Guards against a store that says "serving" after one error of the disk has ended its thread.
     hook = Hook()
     failures: list[str] = []
@@ -125,10 +125,10 @@
 
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), prune_limits=lambda: KEEP_ALL)
-        await committed(writer, taken(1))
+        await committed(writer, job_accepted(1))
         hook.check = fail_once
         await until(lambda: failures)
-        await committed(writer, taken(2))
+        await committed(writer, job_accepted(2))
         assert await last_number(writer) == 2 and writer.health is StoreHealth.SERVING
         await writer.close()
 
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("error", [ValueError("a fault of ours"), MemoryError(), SystemExit(1)])
-def test_an_error_of_any_type_breaks_the_store_aloud(
+def test_unexpected_error_is_logged_and_reported_as_broken_store(
     error: BaseException, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     # Guards against a thread that ends while the store's health says "serving".
@@ -151,7 +151,7 @@
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), states.append)
         hook.check = fail
         release = await hold(writer)
-        writer.put(taken(1))
+        writer.put(job_accepted(1))
         in_batch = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
         release.set()
@@ -166,7 +166,7 @@
     assert "store health=broken: " in caplog.text and repr(error) in caplog.text
 
 
-def test_a_read_beside_a_commit_that_fails_for_good_is_answered(tmp_path: Path) -> None:
+def test_reads_batched_with_permanently_failing_commit_raise(tmp_path: Path) -> None:
     # Guards against a query that is dropped with the batch in hand: its caller waited for ever.
     hook = Hook()
 
@@ -180,7 +180,7 @@
         release = await hold(writer)
         before = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
-        writer.put(taken(1))
+        writer.put(job_accepted(1))
         after = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
         release.set()
@@ -192,7 +192,7 @@
     play(scene)
 
 
-def test_a_read_that_comes_as_the_thread_ends_is_answered(tmp_path: Path) -> None:
+def test_read_queued_while_thread_ends_raises(tmp_path: Path) -> None:
     # Guards against a query queued between the look at the health and the thread's end.
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
@@ -204,7 +204,7 @@
     play(scene)
 
 
-def test_a_caller_that_gives_up_its_read_does_not_end_the_thread(tmp_path: Path) -> None:
+def test_cancelled_read_does_not_end_the_thread(tmp_path: Path) -> None:
     # Guards against an answer set on a cancelled query: it raised in the thread, and the store was gone.
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
@@ -215,25 +215,25 @@
         with contextlib.suppress(asyncio.CancelledError):
             await given_up
         release.set()
-        await committed(writer, taken(1))
+        await committed(writer, job_accepted(1))
         assert await last_number(writer) == 1
         await writer.close()
 
     play(scene)
 
 
-def test_whoever_waits_as_the_store_closes_is_told(tmp_path: Path) -> None:
+def test_closing_reports_closed_health(tmp_path: Path) -> None:
     async def scene() -> None:
         states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db"), states.append)
-        await committed(writer, taken(1))
+        await committed(writer, job_accepted(1))
         await writer.close()
         await until(lambda: StoreHealth.CLOSED in states)
 
     play(scene)
 
 
-def test_a_thread_that_outlives_its_loop_still_closes_the_store(
+def test_thread_that_outlives_event_loop_closes_the_store(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a thread that raises as it reports to a closed loop, with the store's lock held.
@@ -250,7 +250,7 @@
         writer = Writer(Database(path, connect=hook.connect))
         hook.check = fail
         release.append(await hold(writer))
-        writer.put(taken(1))
+        writer.put(job_accepted(1))
         writers.append(writer)
 
     play(scene)
@@ -260,7 +260,7 @@
     Database(path).close()
 
 
-def test_what_is_queued_while_the_disk_fails_does_not_use_up_its_retries(
+def test_changes_queued_while_disk_fails_do_not_use_up_retries(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a busy store that is given up within milliseconds: each item cut the pause short.
@@ -277,10 +277,10 @@
         states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), states.append)
         hook.check = fail
-        writer.put(taken(1))
+        writer.put(job_accepted(1))
         await until(lambda: StoreHealth.STALLED in states)
         for number in range(2, 40):
-            writer.put(taken(number))
+            writer.put(job_accepted(number))
             await asyncio.sleep(0.005)
         assert len(failed) == 1 and writer.health is StoreHealth.STALLED
         await writer.close()  # at once, and without waiting for the disk
@@ -297,8 +297,8 @@
         number = 0
         while time.monotonic() < stop:
             number += 1
-            writer.put(taken(number))
-            await committed(writer, ended(number))
+            writer.put(job_accepted(number))
+            await committed(writer, job_ended(number))
             counts = await writer.read(lambda database: database.count_by_state())
             if counts.get(StoredState.ENDED, 0) < number:
                 break
@@ -309,7 +309,7 @@
     play(scene)
 
 
-def test_a_full_store_makes_room_by_deleting_results_whose_time_is_over(tmp_path: Path) -> None:
+def test_full_store_recovers_by_deleting_expired_results(tmp_path: Path) -> None:
     # Guards against a store that is stalled for good, since it deletes only when it has nothing to write.
     async def scene() -> None:
         limits = [KEEP_ALL]
@@ -317,8 +317,8 @@
         number = 0
         while writer.health is StoreHealth.SERVING:
             number += 1
-            writer.put(taken(number))
-            writer.put(replace(ended(number), result=b"x" * 2000))
+            writer.put(job_accepted(number))
+            writer.put(replace(job_ended(number), result=b"x" * 2000))
             await asyncio.sleep(0.001)
         assert writer.health is StoreHealth.STALLED
         limits[0] = KEEP_NONE
@@ -335,8 +335,8 @@
         path = tmp_path / "jobs.db"
         limits = [KEEP_ALL]
         writer = Writer(Database(path), states.append, prune_limits=lambda: limits[0])
-        writer.put(taken(1))
-        await committed(writer, ended(1))
+        writer.put(job_accepted(1))
+        await committed(writer, job_ended(1))
         successor = Database(path, take_over=True)
         limits[0] = KEEP_NONE
         await until(lambda: StoreHealth.FENCED in states)
