--- a/tests/test_cancel_crossings.py
+++ b/tests/test_cancel_crossings.py
@@ -1,4 +1,4 @@
-"""A cancelled job and its answer, or its last byte, in one turn of the event loop, in either order."""
+"""Races of a cancel with the answer or the last byte of a job, in the same or nearby event loop turns."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from oxbowyard.waiting.job import JobOutcome
 
 CLASSES = ("free", "once")
-# How the attempt ends, and what a job that is answered by it has to say of its run.
+# Result of the attempt, and the run state of a job that ends with it.
 ENDS = {Result.OK: RunState.HAS_RUN, Result.TIMEOUT: RunState.MAY_BE_RUNNING}
 
 
 class Crossing:
-    """A job at a worker that answers, or is sent the last byte, when the scene says so."""
+    """A job whose last byte and answer are triggered by the test."""
 
     def __init__(self, job_class: str, ends: Result = Result.OK) -> None:
         self.harness = QueueHarness(self.attempt)
@@ -31,7 +31,7 @@
 
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         await self.may_send.wait()
-        if reason := reason_not_to_send(request, context):  # as the transports ask before the last byte
+        if reason := reason_not_to_send(request, context):  # as the transports check before the last byte
             return AttemptOutcome(Result.NOT_SENT, reason=reason)
         context.is_last_byte_written = True
         self.sent += 1
@@ -43,7 +43,7 @@
         await asyncio.sleep(0.1)
 
     async def cancel_beside(self, event: asyncio.Event, turns: int, cancel_first: bool) -> None:
-        """Cancel the job some turns of the loop after, or just before, the event."""
+        """Set the event and cancel the job, in this order or reversed, with `turns` loop turns in between."""
         steps: list[Callable[[], object]] = [event.set, lambda: self.harness.job_queue.cancel("j")]
         if cancel_first:
             steps.reverse()
@@ -67,7 +67,7 @@
 def test_cancel_concurrent_with_answer_never_reports_never_ran(
     cancel_first: bool, job_class: str, ends: Result, turns: int
 ) -> None:
-    # Guards against a job recorded as never run although it was served: its client may send it again.
+    # Guards against a job recorded as never run although it was served: its client may submit it again.
     async def scene() -> None:
         crossing = Crossing(job_class, ends)
         await crossing.begin()
@@ -89,7 +89,7 @@
 def test_cancelled_job_reported_as_never_ran_is_not_sent(
     cancel_first: bool, job_class: str, turns: int
 ) -> None:
-    # Guards against the last byte of a job whose cancel was recorded a moment before.
+    # Guards against sending the last byte of a job just after its cancellation was recorded.
     async def scene() -> None:
         crossing = Crossing(job_class)
         await crossing.begin()
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,7 @@
-"""Durable jobs: a crash at each point, and the way back. A crash is a successor that takes the store over."""
+"""Durable jobs: recovery after a crash at each point.
+
+A crash is simulated by a successor that takes over the store while the old scheduler still runs.
+"""
 
 from __future__ import annotations
 
@@ -50,10 +53,10 @@
 
 
 class DurableHarness:
-    """A scheduler on a store; several after each other are runs of one."""
+    """A scheduler over a store; several instances on one path are successive runs of one scheduler."""
 
     def __init__(self, path: Path, attempt: Attempt, lease_s: float | None = None, **more: Any) -> None:
-        self.stepped = 0.0  # by the system's clock
+        self.stepped = 0.0  # offset of the wall clock in seconds
         self.durable_store = DurableStore(DurableSettings(str(path), lease_s=lease_s), True, self.wall)
         self.sent: list[str] = []  # jobs whose last byte was written
         self._attempt = attempt
@@ -71,7 +74,7 @@
         return await self._attempt(backend, request, context)
 
     async def submit(self, id_: str, job_class: str = "once", **wait: Any) -> None:
-        """As a front does: acknowledged once it is on disk."""
+        """Submit a job and return when it is on disk, when a front would acknowledge it."""
         self.queue_harness.submit(id_, job_class, durable=True, **wait)
         await self.job_queue.intake.wait_until_durable()
 
@@ -115,10 +118,10 @@
         new = DurableHarness(path, answer_ok)
         await new.recovery.run()
         assert new.state("done") is JobState.INDETERMINATE and new.state("timed") is JobState.SCHEDULED
-        assert new.state("child") is JobState.BLOCKED  # its parent is neither served nor ended
+        assert new.state("child") is JobState.BLOCKED  # its parent is indeterminate
         await new.until(lambda: new.state("preview") is JobOutcome.SERVED)
         assert "done" not in new.sent and new.sent[0].startswith("preview")
-        # The old one goes on, and can tell nobody anything any more.
+        # The old scheduler continues, but it is fenced: it can neither acknowledge nor send a job.
         old._attempt = answer_ok
         with pytest.raises(JobRejectedError) as caught:
             for number in itertools.count():
@@ -128,7 +131,7 @@
             caught.value.code is RejectionCode.STORE_UNAVAILABLE and "another scheduler" in caught.value.text
         )
         assert not [id_ for id_ in old.sent if id_.startswith("late")]
-        # Whoever asks again finds the one answer there is.
+        # A repeated submission gets the stored result.
         assert await new.find_outcome("ended") is JobOutcome.SERVED
         again = await new.job_queue.intake.find_existing(
             [(Request("x", "once", 5.0), WaitOptions(idempotency_key="k", fingerprint=b"p", durable=True))]
@@ -167,9 +170,11 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("point", "sent"), [("before the grant", False), ("after the grant", True)])
+@pytest.mark.parametrize(
+    ("point", "sent"), [("before the lease record", False), ("after the lease record", True)]
+)
 def test_lease_is_on_disk_before_last_byte_is_sent(point: str, sent: bool, tmp_path: Path) -> None:
-    """The crash comes between a grant and its bytes: the job may have run only if the grant was on disk."""
+    """The crash comes before the last byte: the job is indeterminate only if its lease was on disk."""
 
     async def scene() -> None:
         path = tmp_path / "jobs.db"
@@ -178,7 +183,7 @@
 
         async def crash(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             if sent:
-                await wait_for_lease_record(request, backend)  # and then no byte is written
+                await wait_for_lease_record(request, backend)  # crashes before the first byte is written
             reached.set()
             await asyncio.sleep(60)
             raise AssertionError
@@ -213,26 +218,26 @@
         ids = ("late", "returned", "wrong", "word")
         for id_ in ids:
             await harness.submit(id_, delay_s=0.05 if id_ == "word" else 0.0)
-        assert (
-            await harness.job_queue.wait("word", 20.0) is None
-        )  # a poll ends with the doubt, not with its time
+        assert await harness.job_queue.wait("word", 20.0) is None  # a poll ends when the job is indeterminate
         await harness.submit("child", dependencies=(Dependency("late"),))
         await harness.until(lambda: all(harness.state(id_) is JobState.INDETERMINATE for id_ in ids))
         assert harness.state("child") is JobState.BLOCKED
         job_queue = harness.job_queue
         assert not job_queue.deliver_late_result(
             "late", leases["wrong"], JobOutcome.SERVED, b"x"
-        )  # another's lease
+        )  # lease of another job
         assert not job_queue.deliver_late_result("late", "", JobOutcome.SERVED, b"x")
         harness._attempt = answer_ok
         assert job_queue.deliver_late_result("late", leases["late"], JobOutcome.SERVED, b"filed")
-        assert not job_queue.deliver_late_result("late", leases["late"], JobOutcome.FAILED, b"")  # twice
-        assert not job_queue.resolve("late", "Aiko", JobOutcome.FAILED)  # too late: it has its end
+        assert not job_queue.deliver_late_result(
+            "late", leases["late"], JobOutcome.FAILED, b""
+        )  # a second result is ignored
+        assert not job_queue.resolve("late", "Aiko", JobOutcome.FAILED)  # it has ended already
         await harness.until(lambda: harness.state("child") is JobOutcome.SERVED)
         assert harness.queue_harness.results["late"].body == b"filed"
         assert job_queue.deliver_late_result(
             "returned", leases["returned"], None
-        )  # it never began: it may go on
+        )  # it never began: it is submitted again
         await harness.until(lambda: harness.state("returned") is JobOutcome.SERVED)
         assert job_queue.resolve("word", "Aiko", None)
         await harness.until(lambda: harness.state("word") is JobOutcome.SERVED)
@@ -252,7 +257,7 @@
 
 def test_expired_lease_reruns_idempotent_job_and_makes_others_indeterminate(tmp_path: Path) -> None:
     async def scene() -> None:
-        async def tells(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+        async def report_progress(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
             context.is_last_byte_written = True
             context.on_started()
             if request.id == "talks":
@@ -265,10 +270,10 @@
             await asyncio.sleep(60)
             raise AssertionError
 
-        harness = DurableHarness(tmp_path / "jobs.db", tells, lease_s=0.3)
+        harness = DurableHarness(tmp_path / "jobs.db", report_progress, lease_s=0.3)
         for id_, job_class in (("talks", "once"), ("silent", "once"), ("preview", "free")):
             await harness.submit(id_, job_class)
-        for hours in (-1.0, 24.0):  # the clock steps while the leases run
+        for hours in (-1.0, 24.0):  # the wall clock steps while the leases run
             harness.stepped = hours * 3600
             await asyncio.sleep(0.05)
         assert harness.state("silent") is JobState.STARTED and harness.state("talks") is JobState.STARTED
@@ -294,7 +299,7 @@
         and leases.take_expired(101.5) == ["b"]
         and leases.take_expired(101.5) == []
     )
-    leases.renew(101.6, "b")  # too late
+    leases.renew(101.6, "b")  # expired already
     leases.end("c")
     assert leases.take_expired(1000.0) == ["a"] and leases.next_expiry_ms() is None
 
@@ -311,7 +316,7 @@
         await new.until(lambda: new.job_queue.held.jobs == 20)
         await asyncio.sleep(0.05)
         assert new.state("j30") is None and (await new.job_queue.find_record("j30")) is not None
-        await back  # as the first ones end, the rest comes
+        await back  # recovery continues as jobs end
         await new.until(lambda: all(new.state(f"j{i}") is JobOutcome.SERVED for i in range(10, 40)))
         await new.durable_store.close()
         await old.durable_store.close()
@@ -343,7 +348,7 @@
             back = asyncio.create_task(harness.recovery.run())
             while harness.state("j5") is None:
                 await asyncio.sleep(0.001)
-            with pytest.raises(JobRejectedError) as caught:  # a parent that may not be back yet
+            with pytest.raises(JobRejectedError) as caught:  # the parent may not be recovered yet
                 harness.queue_harness.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
             assert caught.value.code is RejectionCode.RECOVERING
             back.cancel()
@@ -370,14 +375,16 @@
         with pytest.raises(JobRejectedError, match="broken; it is not known") as caught:
             await harness.submit("a")
         assert caught.value.code is RejectionCode.STORE_UNAVAILABLE and caught.value.retry_after_s > 0
-        with pytest.raises(JobRejectedError, match="the store is broken"):  # from now on at once
+        with pytest.raises(
+            JobRejectedError, match="the store is broken"
+        ):  # later submissions are rejected at once
             await harness.submit("b")
         with pytest.raises(JobRejectedError, match="not known"):
             await harness.job_queue.intake.wait_until_durable()
         assert (
             harness.sent == [] and harness.state("a") is JobState.SUBMITTED
-        )  # never sent: its grant is nowhere
-        harness.queue_harness.submit("plain", "free")  # what needs no store goes on
+        )  # not sent, as its lease is not recorded
+        harness.queue_harness.submit("plain", "free")  # jobs without the store still run
         await harness.until(lambda: "plain" in harness.sent)
         harness.job_queue.cancel("plain")
         harness.job_queue.stop()
@@ -441,7 +448,7 @@
 
 @pytest.mark.parametrize(
     ("now", "max_wait_s", "delay_s"),
-    [(1040.0, 60.0, 10.0), (1200.0, 0.0, 0.0), (-2600.0, 100.0, 50.0)],  # the clock stepped back an hour
+    [(1040.0, 60.0, 10.0), (1200.0, 0.0, 0.0), (-2600.0, 100.0, 50.0)],  # the wall clock stepped back an hour
 )
 def test_remaining_max_wait_and_delay_after_restart(now: float, max_wait_s: float, delay_s: float) -> None:
     found = recovered_state(stored(StoredState.WAITING, delay_s=50.0), [], unknown, now)
--- a/tests/test_durable_crash.py
+++ b/tests/test_durable_crash.py
@@ -1,4 +1,4 @@
-"""The crash audit of benchmarks/durable_crash.py in its small form: real processes, killed for good."""
+"""A short run of the crash audit in benchmarks/durable_crash.py: real processes, killed by a signal."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 def test_audit_detects_lease_recorded_after_send() -> None:
-    for seed in range(100, 110):  # most seeds show it; which ones is the machine's
+    for seed in range(100, 110):  # most seeds show the fault; which ones depends on the machine
         *_, faults = asyncio.run(play(runs=1, seed=seed, broken=True))
         if any("ran" in fault and "times" in fault for fault in faults):
             return
-    raise AssertionError("ten broken runs, and nothing was found")
+    raise AssertionError("the audit found no double run in ten runs with the fault")
--- a/tests/test_gearman_chaos.py
+++ b/tests/test_gearman_chaos.py
@@ -1,4 +1,4 @@
-"""Workers are killed at random (seeded); every accession is counted on both ends."""
+"""Gearman workers lose their connection at random (seeded); jobs are counted at clients and workers."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 @dataclass
-class Tally:
-    """What both ends saw."""
+class Observations:
+    """Jobs as seen by the workers and by the clients."""
 
-    handed_out: Counter[bytes] = field(default_factory=Counter)
+    assigned: Counter[bytes] = field(default_factory=Counter)
     completed: set[bytes] = field(default_factory=set)
-    killed_with: set[bytes] = field(default_factory=set)
+    lost_with_worker: set[bytes] = field(default_factory=set)
     ends: dict[bytes, int] = field(default_factory=dict)
 
 
-async def worker(address: tuple[str, int], dice: random.Random, tally: Tally) -> None:
-    """Works until its time has come, then its connection is reset with a job in hand; another takes over."""
+async def worker(address: tuple[str, int], rng: random.Random, observations: Observations) -> None:
+    """Run jobs; with probability 0.2, abort the connection during a job and reconnect as a new worker."""
     while True:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(packet(1, b"file_specimen") + packet(1, b"render_preview"))
@@ -52,17 +52,17 @@
                 continue
             assert type_ == ASSIGN
             handle, _, workload = arguments
-            tally.handed_out[workload] += 1
-            if dice.random() < 0.2:
-                tally.killed_with.add(workload)
+            observations.assigned[workload] += 1
+            if rng.random() < 0.2:
+                observations.lost_with_worker.add(workload)
                 writer.transport.abort()
                 break
-            await asyncio.sleep(dice.uniform(0, 0.004))
-            tally.completed.add(workload)
+            await asyncio.sleep(rng.uniform(0, 0.004))
+            observations.completed.add(workload)
             writer.write(packet(COMPLETE, handle, b"filed " + workload))
 
 
-async def client(address: tuple[str, int], workloads: list[bytes], tally: Tally) -> None:
+async def client(address: tuple[str, int], workloads: list[bytes], observations: Observations) -> None:
     reader, writer = await asyncio.open_connection(*address)
     for workload in workloads:
         function = b"file_specimen" if workload.startswith(b"a") else b"render_preview"
@@ -72,25 +72,25 @@
         while type_ not in (COMPLETE, FAIL):
             type_, arguments = await read(reader)
             assert arguments[0] == handle
-        assert workload not in tally.ends, "a second end"
-        tally.ends[workload] = type_
+        assert workload not in observations.ends, "job ended twice"
+        observations.ends[workload] = type_
         if type_ == COMPLETE:
             assert arguments[1] == b"filed " + workload
     writer.close()
 
 
-async def play(address: tuple[str, int], seed: int) -> Tally:
-    tally, dice = Tally(), random.Random(seed)
-    fates = [random.Random(dice.random()) for _ in range(WORKERS)]
-    workers = [asyncio.create_task(worker(address, fate, tally)) for fate in fates]
+async def play(address: tuple[str, int], seed: int) -> Observations:
+    observations, rng = Observations(), random.Random(seed)
+    worker_rngs = [random.Random(rng.random()) for _ in range(WORKERS)]
+    workers = [asyncio.create_task(worker(address, worker_rng, observations)) for worker_rng in worker_rngs]
     names = [b"%s%d" % (b"ap"[i % 2 : i % 2 + 1], i) for i in range(JOBS)]
     async with asyncio.timeout(60):
-        await asyncio.gather(*(client(address, names[i::6], tally) for i in range(6)))
+        await asyncio.gather(*(client(address, names[i::6], observations) for i in range(6)))
     for task in workers:
         assert not task.done(), task.exception()
         task.cancel()
     await asyncio.gather(*workers, return_exceptions=True)
-    return tally
+    return observations
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -102,26 +102,30 @@
         for _, line in player.lines:
             player._line(line)
         assert player.program
-        tally = asyncio.run(play(player.program.address("gearman"), seed))
-        check(tally, player.program)
+        observations = asyncio.run(play(player.program.address("gearman"), seed))
+        check(observations, player.program)
     finally:
         player.end()
 
 
-def check(tally: Tally, program: Program) -> None:
-    assert len(tally.ends) == JOBS and tally.killed_with
-    for workload, times in tally.handed_out.items():
+def check(observations: Observations, program: Program) -> None:
+    assert len(observations.ends) == JOBS and observations.lost_with_worker
+    for workload, times in observations.assigned.items():
         if workload.startswith(b"a"):
-            assert times == 1, "an accession was handed out again"
-            wanted = FAIL if workload in tally.killed_with else COMPLETE
-            assert tally.ends[workload] == wanted
+            assert times == 1, "non-idempotent job was assigned again"
+            wanted = FAIL if workload in observations.lost_with_worker else COMPLETE
+            assert observations.ends[workload] == wanted
         else:
             assert times <= 3
-    for workload, end in tally.ends.items():
-        assert (end == COMPLETE) == (workload in tally.completed)
-        assert end == COMPLETE or workload in tally.killed_with or not tally.handed_out[workload]
+    for workload, end in observations.ends.items():
+        assert (end == COMPLETE) == (workload in observations.completed)
+        assert (
+            end == COMPLETE
+            or workload in observations.lost_with_worker
+            or not observations.assigned[workload]
+        )
     program.process.terminate()
     found = program.wait_for(r"last: service .*answers: (.*)")[1]
     counts = {kind: int(n) for kind, n in re.findall(r"(\w+) (\d+)", found)}
     assert sum(counts.values()) == JOBS
-    assert counts["served"] == sum(end == COMPLETE for end in tally.ends.values())
+    assert counts["served"] == sum(end == COMPLETE for end in observations.ends.values())
--- a/tests/test_gearman_durable.py
+++ b/tests/test_gearman_durable.py
@@ -1,4 +1,4 @@
-"""Gearman submissions with one unique id, while the store takes its time or fails."""
+"""Gearman submissions that share a unique id while the store is slow or failing."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Client:
-    """A client's connection that keeps what it is sent."""
+    """A client connection that records the packets sent to it."""
 
     def __init__(self) -> None:
         self.accepts_exceptions = False
@@ -45,7 +45,7 @@
     def resume_input(self) -> None:
         self.paused -= 1
 
-    def got(self, packet_type: PacketType) -> bool:
+    def has_received(self, packet_type: PacketType) -> bool:
         number = encode(packet_type)[4:8]
         return any(data[4:8] == number for data in self.received)
 
@@ -56,7 +56,7 @@
 
 
 class Front:
-    """The client side of the front over a store."""
+    """The client side of the Gearman front over a durable store."""
 
     def __init__(self, path: Path, attempt: Attempt, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr("test_job_queue.CLASSES", (FREE, ONCE, *config_classes()))
@@ -76,7 +76,7 @@
 
 @asynccontextmanager
 async def slow_store(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Callable[[], None]]:
-    """Commits wait until the function is called."""
+    """Block commits until the yielded function is called."""
     release = threading.Event()
     apply = Database.apply
 
@@ -103,7 +103,7 @@
 def test_second_submission_is_acknowledged_only_after_job_is_stored(
     second: PacketType, function: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a handle that a crash makes worthless: the first submission was not on disk yet.
+    # Guards against acknowledging a handle that a crash would lose: the first submission is not on disk yet.
     async def scene() -> None:
         front = Front(tmp_path / "jobs.db", answer_ok, monkeypatch)
         async with slow_store(monkeypatch) as release:
@@ -111,9 +111,9 @@
             await asyncio.sleep(0.05)
             assert [client.received for client in clients] == [[], []]
             release()
-            await until(lambda: all(client.got(PacketType.JOB_CREATED) for client in clients))
+            await until(lambda: all(client.has_received(PacketType.JOB_CREATED) for client in clients))
         if second is FOREGROUND:
-            await until(lambda: clients[1].got(PacketType.WORK_COMPLETE))
+            await until(lambda: clients[1].has_received(PacketType.WORK_COMPLETE))
         assert [client.paused for client in clients] == [0, 0]
         await front.harness.durable_store.close()
 
@@ -124,7 +124,7 @@
 def test_both_submitters_get_error_when_store_fails(
     second: PacketType, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a client that joined a job which was never stored, and waits for its end for ever.
+    # Guards against a client that joins a job which is never stored and waits for ever for its end.
     def damaged(self: Database, changes: Any) -> None:
         raise StoreError(StoreFailure.DAMAGED, "injected")
 
@@ -132,8 +132,8 @@
         front = Front(tmp_path / "jobs.db", answer_ok, monkeypatch)
         monkeypatch.setattr(Database, "apply", damaged)
         clients = [front.submit(BACKGROUND), front.submit(second)]
-        await until(lambda: all(client.got(PacketType.ERROR) for client in clients))
-        assert not any(client.got(PacketType.JOB_CREATED) for client in clients)
+        await until(lambda: all(client.has_received(PacketType.ERROR) for client in clients))
+        assert not any(client.has_received(PacketType.JOB_CREATED) for client in clients)
         await front.harness.durable_store.close()
 
     play(scene)
@@ -142,11 +142,11 @@
 def test_non_idempotent_background_job_does_not_join_unstored_job(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a background job that is acknowledged and gone after a crash.
+    # Guards against a background job that is acknowledged and lost after a crash.
     async def scene() -> None:
         front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(FOREGROUND)
-        assert first.got(PacketType.JOB_CREATED)
+        assert first.has_received(PacketType.JOB_CREATED)
         with pytest.raises(PacketRejectedError, match="not stored"):
             front.submit(BACKGROUND)
         front.jobs.remove_client(first)
@@ -162,7 +162,7 @@
         front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(FOREGROUND, "repeatable")
         second = front.submit(BACKGROUND, "repeatable")
-        await until(lambda: second.got(PacketType.JOB_CREATED))
+        await until(lambda: second.has_received(PacketType.JOB_CREATED))
         handle = second.received[0][12:].decode()
         assert await front.harness.job_queue.find_record(handle) is not None
         assert (await front.harness.durable_store._writer.read(lambda db: db.find(handle))) is not None
@@ -176,19 +176,19 @@
 def test_client_that_joined_stored_job_gets_failure_when_store_is_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a client that waits for ever, since the job's end can't be recorded.
+    # Guards against a client that waits for ever because the job's end cannot be recorded.
     def damaged(self: Database, changes: Any) -> None:
         raise StoreError(StoreFailure.DAMAGED, "injected")
 
     async def scene() -> None:
         front = Front(tmp_path / "jobs.db", hang, monkeypatch)
         first = front.submit(BACKGROUND)
-        await until(lambda: first.got(PacketType.JOB_CREATED))
+        await until(lambda: first.has_received(PacketType.JOB_CREATED))
         second = front.submit(FOREGROUND)
-        await until(lambda: second.got(PacketType.JOB_CREATED))
+        await until(lambda: second.has_received(PacketType.JOB_CREATED))
         monkeypatch.setattr(Database, "apply", damaged)
         front.submit(BACKGROUND, unique=b"another")
-        await until(lambda: second.got(PacketType.WORK_FAIL))
+        await until(lambda: second.has_received(PacketType.WORK_FAIL))
         front.jobs.remove_client(second)
         await front.harness.durable_store.close()
 
--- a/tests/test_gearman_stream.py
+++ b/tests/test_gearman_stream.py
@@ -1,4 +1,4 @@
-"""Byte streams of Gearman peers that end in an error, whatever the pieces in which they come."""
+"""Gearman byte streams that end in a protocol error, received in segments of different sizes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Handler:
-    """Keeps what it is given; the first item may pause the input, as a job that is being stored does."""
+    """Records the items; may pause the input at the first one, as a job that is being stored does."""
 
     def __init__(self, connection: Connection, pauses: bool) -> None:
         self.items: list[Packet | TextCommand] = []
@@ -89,7 +89,7 @@
 def test_complete_packets_before_an_error_are_handled_for_any_segmentation(
     piece: int, fault: str, pauses: bool
 ) -> None:
-    # Guards against jobs that are dropped because a later byte of the same piece is wrong.
+    # Guards against jobs that are dropped because a later byte of the same segment is invalid.
     async def scene() -> None:
         bad, code = BAD[fault]
         data = GOOD + bad
@@ -118,7 +118,7 @@
 
 
 def test_workload_with_nul_as_its_own_unique_id_is_not_split() -> None:
-    # Guards against a worker that gets a part of the unique id as its workload.
+    # Guards against a worker that receives a part of the unique id as its workload.
     workload = b"first\0second"
     submission = parse_submission(PacketType.SUBMIT_JOB, [b"f", b"-", workload], CONFIG.functions, False)
     assert submission.workload == workload and b"\0" not in submission.unique
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The owner of waiting jobs, over the core and the real decisions: every job gets its one end."""
+"""`JobQueue` over the real scheduler core and dispatcher: each job ends exactly once."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class QueueHarness:
-    """A job queue over a scheduler whose transport is one function."""
+    """A job queue over a scheduler whose transport is a function of the test."""
 
     def __init__(
         self, attempt: Attempt, workers: int = 4, journal: Any = None, wall: Any = time.time, **more: Any
@@ -77,7 +77,7 @@
             self.update_endpoints(*(WorkerInfo(f"w{i}") for i in range(workers)))
 
     def clock(self) -> float:
-        """Virtual time in ms."""
+        """Return the virtual time in ms."""
         return asyncio.get_running_loop().time() * 1000
 
     def update_endpoints(self, *infos: WorkerInfo, scope: Scope = Scope.FULL) -> None:
@@ -114,7 +114,7 @@
     context.is_last_byte_written = True
     context.on_started()
     await asyncio.sleep(60)
-    raise AssertionError("never here")
+    raise AssertionError("the hanging attempt was not cancelled")
 
 
 async def answer_error(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
@@ -122,7 +122,7 @@
     return AttemptOutcome(Result.ERROR)
 
 
-async def full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
+async def answer_full(backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
     return AttemptOutcome(Result.FULL)
 
 
@@ -146,36 +146,36 @@
         assert again.body == b"made c2"
         assert (
             await job_queue.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
-        ).body == b"made c2"  # the same job
+        ).body == b"made c2"  # the key returns the result of the existing job
 
     play(scene)
 
 
 def test_rejected_job_is_resubmitted_until_served() -> None:
     async def scene() -> None:
-        harness = QueueHarness(full)
+        harness = QueueHarness(answer_full)
         harness.submit("a", max_wait_s=30.0)
         while len(harness.attempts) < 10:
             await asyncio.sleep(0.005)
         harness._attempt = answer_ok
         assert await harness.until("a") == [JobOutcome.SERVED]
-        asks = {id_ for _, id_, _, _ in harness.attempts}
-        assert len(asks) > 2  # each ask is a new request, as from a client that comes back
-        assert all(sum(x == id_ for _, x, _, _ in harness.attempts) <= 3 for id_ in asks)
+        request_ids = {id_ for _, id_, _, _ in harness.attempts}
+        assert len(request_ids) > 2  # each resubmission has a new request id
+        assert all(sum(x == id_ for _, x, _, _ in harness.attempts) <= 3 for id_ in request_ids)
 
     play(scene)
 
 
 def test_job_rejected_repeatedly_ends_when_max_wait_expires() -> None:
     async def scene() -> None:
-        harness = QueueHarness(full)
+        harness = QueueHarness(answer_full)
         harness.submit("a", max_wait_s=0.4)
         assert (await harness.until("a"))[0] in (JobOutcome.WAIT_EXPIRED, JobOutcome.REJECTED)
         assert (
             harness.results["a"].run_state is RunState.NEVER_RAN
             and harness.results["a"].answer().kind is AnswerKind.REJECTED
         )
-        harness.submit("b", "once", max_wait_s=30.0)  # its class does not queue
+        harness.submit("b", "once", max_wait_s=30.0)  # not a queueing class
         assert await harness.until("b") == [JobOutcome.REJECTED]
 
     play(scene)
@@ -202,7 +202,7 @@
         await asyncio.sleep(0.01)
         if attempt is hang:
             job = harness.job_queue.cancel("p")
-            assert job is not None and harness.job_queue.cancel("p") is job  # twice does no harm
+            assert job is not None and harness.job_queue.cancel("p") is job  # cancelling again has no effect
         assert await harness.until("p", "strict", "either") == [end, JobOutcome.DEPENDENCY_FAILED, either]
         assert harness.results["p"].run_state is ran
         assert set(harness.ends.values()) == {1}
@@ -248,18 +248,18 @@
         for i in range(1_000):
             harness.submit(f"j{i}", delay_s=60.0 if i % 2 else 0.0)
         await asyncio.sleep(0.02)
-        asked = {id_ for _, id_, _, _ in harness.attempts}
+        submitted_ids = {id_ for _, id_, _, _ in harness.attempts}
         poll = asyncio.create_task(harness.job_queue.wait("j1", 60.0))
         await asyncio.sleep(0)
         harness.job_queue.stop()
         result = await poll
         assert result is not None and result.outcome is JobOutcome.SHUT_DOWN and result.retry_after_s > 0
         assert result.run_state is RunState.NEVER_RAN
-        ids = [f"j{i}" for i in range(1_000) if f"j{i}" not in asked]
+        ids = [f"j{i}" for i in range(1_000) if f"j{i}" not in submitted_ids]
         assert set(await harness.until(*ids)) == {JobOutcome.SHUT_DOWN} and set(harness.ends.values()) == {1}
         with pytest.raises(JobRejectedError):
             harness.submit("late")
-        for id_ in asked:
+        for id_ in submitted_ids:
             harness.job_queue.cancel(id_)
         await harness.job_queue.wait_until_idle()
         assert len(harness.ends) == 1_000
@@ -267,8 +267,8 @@
     play(scene)
 
 
-class Slow(InMemoryJournal):
-    """A journal that keeps what waits, and is safe only when told."""
+class ManualJournal(InMemoryJournal):
+    """A durable journal whose changes become durable only when the test calls `settle`."""
 
     is_durable = True
 
@@ -290,17 +290,17 @@
 
 def test_changes_are_journaled_and_release_waits_for_durability() -> None:
     async def scene() -> None:
-        journal = Slow()
+        journal = ManualJournal()
         harness = QueueHarness(answer_ok, journal=journal)
         harness.submit("a", durable=True)
         harness.submit("b", delay_s=60.0, durable=True)
         harness.submit("cut", durable=True)
-        harness.submit("plain")  # what is not to be kept does not wait for the disk
+        harness.submit("plain")  # a job that is not durable does not wait for the disk
         harness.job_queue.cancel("cut")
         assert await harness.until("plain") == [JobOutcome.SERVED]
         assert "cut" not in harness.results and ("a", JobState.SUBMITTED) in journal.changes
         assert [id_ for _, id_, _, _ in harness.attempts] == ["plain"]
-        while "a" not in harness.results:  # its release, and its answer
+        while "a" not in harness.results:  # settles the commit of its lease and that of its result
             journal.settle()
             await asyncio.sleep(0.01)
         assert await harness.until("a", "cut") == [JobOutcome.SERVED, JobOutcome.CANCELLED]
@@ -315,7 +315,7 @@
         assert [id_ for _, id_, _, _ in harness.attempts] == ["plain", "a"]
         poll = asyncio.create_task(harness.job_queue.wait("b", 60.0))
         await asyncio.sleep(0)
-        harness.job_queue.stop()  # what waits is kept, so it has no end here
+        harness.job_queue.stop()  # waiting durable jobs stay in the store and do not end
         await harness.job_queue.wait_until_idle()
         assert await poll is None and "b" not in harness.results
 
@@ -337,8 +337,8 @@
     play(scene)
 
 
-class Slots:
-    """Workers that run four jobs at once and let others wait their turn."""
+class SlotWorkers:
+    """Workers that run four jobs at once and queue the others."""
 
     def __init__(self, seconds: float = 0.01) -> None:
         self._seconds = seconds
@@ -358,7 +358,7 @@
 
 def test_draining_worker_gets_no_job_and_cold_successor_is_ramped_up() -> None:
     async def scene() -> None:
-        workers = Slots(0.03)
+        workers = SlotWorkers(0.03)
         harness = QueueHarness(workers.attempt, workers=2)
         ids = [harness.submit(f"j{i}") for i in range(300)]
         while len(harness.attempts) < 60:
@@ -368,11 +368,12 @@
             WorkerInfo("cold", started_at_ms=harness.clock()),
             scope=Scope.CHANGES,
         )
-        told = len(harness.attempts)
+        attempts_before_notice = len(harness.attempts)
         await harness.until(*ids)
-        after = Counter(backend for backend, _, _, _ in harness.attempts[told:])
+        after = Counter(backend for backend, _, _, _ in harness.attempts[attempts_before_notice:])
         assert not after["w0"]
-        # 2.5 times what it can do: under 0.3 of 4 slots with jobs of 30 ms, for the 3 s that all take.
+        # The limit is 2.5 times its capacity: less than 0.3 of 4 slots with jobs of 30 ms, during the 3 s of
+        # the test.
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
         assert {result.outcome for result in harness.results.values()} == {JobOutcome.SERVED}
 
@@ -381,7 +382,7 @@
 
 def test_release_rate_follows_a_shrinking_fleet() -> None:
     async def scene() -> None:
-        workers = Slots()
+        workers = SlotWorkers()
         harness = QueueHarness(workers.attempt, workers=6)
         ids = [harness.submit(f"j{i}", delay_s=0.05) for i in range(400)]
         while len(harness.attempts) < 100:
@@ -389,11 +390,11 @@
         harness.update_endpoints(
             *(WorkerInfo(f"w{i}", Readiness.GONE) for i in range(1, 6)), scope=Scope.CHANGES
         )
-        await asyncio.sleep(0.05)  # what was out has ended
+        await asyncio.sleep(0.05)  # jobs sent before the change have ended
         workers.is_waiting.clear()
         await harness.until(*ids)
         assert set(harness.ends.values()) == {1}
-        # All that are due, sent at once, would have made the last wait for 0.7 s.
+        # If all due jobs were sent at once, the last one would wait 0.7 s at the worker.
         assert {backend for backend, _ in workers.is_waiting} == {"w0"}
         assert max(wait for _, wait in workers.is_waiting) < 0.4
 
@@ -435,7 +436,7 @@
         harness._attempt = hang
         answer = await harness.scheduler.serve(Request("r", "once", 0.1))
         assert (answer.kind, answer.run_state) == (AnswerKind.FAILED, RunState.MAY_BE_RUNNING)
-        harness._attempt = full
+        harness._attempt = answer_full
         answer = await harness.scheduler.serve(Request("r", "once", 0.3))
         assert (answer.kind, answer.run_state) == (AnswerKind.REJECTED, RunState.NEVER_RAN)
 
@@ -449,7 +450,7 @@
         gc.collect()
         await harness.until(*(harness.submit(f"j{i}") for i in range(200)))
         await asyncio.sleep(10)
-        assert gc.collect() < 50  # not one a request
+        assert gc.collect() < 50  # fewer than one cyclic object per request
         many = [FEW_JOBS + 1]
         passes: list[float] = []
         gc.callbacks.append(lambda phase, info: passes.append(info["generation"] if phase == "start" else -1))
@@ -457,14 +458,14 @@
         await asyncio.sleep(MAX_PASS_INTERVAL_S - 1)
         assert 2 not in passes
         await asyncio.sleep(CHECK_INTERVAL_S)
-        assert passes.count(2) == 1  # at last, whatever waits
+        assert passes.count(2) == 1  # the maximum interval has passed: collects despite the number of jobs
         many[0] = 0
         await asyncio.sleep(CHECK_INTERVAL_S)
         assert passes.count(2) == 2
         task.cancel()
 
     enabled = gc.isenabled()
-    gc.disable()  # only what is asked for
+    gc.disable()  # only explicit collections run
     try:
         play(scene, most=2 * MAX_PASS_INTERVAL_S)
     finally:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""The listing of jobs while those of an earlier run are read back."""
+"""The job listing while jobs of an earlier run are recovered from the store."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 LATER = 5
 
 
-def everything(harness: PolicyHarness, limit: int) -> list[Job]:
-    """All pages, one after the other."""
+def list_all(harness: PolicyHarness, limit: int) -> list[Job]:
+    """Return the jobs of all pages in order."""
     jobs: list[Job] = []
     after: int | None = 0
     while after is not None:
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("limit", [1, 2, 3, 50])
 def test_listing_during_recovery_skips_no_job(limit: int) -> None:
-    # Guards against a list that is bisected by number though a recovery adds lower numbers after higher ones.
+    # Guards against a binary search in an unsorted list: recovery adds lower numbers after higher ones.
     harness = PolicyHarness(NO_CAPACITY)
     harness.policy.set_last_number(EARLIER)
     for number in range(LATER):
@@ -33,7 +33,7 @@
     for number in range(1, EARLIER + 1):
         harness.policy.restore(harness.now, JobSubmission(f"old{number}", "light", 60_000.0), number, 0)
         harness.drain()
-        listed = everything(harness, limit)
+        listed = list_all(harness, limit)
         assert len(listed) == LATER + number
         assert all(one.number < other.number for one, other in pairwise(listed))
 
@@ -45,4 +45,4 @@
     harness.policy.cancel(harness.now, "j1")
     harness.drain()
     harness.run(2000.0)
-    assert [job.id for job in everything(harness, 2)] == ["j0", "j2", "j3"]
+    assert [job.id for job in list_all(harness, 2)] == ["j0", "j2", "j3"]
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -1,4 +1,4 @@
-"""Reading back the jobs of earlier runs while the disk fails."""
+"""Recovery of jobs of earlier runs while reads from the disk fail."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def successor(path: Path) -> DurableHarness:
-    """A scheduler on the store of one that had jobs which wait."""
+    """Return a scheduler on the store of an earlier one, which left waiting jobs."""
     harness = DurableHarness(path, hang)
     for number in range(JOBS):
         await harness.submit(f"j{number}", delay_s=60.0)
@@ -39,7 +39,7 @@
 def failing(
     query: Callable[..., Any], at: int, failure: StoreFailure, lasting: bool = False
 ) -> Callable[..., Any]:
-    """The query, but for the call of that number, or each from there on, which fails."""
+    """Return the query with call number `at` failing, or each call from there on if `lasting`."""
     calls = [0]
 
     def call(*arguments: Any) -> Any:
@@ -58,7 +58,7 @@
 def test_recovery_read_that_fails_once_loses_no_job(
     failure: StoreFailure, query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a recovery that takes a page which it could not read for the end of the jobs.
+    # Guards against a recovery that takes an unreadable page for the end of the jobs.
     async def scene() -> None:
         new = await successor(tmp_path / "jobs.db")
         monkeypatch.setattr(Database, query, failing(getattr(Database, query), at, failure))
@@ -79,7 +79,7 @@
 def test_recovery_of_damaged_store_does_not_finish(
     query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against dependents judged by jobs that were never read back.
+    # Guards against rejecting dependents of jobs that were not recovered as if these were unknown.
     async def scene() -> None:
         new = await successor(tmp_path / "jobs.db")
         damaged = failing(getattr(Database, query), at, StoreFailure.DAMAGED, lasting=True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what it promises when the disk, another program or a crash does its worst."""
+"""The job store: its guarantees under disk errors, concurrent programs and crashes."""
 
 from __future__ import annotations
 
@@ -67,16 +67,16 @@
     raw.close()
 
 
-class Failing:
-    """A connection that fails at the n-th write, or at every one from there on."""
+class FailingConnection:
+    """A connection whose n-th write fails, or each write from the n-th on if `lasting`."""
 
     def __init__(self, path: Path, code: int, at: int, lasting: bool = False) -> None:
         self._db = connect(path)
         self.code, self.at, self.lasting, self.writes = code, at, lasting, 0
 
     def execute(self, query: str, values: Any = ()) -> Any:
-        word = query.split(None, 1)[0].upper()
-        if word in ("INSERT", "UPDATE", "DELETE", "COMMIT", "BEGIN"):
+        keyword = query.split(None, 1)[0].upper()
+        if keyword in ("INSERT", "UPDATE", "DELETE", "COMMIT", "BEGIN"):
             self.writes += 1
             if self.writes == self.at or (self.lasting and self.writes > self.at):
                 fault = sqlite3.OperationalError("injected")
@@ -107,7 +107,7 @@
             job_ended(2, at=5.0),
             JobStateChanged(2, StoredState.WAITING, 9),
         ]
-    )  # the first end stands
+    )  # changes after the first end are ignored
     db.close()
     db = Database(path)
     first, second = db.find("j1"), db.find("j2")
@@ -123,22 +123,22 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_fault_at_any_write_leaves_batch_atomic(name: str, tmp_path: Path) -> None:
-    code, trouble = FAULTS[name]
+    code, failure = FAULTS[name]
     changes: list[Change] = [
         job_accepted(2),
         JobStateChanged(1, StoredState.GRANTED, 1, Lease("s", "w", 1.0)),
         job_ended(1),
     ]
-    for at in range(1, 6):  # begin, three changes, commit
+    for at in range(1, 6):  # BEGIN, three changes, COMMIT
         path = tmp_path / f"{at}.db"
-        db = Database(path, connect=lambda path: Failing(path, code, 1 << 30))
+        db = Database(path, connect=lambda path: FailingConnection(path, code, 1 << 30))
         db.apply([job_accepted(1)])
         db._db.at = db._db.writes + at
         with pytest.raises(StoreError) as caught:
             db.apply(changes)
-        assert caught.value.failure is trouble
+        assert caught.value.failure is failure
         assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j1"]
-        db.apply(changes)  # the disk is well again
+        db.apply(changes)  # the disk works again
         assert [job.accepted.id for job in db.unfinished_jobs(0, 9)] == ["j2"]
         db.close()
         assert check(path) == 2
@@ -151,20 +151,20 @@
     with pytest.raises(StoreError, match="another program") as caught:
         Database(path)
     assert caught.value.failure is StoreFailure.LOCKED
-    new = Database(path, take_over=True)  # the old one was stopped, and is thought dead
+    new = Database(path, take_over=True)  # the old owner is presumed dead
     with pytest.raises(StoreError) as caught:
         old.apply([job_ended(1)])
     assert caught.value.failure is StoreFailure.FENCED
     new.apply([JobStateChanged(1, StoredState.INDETERMINATE, 1)])
     assert new.count_by_state() == {StoredState.INDETERMINATE: 1}
     with pytest.raises(StoreError, match="another program"):
-        Database(path)  # it holds a lock of its own
+        Database(path)  # the new owner holds its own lock
     new.close()
     old.close()
 
 
 @pytest.mark.parametrize(
-    ("spoil", "trouble"),
+    ("spoil", "failure"),
     [
         (
             lambda p: p.write_bytes(b"no database at all, but long enough to look at" * 20),
@@ -179,7 +179,7 @@
         (lambda p: (p.unlink(), p.mkdir()), StoreFailure.READ_ONLY),
     ],
 )
-def test_unusable_store_is_reported_when_opened(spoil: Any, trouble: StoreFailure, tmp_path: Path) -> None:
+def test_unusable_store_is_reported_when_opened(spoil: Any, failure: StoreFailure, tmp_path: Path) -> None:
     path = tmp_path / "jobs.db"
     db = Database(path)
     db.apply([job_accepted(n) for n in range(1, 50)])
@@ -187,7 +187,7 @@
     spoil(path)
     with pytest.raises(StoreError) as caught:
         Database(path)
-    assert caught.value.failure is trouble
+    assert caught.value.failure is failure
     assert isinstance(caught.value, StoreError) and "\n" not in str(caught.value)
 
 
@@ -211,18 +211,18 @@
     path = tmp_path / "jobs.db"
     db = Database(path)
     db.apply([job_accepted(1)])
-    whole = path.with_name("jobs.db-wal").stat().st_size
+    committed_size = path.with_name("jobs.db-wal").stat().st_size
     db.apply([job_accepted(2)])
     copy = tmp_path / "after" / "jobs.db"
     copy.parent.mkdir()
     copy.write_bytes(path.read_bytes())
     wal = path.with_name("jobs.db-wal").read_bytes()
-    for size in range(whole, len(wal), 997):  # the crash came while the second was written
+    for size in range(committed_size, len(wal), 997):  # the crash interrupts the second commit
         copy.with_name("jobs.db-wal").write_bytes(wal[:size] + b"\0" * 100)
         copy.with_name("jobs.db-shm").unlink(missing_ok=True)
         torn = Database(copy)
         assert [job.accepted.id for job in torn.unfinished_jobs(0, 9)] == ["j1"]
-        torn._db.close()  # without folding in
+        torn._db.close()  # without a checkpoint of the WAL
         torn._lock.release()
         copy.write_bytes(path.read_bytes())
     db.close()
@@ -244,7 +244,7 @@
     path, copy = tmp_path / "jobs.db", tmp_path / "copy.db"
     db = Database(path)
     db.apply([job_accepted(n) for n in range(1, 200)])
-    assert snapshot(path, copy) == 199  # while it is in service
+    assert snapshot(path, copy) == 199  # while the store is in use
     db.apply([job_ended(1)])
     with pytest.raises(StoreError, match="another program"):
         restore(copy, path)
@@ -272,7 +272,7 @@
     db.close()
 
 
-# ---- The thread ----
+# ---- The writer thread ----
 
 
 async def until(condition: Any) -> None:
@@ -284,13 +284,13 @@
 def test_changes_share_commits_and_are_reported_durable_only_afterwards(tmp_path: Path) -> None:
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
-        told: list[int] = []
+        notified: list[int] = []
         for n in range(1, 501):
             writer.put(job_accepted(n))
-            writer.when_durable(lambda n=n: told.append(n))  # type: ignore[misc]
-        assert told == []
-        await until(lambda: len(told) == 500)
-        assert told == list(range(1, 501)) and writer.commits < 100
+            writer.when_durable(lambda n=n: notified.append(n))  # type: ignore[misc]
+        assert notified == []
+        await until(lambda: len(notified) == 500)
+        assert notified == list(range(1, 501)) and writer.commits < 100
         assert (await writer.read(lambda db: db.last_number())) == 500
         await writer.close()
         with pytest.raises(StoreError):
@@ -308,23 +308,23 @@
     name: str, lasting: bool, last: StoreHealth, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.02)
-    opened: list[Failing] = []
+    opened: list[FailingConnection] = []
 
-    def open_(path: Path) -> Failing:
+    def open_(path: Path) -> FailingConnection:
         at = opened[0].at if opened and lasting else 1 << 30
-        opened.append(Failing(path, FAULTS[name][0], 1 if at < 1 << 30 else at, lasting))
+        opened.append(FailingConnection(path, FAULTS[name][0], 1 if at < 1 << 30 else at, lasting))
         return opened[-1]
 
     async def scene() -> None:
         states: list[StoreHealth] = []
         database = Database(tmp_path / "jobs.db", connect=open_)
         writer = Writer(database, states.append)
-        told: list[str] = []
+        notified: list[str] = []
         opened[0].at = opened[0].writes + 2
         writer.put(job_accepted(1))
-        writer.when_durable(lambda: told.append("safe"))
-        await until(lambda: last in states if last is StoreHealth.BROKEN else "safe" in told)
-        assert bool(told) == (last is StoreHealth.SERVING)
+        writer.when_durable(lambda: notified.append("safe"))
+        await until(lambda: last in states if last is StoreHealth.BROKEN else "safe" in notified)
+        assert bool(notified) == (last is StoreHealth.SERVING)
         if last is StoreHealth.SERVING:
             assert states == [StoreHealth.STALLED, StoreHealth.SERVING]
             assert await writer.read(lambda db: db.last_number()) == 1
@@ -334,7 +334,7 @@
 
 
 def test_resumed_process_is_fenced_after_takeover(tmp_path: Path) -> None:
-    """A real one: stopped in service, its successor takes over, then it is let go on."""
+    """Stop a real process with SIGSTOP, take its store over, and continue the process."""
     path = tmp_path / "jobs.db"
     code = f"""
 import sys; sys.path.insert(0, {str(Path(__file__).parent)!r})
@@ -360,7 +360,7 @@
             process.stdout.readline()
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.05)
-        for _ in range(50):  # it may have been stopped within a transaction, which holds the database
+        for _ in range(50):  # stopped within a transaction, it keeps the database locked
             try:
                 successor = Database(path, take_over=True)
                 break
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -1,4 +1,4 @@
-"""Each SQLite call of a job's life failing in turn: nobody hangs, nothing acknowledged is lost."""
+"""Each SQLite call of a run fails in turn: no caller hangs and no acknowledged job is lost."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from oxbowyard.waiting.job import JobOutcome, JobRejectedError
 
 WAIT_S = 5.0
-CALLS = 60  # of the scene, at least as many as it makes
+CALLS = 60  # upper bound of the SQLite calls that one run makes
 ERRORS = {
     "i/o error": sqlite3.SQLITE_IOERR_READ,
     "full": sqlite3.SQLITE_FULL,
@@ -28,7 +28,7 @@
 
 
 class FailingCalls:
-    """Fails the call of one number, or all from there on; counts them."""
+    """Counts the calls; fails call number `at`, or each call from there on if `lasting`."""
 
     def __init__(self, at: int, code: int, lasting: bool) -> None:
         self.at, self.code, self.lasting, self.calls = at, code, lasting, 0
@@ -39,8 +39,8 @@
             raise sqlite_error(self.code)
 
 
-async def in_time(work: Awaitable[Any]) -> Any:
-    """What it returns, or None where the store refuses; it never hangs."""
+async def within_timeout(work: Awaitable[Any]) -> Any:
+    """Return the result of the awaitable, or None if the store rejects it; fail if it hangs."""
     async with asyncio.timeout(WAIT_S):
         try:
             return await work
@@ -48,8 +48,8 @@
             return None
 
 
-def install(harness: DurableHarness, calls: FailingCalls) -> Writer:
-    """From now on the store's calls may fail."""
+def install_failing_calls(harness: DurableHarness, calls: FailingCalls) -> Writer:
+    """Route the SQLite calls of the store through `calls`."""
     writer = harness.durable_store._writer
     hook = Hook()
     hook.check = calls.check
@@ -59,21 +59,21 @@
     return writer
 
 
-async def life(path: Path, calls: FailingCalls) -> list[str]:
-    """A store's service with one fault; returns the jobs that were acknowledged."""
+async def run_with_fault(path: Path, calls: FailingCalls) -> list[str]:
+    """Run a store with one fault and return the ids of the acknowledged jobs."""
     harness = DurableHarness(path, answer_ok)
-    writer = install(harness, calls)
+    writer = install_failing_calls(harness, calls)
     acknowledged = []
-    recovery = asyncio.create_task(harness.recovery.run())  # beside the service, as in the program
+    recovery = asyncio.create_task(harness.recovery.run())  # concurrent with submissions, as in the daemon
     for id_, delay_s in (("a", 0.0), ("b", 60.0), ("c", 60.0)):
-        if await in_time(acknowledge(harness, id_, delay_s)):
+        if await within_timeout(acknowledge(harness, id_, delay_s)):
             acknowledged.append(id_)
     harness.job_queue.cancel("b")
-    await in_time(harness.job_queue.find_record("c"))
-    await in_time(harness.job_queue.find_record("unknown"))
-    await asyncio.sleep(0.05)  # old results are looked for
+    await within_timeout(harness.job_queue.find_record("c"))
+    await within_timeout(harness.job_queue.find_record("unknown"))
+    await asyncio.sleep(0.05)  # the writer prunes old results meanwhile
     assert writer._thread.is_alive() or writer.health in LOST_STATES
-    if await in_time(acknowledge(harness, "last", 60.0)):
+    if await within_timeout(acknowledge(harness, "last", 60.0)):
         acknowledged.append("last")
         if "a" in acknowledged:
             await harness.until(
@@ -99,7 +99,7 @@
 def test_failing_sqlite_call_blocks_no_caller_and_loses_no_acknowledged_job(
     error: str, lasting: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against any one call of SQLite that ends the store's service unsaid.
+    # Guards against a failing SQLite call that stops the store without an error being reported.
     monkeypatch.setattr("oxbowyard.store.writer.PRUNE_INTERVAL_S", 0.02)
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.005)
     monkeypatch.setattr("oxbowyard.durable.recovery.READ_RETRY_INTERVAL_S", 0.005, raising=False)
@@ -108,13 +108,13 @@
         for at in range(1, CALLS):
             path = tmp_path / f"{at}.db"
             calls = FailingCalls(at, ERRORS[error], lasting)
-            acknowledged = await life(path, calls)
+            acknowledged = await run_with_fault(path, calls)
             if not lasting and error != "damaged":
-                assert "last" in acknowledged, f"call {at}: it did not heal"
+                assert "last" in acknowledged, f"call {at}: the store did not recover"
             successor = Database(path, take_over=True)
             missing = [id_ for id_ in acknowledged if successor.find(id_) is None]
             successor.close()
-            assert not missing, f"call {at}"
+            assert not missing, f"call {at}: acknowledged jobs were lost"
             if calls.calls < at:
                 return
         assert calls.calls < CALLS
@@ -125,12 +125,12 @@
 def test_permanently_full_disk_stalls_store_until_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a client that is never told: a store that is full takes up its work again by itself.
+    # Guards against a client that waits for ever: a full store stays stalled and retries until it is closed.
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 0.005)
 
     async def scene() -> None:
         harness = DurableHarness(tmp_path / "jobs.db", answer_ok)
-        writer = install(harness, FailingCalls(1, sqlite3.SQLITE_FULL, lasting=True))
+        writer = install_failing_calls(harness, FailingCalls(1, sqlite3.SQLITE_FULL, lasting=True))
         waiting = asyncio.ensure_future(harness.submit("a", delay_s=60.0))
         await harness.until(lambda: writer.health is StoreHealth.STALLED)
         with pytest.raises(JobRejectedError, match="full or failing"):
--- a/tests/test_store_thread.py
+++ b/tests/test_store_thread.py
@@ -1,4 +1,4 @@
-"""The store's thread: whatever fails, it goes on or says that it can't, and nobody waits for ever."""
+"""The store's writer thread: after any failure it continues or reports itself broken, and no caller hangs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from oxbowyard.store.record import Change, StoredState, StoreError
 from oxbowyard.store.writer import PruneLimits, StoreHealth, Writer
 
-WAIT_S = 5.0  # nothing here takes that long, unless it hangs
+WAIT_S = 5.0  # an operation that takes longer is taken as hanging
 KEEP_ALL = PruneLimits(ended_before=0.0, max_results=1_000, max_deletions=100)
 KEEP_NONE = PruneLimits(ended_before=2e9, max_results=1_000, max_deletions=100)
 
@@ -31,7 +31,7 @@
 
 
 class HookedConnection:
-    """A connection that shows each statement to a hook, which may raise."""
+    """A connection that passes each statement to a hook, which may raise."""
 
     def __init__(self, path: Path, hook: Callable[[str], None]) -> None:
         self._db = connect(path)
@@ -39,7 +39,7 @@
 
     @classmethod
     def over(cls, db: Any, hook: Hook) -> HookedConnection:
-        """The same around a connection that is open."""
+        """Wrap a connection that is already open."""
         hooked = cls.__new__(cls)
         hooked._db = db
         hooked._hook = lambda query: hook.check(query)
@@ -54,7 +54,7 @@
 
 
 class Hook:
-    """What the connections of one store ask before each statement; harmless until it is set."""
+    """The check that the connections of a store run before each statement; does nothing until set."""
 
     def __init__(self) -> None:
         self.check: Callable[[str], None] = lambda query: None
@@ -79,13 +79,13 @@
             await asyncio.sleep(0.002)
 
 
-async def committed(writer: Writer, change: Change) -> None:
-    """Wait until a change is on disk."""
-    told = asyncio.Event()
+async def wait_until_committed(writer: Writer, change: Change) -> None:
+    """Put a change and wait until it is on disk."""
+    durable = asyncio.Event()
     writer.put(change)
-    writer.when_durable(told.set)
+    writer.when_durable(durable.set)
     async with asyncio.timeout(WAIT_S):
-        await told.wait()
+        await durable.wait()
 
 
 async def last_number(writer: Writer) -> int:
@@ -93,8 +93,11 @@
         return await writer.read(lambda database: database.last_number())
 
 
-async def hold(writer: Writer) -> threading.Event:
-    """The thread waits in a query until the event is set: what is queued meanwhile is its next batch."""
+async def hold_thread(writer: Writer) -> threading.Event:
+    """Block the thread in a query until the returned event is set.
+
+    Items that are queued meanwhile form its next batch.
+    """
     entered, release = threading.Event(), threading.Event()
 
     def wait(database: Database) -> None:
@@ -114,7 +117,7 @@
 
 
 def test_error_while_counting_old_results_is_retried(tmp_path: Path) -> None:
-    # Guards against a store that says "serving" after one error of the disk has ended its thread.
+    # Guards against a store whose health is "serving" after one disk error has ended its thread.
     hook = Hook()
     failures: list[str] = []
 
@@ -125,10 +128,10 @@
 
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), prune_limits=lambda: KEEP_ALL)
-        await committed(writer, job_accepted(1))
+        await wait_until_committed(writer, job_accepted(1))
         hook.check = fail_once
         await until(lambda: failures)
-        await committed(writer, job_accepted(2))
+        await wait_until_committed(writer, job_accepted(2))
         assert await last_number(writer) == 2 and writer.health is StoreHealth.SERVING
         await writer.close()
 
@@ -139,7 +142,7 @@
 def test_unexpected_error_is_logged_and_reported_as_broken_store(
     error: BaseException, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against a thread that ends while the store's health says "serving".
+    # Guards against a thread that ends while the store's health is "serving".
     hook = Hook()
 
     def fail(query: str) -> None:
@@ -150,7 +153,7 @@
         states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect), states.append)
         hook.check = fail
-        release = await hold(writer)
+        release = await hold_thread(writer)
         writer.put(job_accepted(1))
         in_batch = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
@@ -167,7 +170,7 @@
 
 
 def test_reads_batched_with_permanently_failing_commit_raise(tmp_path: Path) -> None:
-    # Guards against a query that is dropped with the batch in hand: its caller waited for ever.
+    # Guards against a query that is dropped with its batch, so that its caller waits for ever.
     hook = Hook()
 
     def fail(query: str) -> None:
@@ -177,7 +180,7 @@
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db", connect=hook.connect))
         hook.check = fail
-        release = await hold(writer)
+        release = await hold_thread(writer)
         before = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
         writer.put(job_accepted(1))
@@ -193,11 +196,11 @@
 
 
 def test_read_queued_while_thread_ends_raises(tmp_path: Path) -> None:
-    # Guards against a query queued between the look at the health and the thread's end.
+    # Guards against a query that is queued after the check of the store's health and before the thread ends.
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
         await writer.close()
-        writer.health = StoreHealth.SERVING  # as the caller still saw it
+        writer.health = StoreHealth.SERVING  # as seen by a caller that checked it before the close
         with pytest.raises(StoreError):
             await last_number(writer)
 
@@ -205,17 +208,17 @@
 
 
 def test_cancelled_read_does_not_end_the_thread(tmp_path: Path) -> None:
-    # Guards against an answer set on a cancelled query: it raised in the thread, and the store was gone.
+    # Guards against setting the result of a cancelled query, which raises in the thread and ends it.
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"))
-        release = await hold(writer)
-        given_up = asyncio.create_task(last_number(writer))
+        release = await hold_thread(writer)
+        cancelled_read = asyncio.create_task(last_number(writer))
         await asyncio.sleep(0)
-        given_up.cancel()
+        cancelled_read.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await given_up
+            await cancelled_read
         release.set()
-        await committed(writer, job_accepted(1))
+        await wait_until_committed(writer, job_accepted(1))
         assert await last_number(writer) == 1
         await writer.close()
 
@@ -226,7 +229,7 @@
     async def scene() -> None:
         states: list[StoreHealth] = []
         writer = Writer(Database(tmp_path / "jobs.db"), states.append)
-        await committed(writer, job_accepted(1))
+        await wait_until_committed(writer, job_accepted(1))
         await writer.close()
         await until(lambda: StoreHealth.CLOSED in states)
 
@@ -236,7 +239,7 @@
 def test_thread_that_outlives_event_loop_closes_the_store(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a thread that raises as it reports to a closed loop, with the store's lock held.
+    # Guards against a thread that raises when it reports to a closed event loop and leaves the store locked.
     raised: list[object] = []
     monkeypatch.setattr(threading, "excepthook", raised.append)
     path, hook, writers = tmp_path / "jobs.db", Hook(), []
@@ -249,7 +252,7 @@
     async def scene() -> None:
         writer = Writer(Database(path, connect=hook.connect))
         hook.check = fail
-        release.append(await hold(writer))
+        release.append(await hold_thread(writer))
         writer.put(job_accepted(1))
         writers.append(writer)
 
@@ -263,7 +266,8 @@
 def test_changes_queued_while_disk_fails_do_not_use_up_retries(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a busy store that is given up within milliseconds: each item cut the pause short.
+    # Guards against a busy store that uses up its retries within milliseconds because each queued item ends
+    # the pause between them.
     monkeypatch.setattr("oxbowyard.store.writer.RETRY_INTERVAL_S", 60.0)
     hook = Hook()
     failed: list[float] = []
@@ -283,14 +287,14 @@
             writer.put(job_accepted(number))
             await asyncio.sleep(0.005)
         assert len(failed) == 1 and writer.health is StoreHealth.STALLED
-        await writer.close()  # at once, and without waiting for the disk
+        await writer.close()  # returns at once, without waiting for the disk
         assert states[-1] is StoreHealth.BROKEN
 
     play(scene)
 
 
 def test_old_results_are_deleted_under_steady_load(tmp_path: Path) -> None:
-    # Guards against a store that deletes nothing while it is never idle, and grows until it is full.
+    # Guards against a store that prunes only when idle, and so grows under load until it is full.
     async def scene() -> None:
         writer = Writer(Database(tmp_path / "jobs.db"), prune_limits=lambda: KEEP_NONE)
         stop = time.monotonic() + WAIT_S
@@ -298,19 +302,19 @@
         while time.monotonic() < stop:
             number += 1
             writer.put(job_accepted(number))
-            await committed(writer, job_ended(number))
+            await wait_until_committed(writer, job_ended(number))
             counts = await writer.read(lambda database: database.count_by_state())
             if counts.get(StoredState.ENDED, 0) < number:
                 break
         else:
-            pytest.fail("nothing was deleted")
+            pytest.fail("no ended job was deleted under load")
         await writer.close()
 
     play(scene)
 
 
 def test_full_store_recovers_by_deleting_expired_results(tmp_path: Path) -> None:
-    # Guards against a store that is stalled for good, since it deletes only when it has nothing to write.
+    # Guards against a store that stays stalled because it deletes only when it has nothing to write.
     async def scene() -> None:
         limits = [KEEP_ALL]
         writer = Writer(Database(tmp_path / "jobs.db", max_bytes=64 * 4096), prune_limits=lambda: limits[0])
@@ -329,14 +333,14 @@
 
 
 def test_a_fenced_store_deletes_nothing(tmp_path: Path) -> None:
-    # Guards against a program that was presumed dead and deletes results of its successor.
+    # Guards against a process that was presumed dead and deletes results of its successor.
     async def scene() -> None:
         states: list[StoreHealth] = []
         path = tmp_path / "jobs.db"
         limits = [KEEP_ALL]
         writer = Writer(Database(path), states.append, prune_limits=lambda: limits[0])
         writer.put(job_accepted(1))
-        await committed(writer, job_ended(1))
+        await wait_until_committed(writer, job_ended(1))
         successor = Database(path, take_over=True)
         limits[0] = KEEP_NONE
         await until(lambda: StoreHealth.FENCED in states)
