--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -88,8 +88,8 @@
         return (job.outcome or job.state) if job else None
 
     async def find_outcome(self, id_: str) -> JobOutcome | None:
-        known = await self.job_queue.find_record(id_)
-        return known.result.outcome if known and known.result else None
+        record = await self.job_queue.find_record(id_)
+        return record.result.outcome if record and record.result else None
 
 
 def play(scene: Callable[[], Awaitable[None]]) -> None:
@@ -133,10 +133,12 @@
         assert not [id_ for id_ in old.sent if id_.startswith("late")]
         # A repeated submission gets the stored result.
         assert await new.find_outcome("ended") is JobOutcome.SERVED
-        again = await new.job_queue.intake.find_existing(
+        resubmitted = await new.job_queue.intake.find_existing(
             [(Request("x", "once", 5.0), WaitOptions(idempotency_key="k", fingerprint=b"p", durable=True))]
         )
-        assert again is not None and again[0].job.id == "ended" and again[0].result is not None
+        assert (
+            resubmitted is not None and resubmitted[0].job.id == "ended" and resubmitted[0].result is not None
+        )
         with pytest.raises(JobRejectedError, match="there is a job ended"):
             await new.job_queue.intake.find_existing(
                 [(Request("ended", "once", 5.0), WaitOptions(durable=True))]
@@ -157,9 +159,9 @@
 
         last = DurableHarness(path, answer_ok)
         await last.recovery.run()
-        known = await last.job_queue.find_record("done")
-        assert known is not None and known.result is not None
-        assert (known.result.outcome, known.result.body, known.result.resolved_by) == (
+        record = await last.job_queue.find_record("done")
+        assert record is not None and record.result is not None
+        assert (record.result.outcome, record.result.body, record.result.resolved_by) == (
             JobOutcome.SERVED,
             b"filed by hand",
             "Aiko",
@@ -278,8 +280,8 @@
             await asyncio.sleep(0.05)
         assert harness.state("silent") is JobState.STARTED and harness.state("talks") is JobState.STARTED
         await harness.until(lambda: harness.state("silent") is JobState.INDETERMINATE)
-        known = await harness.job_queue.find_record("silent")
-        assert known is not None and "it was with w" in known.job.reason
+        record = await harness.job_queue.find_record("silent")
+        assert record is not None and "it was with w" in record.job.reason
         await harness.until(lambda: harness.state("preview") is JobOutcome.SERVED)
         await harness.until(lambda: harness.state("talks") is JobOutcome.SERVED)
         assert [x.partition("~")[0] for x in harness.sent].count("silent") == 1
@@ -312,11 +314,11 @@
             await old.submit(f"j{i}", delay_s=60.0 if i < 10 else 0.5)
         new = DurableHarness(path, answer_ok, max_jobs=20)
         new.recovery._page_size = 5
-        back = asyncio.create_task(new.recovery.run())
+        recovery_task = asyncio.create_task(new.recovery.run())
         await new.until(lambda: new.job_queue.held.jobs == 20)
         await asyncio.sleep(0.05)
         assert new.state("j30") is None and (await new.job_queue.find_record("j30")) is not None
-        await back  # recovery continues as jobs end
+        await recovery_task  # recovery continues as jobs end
         await new.until(lambda: all(new.state(f"j{i}") is JobOutcome.SERVED for i in range(10, 40)))
         await new.durable_store.close()
         await old.durable_store.close()
@@ -345,13 +347,13 @@
         for _ in range(2):
             harness = DurableHarness(path, answer_ok)
             harness.recovery._page_size = 6
-            back = asyncio.create_task(harness.recovery.run())
+            recovery_task = asyncio.create_task(harness.recovery.run())
             while harness.state("j5") is None:
                 await asyncio.sleep(0.001)
             with pytest.raises(JobRejectedError) as caught:  # the parent may not be recovered yet
                 harness.queue_harness.submit("c", "once", dependencies=(Dependency("j29"),), durable=True)
             assert caught.value.code is RejectionCode.RECOVERING
-            back.cancel()
+            recovery_task.cancel()
         harness = DurableHarness(path, answer_ok)
         await harness.recovery.run()
         states = [harness.state(f"j{i}") for i in range(30)]
--- a/tests/test_durable_crash.py
+++ b/tests/test_durable_crash.py
@@ -1,4 +1,4 @@
-"""A short run of the crash audit in benchmarks/durable_crash.py: real processes, killed by a signal."""
+"""A short run of the crash audit in benchmarks/durable_crash.py: real processes, killed with SIGKILL."""
 
 from __future__ import annotations
 
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -142,8 +142,8 @@
             RunState.HAS_RUN,
         )
         assert [id_ for _, id_, _, _ in harness.attempts] == ["p", "c"]
-        again = await job_queue.serve(Request("c2", "once", 60.0), WaitOptions(idempotency_key="k"))
-        assert again.body == b"made c2"
+        repeated = await job_queue.serve(Request("c2", "once", 60.0), WaitOptions(idempotency_key="k"))
+        assert repeated.body == b"made c2"
         assert (
             await job_queue.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
         ).body == b"made c2"  # the key returns the result of the existing job
@@ -274,18 +274,18 @@
 
     def __init__(self) -> None:
         self.changes: list[tuple[str, JobState]] = []
-        self.then: list[Callable[[], None]] = []
+        self.callbacks: list[Callable[[], None]] = []
 
     def record_change(self, change: StateChanged, result: JobResult | None) -> None:
         self.changes.append((change.job.id, change.state))
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        self.then.append(callback)
+        self.callbacks.append(callback)
 
     def settle(self) -> None:
-        waiting, self.then = self.then, []
-        for then in waiting:
-            then()
+        waiting, self.callbacks = self.callbacks, []
+        for callback in waiting:
+            callback()
 
 
 def test_changes_are_journaled_and_release_waits_for_durability() -> None:
@@ -300,7 +300,7 @@
         assert await harness.until("plain") == [JobOutcome.SERVED]
         assert "cut" not in harness.results and ("a", JobState.SUBMITTED) in journal.changes
         assert [id_ for _, id_, _, _ in harness.attempts] == ["plain"]
-        while "a" not in harness.results:  # settles the commit of its lease and that of its result
+        while "a" not in harness.results:  # both its release and its result wait for the journal
             journal.settle()
             await asyncio.sleep(0.01)
         assert await harness.until("a", "cut") == [JobOutcome.SERVED, JobOutcome.CANCELLED]
@@ -348,9 +348,9 @@
     async def attempt(self, backend: str, request: Request, context: AttemptContext) -> AttemptOutcome:
         context.is_last_byte_written = True
         loop = asyncio.get_running_loop()
-        came = loop.time()
+        arrived_at = loop.time()
         async with self._slots.setdefault(backend, asyncio.Semaphore(4)):
-            self.is_waiting.append((backend, loop.time() - came))
+            self.is_waiting.append((backend, loop.time() - arrived_at))
             context.on_started()
             await asyncio.sleep(self._seconds)
             return AttemptOutcome(Result.OK)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -131,7 +131,7 @@
     assert end_attempt(dispatcher, 50, "a", Result.RESET) == ["a"]
 
 
-def test_request_that_would_miss_its_deadline_in_key_queue_is_rejected_at_once() -> None:
+def test_request_that_would_miss_its_objective_in_key_queue_is_rejected_at_once() -> None:
     dispatcher = make_dispatcher()
     dispatcher.state.service_times_ms.add("order", 2000.0)
     receive_request(dispatcher, 1, "a")
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -76,10 +76,10 @@
 @pytest.mark.parametrize(
     ("query", "at"), [("last_number", 1), ("unfinished_jobs", 1), ("unfinished_jobs", 2)]
 )
-def test_recovery_of_damaged_store_does_not_finish(
+def test_recovery_stops_on_damaged_store_and_dependents_stay_rejected(
     query: str, at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against rejecting dependents of jobs that were not recovered as if these were unknown.
+    # Guards against resolving dependencies when some jobs were never recovered.
     async def scene() -> None:
         new = await successor(tmp_path / "jobs.db")
         damaged = failing(getattr(Database, query), at, StoreFailure.DAMAGED, lasting=True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -151,7 +151,7 @@
     with pytest.raises(StoreError, match="another program") as caught:
         Database(path)
     assert caught.value.failure is StoreFailure.LOCKED
-    new = Database(path, take_over=True)  # the old owner is presumed dead
+    new = Database(path, take_over=True)  # the old owner was stopped and is presumed dead
     with pytest.raises(StoreError) as caught:
         old.apply([job_ended(1)])
     assert caught.value.failure is StoreFailure.FENCED
--- a/tests/test_waiting_policy.py
+++ b/tests/test_waiting_policy.py
@@ -86,8 +86,8 @@
     def reject(self, id_: str, retry_after_ms: float = 0.0) -> None:
         job = self.policy.find(id_)
         assert job is not None
-        again = self.settings.for_class(job.job_class).queueing
-        self.policy.job_rejected(self.now, job, retry_after_ms, again)
+        may_resubmit = self.settings.for_class(job.job_class).queueing
+        self.policy.job_rejected(self.now, job, retry_after_ms, may_resubmit)
         self.drain()
 
     def released_ids(self) -> list[str]:
@@ -367,7 +367,7 @@
 def test_scheduled_job_waits_while_workers_hang() -> None:
     harness = PolicyHarness(
         FleetCapacity(4, 4.0, 6), age_limit_s=10.0
-    )  # more open requests than slots: no slot becomes free
+    )  # jobs hang on the workers: no slot becomes free
     harness.job("timed", delay_ms=1_000.0, max_wait_ms=5_000.0)
     harness.run(4_000)
     assert harness.released == []
