--- a/tests/test_gearman_stream.py
+++ b/tests/test_gearman_stream.py
@@ -1,4 +1,4 @@
-"""Byte streams of Gearman peers that end in an error, whatever the pieces in which they come."""
+"""Gearman byte streams that end in a protocol error, received in segments of different sizes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Handler:
-    """Keeps what it is given; the first item may pause the input, as a job that is being stored does."""
+    """Records the items; may pause the input at the first one, as a job that is being stored does."""
 
     def __init__(self, connection: Connection, pauses: bool) -> None:
         self.items: list[Packet | TextCommand] = []
@@ -86,10 +86,10 @@
 @pytest.mark.parametrize("pauses", [False, True])
 @pytest.mark.parametrize("fault", BAD)
 @pytest.mark.parametrize("piece", [1, 7, 20, 1000])
-def test_what_is_complete_before_an_error_is_handled_in_whatever_pieces_it_comes(
+def test_complete_packets_before_an_error_are_handled_for_any_segmentation(
     piece: int, fault: str, pauses: bool
 ) -> None:
-    # Guards against jobs that are dropped because a later byte of the same piece is wrong.
+    # Guards against jobs that are dropped because a later byte of the same segment is invalid.
     async def scene() -> None:
         bad, code = BAD[fault]
         data = GOOD + bad
@@ -117,8 +117,8 @@
     asyncio.run(scene())
 
 
-def test_a_workload_with_a_nul_as_its_own_unique_id_keeps_the_arguments_apart() -> None:
-    # Guards against a worker that gets a part of the unique id as its workload.
+def test_workload_with_nul_as_its_own_unique_id_is_not_split() -> None:
+    # Guards against a worker that receives a part of the unique id as its workload.
     workload = b"first\0second"
     submission = parse_submission(PacketType.SUBMIT_JOB, [b"f", b"-", workload], CONFIG.functions, False)
     assert submission.workload == workload and b"\0" not in submission.unique
