--- a/tests/player.py
+++ b/tests/exchange_player.py
@@ -41,13 +41,13 @@
 from pathlib import Path
 from typing import Any
 
-HERE = Path(__file__).parent
-ROOT = HERE.parent
-PATIENCE = 10.0
-SETTINGS: dict[str, Any] = json.loads((HERE / "settings.json").read_text())
+TESTS_FOLDER = Path(__file__).parent
+ROOT = TESTS_FOLDER.parent
+TIMEOUT_S = 10.0
+SETTINGS: dict[str, Any] = json.loads((TESTS_FOLDER / "settings.json").read_text())
 
 
-class Program:
+class SchedulerProcess:
     """The program under test and its log."""
 
     def __init__(self, config: dict[str, Any], folder: Path, options: list[str]) -> None:
@@ -76,7 +76,7 @@
             return next((m for line in self.lines if (m := re.search(pattern, line))), None)
 
         with self._news:
-            assert self._news.wait_for(find, PATIENCE), f"no {pattern!r} in:\n" + "\n".join(self.lines)
+            assert self._news.wait_for(find, TIMEOUT_S), f"no {pattern!r} in:\n" + "\n".join(self.lines)
             found = find()
         assert found
         return found
@@ -90,8 +90,8 @@
         """Leave nothing running."""
         if self.process.poll() is None:
             self.process.kill()
-        self.process.wait(PATIENCE)
-        self._reader.join(PATIENCE)
+        self.process.wait(TIMEOUT_S)
+        self._reader.join(TIMEOUT_S)
         if self.process.stderr:
             self.process.stderr.close()
 
@@ -113,12 +113,12 @@
 
     def use(self, connection: socket.socket) -> None:
         self.end()
-        connection.settimeout(PATIENCE)
+        connection.settimeout(TIMEOUT_S)
         self.connection, self.buffer = connection, b""
 
     def accept(self) -> None:
         assert self.listener
-        self.listener.settimeout(PATIENCE)
+        self.listener.settimeout(TIMEOUT_S)
         self.use(self.listener.accept()[0])
 
     def more(self) -> bool:
@@ -136,7 +136,7 @@
         piece, self.buffer = self.buffer[:size], self.buffer[size:]
         return piece
 
-    def http(self) -> str:
+    def receive_http(self) -> str:
         """One HTTP message as text, its body by Content-Length."""
         while b"\r\n\r\n" not in self.buffer and self.more():
             pass
@@ -162,7 +162,7 @@
             except BlockingIOError:
                 pass
             finally:
-                side.settimeout(PATIENCE)
+                side.settimeout(TIMEOUT_S)
         return not self.buffer
 
     def ended(self) -> bool:
@@ -176,7 +176,7 @@
         except ConnectionError:
             return True
         finally:
-            self.connection.settimeout(PATIENCE)
+            self.connection.settimeout(TIMEOUT_S)
 
     def disperse(self) -> None:
         while self.crowd:
@@ -202,16 +202,16 @@
     return first.partition(" [")[0], re.findall(r"\[([^\]]*)\]", first), body
 
 
-class Player:
+class ExchangePlayer:
     """Plays one file."""
 
     def __init__(self, path: Path, folder: Path, settings: str = "settings.json") -> None:
-        self.settings: dict[str, Any] = json.loads((HERE / settings).read_text())
+        self.settings: dict[str, Any] = json.loads((TESTS_FOLDER / settings).read_text())
         self.lines = iter(enumerate(path.read_text().splitlines(), 1))
         self.folder = folder
         self.peers = {name: Peer(listens=True) for name in ("d", "d2", "s1", "s2")}
         self.kept: dict[str, str] = {}
-        self.program: Program | None = None
+        self.program: SchedulerProcess | None = None
         self.config: dict[str, Any] = {}
         self.started = 0.0
 
@@ -220,7 +220,7 @@
             for number, line in self.lines:
                 if line.strip() and not line.startswith("#"):
                     try:
-                        self._line(line)
+                        self._run_line(line)
                     except Exception as fault:
                         log = "\n".join(self.program.lines) if self.program else ""
                         raise AssertionError(f"line {number}: {line}\n{fault!r}\n{log}") from fault
@@ -237,7 +237,7 @@
         if self.program:
             self.program.end()
 
-    def _line(self, line: str) -> None:
+    def _run_line(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if word == "start":
             self._start(rest.split())
@@ -278,7 +278,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings, **known,
         }  # fmt: skip
         self.config = config
-        self.program = Program(config, self.folder, options)
+        self.program = SchedulerProcess(config, self.folder, options)
 
     def _operators_file(self, front: str, word: str) -> Path:
         text = (ROOT / f"deploy/{front}.toml").read_text().replace(":4730", ":0")
@@ -321,10 +321,10 @@
         peer = self.peers[name if name in self.peers else "d"]
         if peer.connection is None:
             peer.accept()
-        call = peer.http()
+        call = peer.receive_http()
         while peer.ended():  # it was given up meanwhile, for another
             peer.accept()
-            call = peer.http()
+            call = peer.receive_http()
         assert call.startswith("GET /discovery/hosts")
         body = self._with_addresses(rest).encode()
         assert peer.connection
@@ -342,7 +342,7 @@
         elif word == "nofile":
             resource.prlimit(self.program.process.pid, resource.RLIMIT_NOFILE, (int(rest), int(rest)))
         else:
-            assert self.program.process.wait(PATIENCE) == int(rest)
+            assert self.program.process.wait(TIMEOUT_S) == int(rest)
 
     def _peer(self, name: str, what: str, text: str) -> None:
         peer = self.peers.setdefault(name, Peer(listens=False))
@@ -350,7 +350,7 @@
             assert self.program
             front = {"g": "gearman", "o": "control"}.get(name[0], "http")
             self.started = self.started or time.monotonic()
-            peer.use(socket.create_connection(self.program.address(front), PATIENCE))
+            peer.use(socket.create_connection(self.program.address(front), TIMEOUT_S))
         elif what == "accept":
             peer.accept()
         elif what in ("close", "reset"):
@@ -363,7 +363,7 @@
             where = self.program.address({"g": "gearman", "o": "control"}.get(name[0], "http"))
             number, _, text = text.partition(" ")
             for _ in range(int(number)):
-                peer.crowd.append(socket.create_connection(where, PATIENCE))
+                peer.crowd.append(socket.create_connection(where, TIMEOUT_S))
                 peer.crowd[-1].sendall(text.encode().decode("unicode_escape").encode("latin-1"))
         elif what == "many":
             number, magic, type_, rest = text.split(" ", 3)
@@ -379,13 +379,13 @@
             peer.connection.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode())
         elif what == "told":
             status, headers, body = _parts(text)
-            head, _, got = peer.http().partition("\n\n")
+            head, _, got = peer.receive_http().partition("\n\n")
             assert head.startswith(f"HTTP/1.1 {status} "), head + got
             for header in headers:
                 assert header in head.splitlines(), f"no {header!r} in {head!r}"
             self._compare(body, got.rstrip("\n"))
         elif what == "status":
-            got = peer.http()
+            got = peer.receive_http()
             assert re.match(rf"HTTP/1\.[01] {text} ", got), got
             closes = got.startswith("HTTP/1.0") or "\nConnection: close\n" in got
             assert closes or int(text) < 400, got
@@ -434,7 +434,7 @@
             text = text.encode().decode("unicode_escape")
             got = peer.take(len(text)).decode("latin-1")
         else:
-            text, got = self._block(), peer.http()
+            text, got = self._block(), peer.receive_http()
             if "\n\n" not in text:
                 text += "\n\n"
         self._compare(text, got)
--- a/tests/stage.py
+++ b/tests/scheduler_harness.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from virtual import VirtualLoop
+from virtual_loop import VirtualLoop
 
 from oxbowyard.clients.client_connections import ClientConnections
 from oxbowyard.daemon.composition import compose
@@ -24,12 +24,12 @@
 from oxbowyard.listeners.acceptor import Acceptor
 from oxbowyard.waiting.settings import WaitingSettings
 
-HERE = Path(__file__).parent
-SETTINGS: dict[str, Any] = json.loads((HERE / "settings.json").read_text())
+TESTS_FOLDER = Path(__file__).parent
+SETTINGS: dict[str, Any] = json.loads((TESTS_FOLDER / "settings.json").read_text())
 ANSWER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class HeldLoop(VirtualLoop):
+class GatedConnectLoop(VirtualLoop):
     """New connections come up once `way` is open."""
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
     return bool(end) and len(body) >= size
 
 
-class Stage:
+class SchedulerHarness:
     """One scheduler with both fronts, one worker, and the test's clients as bare sockets."""
 
     def __init__(self, folder: Path, waiting: WaitingSettings | None = None, **changes: Any) -> None:
@@ -124,10 +124,10 @@
             "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings,
         }))  # fmt: skip
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, HeldLoop)
+        assert isinstance(loop, GatedConnectLoop)
         self.loop = loop
         self.config = load({"LB_CONFIG": str(path)})
-        text = (HERE.parent / "deploy/gearman.toml").read_text().replace(":4730", ":0")
+        text = (TESTS_FOLDER.parent / "deploy/gearman.toml").read_text().replace(":4730", ":0")
         document = tomllib.loads(text)
         if waiting is not None:  # a job that is refused waits, and is asked again
             document["functions"]["file_specimen"]["queueing"] = True
@@ -191,8 +191,8 @@
         self._server.close()
 
 
-def ask(job_class: str, id_: str = "a1", body: str = "hello", patience: float = 9.0) -> bytes:
+def request_bytes(job_class: str, id_: str = "a1", body: str = "hello", deadline_s: float = 9.0) -> bytes:
     """A request as clients send it."""
     head = [f"POST /{job_class} HTTP/1.1", "Host: api", f"Req-Id: {id_}", f"Req-Kind: {job_class}"]
-    head += [f"Req-Deadline: {patience * 1000:.0f}m", f"Content-Length: {len(body)}"]
+    head += [f"Req-Deadline: {deadline_s * 1000:.0f}m", f"Content-Length: {len(body)}"]
     return ("\r\n".join(head) + "\r\n\r\n" + body).encode()
--- a/tests/test_bad_numbers.py
+++ b/tests/test_bad_numbers.py
@@ -12,9 +12,9 @@
 
 import msgspec
 import pytest
+from exchange_player import ROOT, SETTINGS
 from hypothesis import given
 from hypothesis import strategies as st
-from player import ROOT, SETTINGS
 from test_job_queue import FREE, ONCE
 from typer.testing import CliRunner
 
--- a/tests/test_cancel_crossings.py
+++ b/tests/test_cancel_crossings.py
@@ -7,7 +7,7 @@
 
 import pytest
 from test_job_queue import Stage
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request, RunState, reason_not_to_send
 from oxbowyard.decision.facade import Result
@@ -80,7 +80,7 @@
         if outcome is JobOutcome.SERVED:
             assert run_state is RunState.HAS_RUN
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("turns", range(6))
@@ -102,4 +102,4 @@
             assert crossing.sent == 1
         assert outcome in (JobOutcome.CANCELLED, JobOutcome.SERVED)
 
-    play(scene)
+    run_in_virtual_time(scene)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, HeldLoop, Stage, ask, leave, turns
+from scheduler_harness import SETTINGS, GatedConnectLoop, SchedulerHarness, leave, request_bytes, turns
 
 from oxbowyard.core.request import AttemptContext, Request
 from oxbowyard.decision.facade import Result
@@ -30,28 +30,28 @@
 
 def play(
     tmp_path: Path,
-    scene: Callable[[Stage], Awaitable[None]],
+    scene: Callable[[SchedulerHarness], Awaitable[None]],
     waiting: WaitingSettings | None = None,
     **changes: Any,
 ) -> None:
     async def whole() -> None:
-        stage = Stage(tmp_path, waiting, **changes)
+        stage = SchedulerHarness(tmp_path, waiting, **changes)
         try:
             async with asyncio.timeout(120.0):
                 await scene(stage)
         finally:
             await stage.end()
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(whole())
 
 
-async def _asked(stage: Stage, job_class: str, ahead: int) -> tuple[object, Callable[[str], None]]:
+async def _asked(stage: SchedulerHarness, job_class: str, ahead: int) -> tuple[object, Callable[[str], None]]:
     """A client whose request was taken, and perhaps more that it sent on at once."""
     client = stage.client()
     client.setblocking(False)
     body = "x" * min(50_000, max(ahead // 200, 1))
-    text = ask(job_class) + ask("preview", "b1", body) * (ahead // len(body))
+    text = request_bytes(job_class) + request_bytes("preview", "b1", body) * (ahead // len(body))
     while text:
         try:
             text = text[client.send(text) :]
@@ -62,7 +62,7 @@
     return client, lambda manner: leave(client, manner)
 
 
-async def _nothing_runs(stage: Stage, ran: int = 0) -> None:
+async def _nothing_runs(stage: SchedulerHarness, ran: int = 0) -> None:
     """From the bound on the request is not open any more, and no byte of it reaches the worker."""
     await turns()
     await asyncio.sleep(GONE_WITHIN_S - HELD_UP_S)
@@ -78,8 +78,10 @@
 @MANNERS
 @AHEAD
 @CLASSES
-def test_while_the_decisions_hold_it(tmp_path: Path, manner: str, ahead: int, job_class: str) -> None:
-    async def scene(stage: Stage) -> None:
+def test_queued_request_is_dropped_when_its_client_disconnects(
+    tmp_path: Path, manner: str, ahead: int, job_class: str
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(listed=False)
         _, left = await _asked(stage, job_class, ahead)
         assert stage.scheduler.open_request_count == 1
@@ -93,8 +95,10 @@
 @MANNERS
 @AHEAD
 @CLASSES
-def test_while_the_connection_comes_up(tmp_path: Path, manner: str, ahead: int, job_class: str) -> None:
-    async def scene(stage: Stage) -> None:
+def test_request_is_dropped_when_its_client_disconnects_during_connect(
+    tmp_path: Path, manner: str, ahead: int, job_class: str
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.loop.way.clear()
         _, left = await _asked(stage, job_class, ahead)
@@ -109,8 +113,10 @@
 @MANNERS
 @AHEAD
 @CLASSES
-def test_after_a_failed_attempt(tmp_path: Path, manner: str, ahead: int, job_class: str) -> None:
-    async def scene(stage: Stage) -> None:
+def test_rejected_request_is_not_retried_after_its_client_disconnects(
+    tmp_path: Path, manner: str, ahead: int, job_class: str
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.worker.decline = 1
         stage.loop.way.clear()
@@ -124,8 +130,10 @@
 
 @MANNERS
 @AHEAD
-def test_before_the_last_byte_of_what_must_not_run_twice(tmp_path: Path, manner: str, ahead: int) -> None:
-    async def scene(stage: Stage) -> None:
+def test_non_idempotent_request_is_not_finished_if_its_client_disconnects_before_the_last_byte(
+    tmp_path: Path, manner: str, ahead: int
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.loop.way.clear()
         _, left = await _asked(stage, "accession", ahead)
@@ -141,11 +149,13 @@
 
 @MANNERS
 @CLASSES
-def test_before_its_connection_was_accepted(tmp_path: Path, manner: str, job_class: str) -> None:
-    async def scene(stage: Stage) -> None:
+def test_request_is_dropped_when_its_client_disconnects_before_accept(
+    tmp_path: Path, manner: str, job_class: str
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
-        client.sendall(ask(job_class))
+        client.sendall(request_bytes(job_class))
         leave(client, manner)
         await _nothing_runs(stage)
 
@@ -159,10 +169,10 @@
 @MANNERS
 @AHEAD
 @CLASSES
-def test_while_the_connection_comes_up_very_late(
+def test_request_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.loop.way.clear()
         _, left = await _asked(stage, job_class, ahead)
@@ -177,10 +187,10 @@
 @MANNERS
 @AHEAD
 @CLASSES
-def test_while_a_further_attempt_comes_up_very_late(
+def test_retry_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(names=("w1", "w2"))
         stage.worker.decline = 1
         stage.worker.on_decline.append(stage.loop.way.clear)
@@ -196,14 +206,16 @@
 
 @MANNERS
 @AHEAD
-def test_while_a_moved_attempt_comes_up_very_late(tmp_path: Path, manner: str, ahead: int) -> None:
+def test_moved_attempt_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
+    tmp_path: Path, manner: str, ahead: int
+) -> None:
     """The first worker never begins it, so that the decisions move it to the other one."""
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(names=("w1", "w2"))
         for number in range(MOVE_EARNED):
             client = stage.client()
-            client.sendall(ask("preview", f"c{number}"))
+            client.sendall(request_bytes("preview", f"c{number}"))
             assert b" 200 OK" in await stage.read(client)
         stage.worker.answer = False
         _, left = await _asked(stage, "preview", ahead)
@@ -219,10 +231,12 @@
 
 @MANNERS
 @AHEAD
-def test_before_the_first_byte_of_what_must_not_run_twice(tmp_path: Path, manner: str, ahead: int) -> None:
+def test_no_byte_of_a_non_idempotent_request_is_sent_if_its_client_disconnects_during_connect(
+    tmp_path: Path, manner: str, ahead: int
+) -> None:
     """Its connection comes up in the turn in which the client leaves: not even a part of it is sent."""
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.loop.way.clear()
         _, left = await _asked(stage, "accession", ahead)
@@ -236,13 +250,13 @@
 
 
 @MANNERS
-def test_an_idle_connection_whose_client_left_is_let_go(tmp_path: Path, manner: str) -> None:
+def test_idle_connection_is_closed_when_its_client_disconnects(tmp_path: Path, manner: str) -> None:
     """Nothing was asked on it, or its last request was answered: it holds no descriptor any longer."""
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         silent, kept = stage.client(), stage.client()
-        kept.sendall(ask("preview"))
+        kept.sendall(request_bytes("preview"))
         assert b" 200 OK" in await stage.read(kept)
         assert len(stage.sessions._open) == 2
         for client in (silent, kept):
@@ -254,8 +268,10 @@
 
 
 @pytest.mark.parametrize("stays", [True, False])
-def test_before_a_grant(tmp_path: Path, stays: bool) -> None:
-    async def scene(stage: Stage) -> None:
+def test_attempt_is_sent_after_its_lease_is_recorded_only_if_its_client_is_connected(
+    tmp_path: Path, stays: bool
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         there, granted = [True], []
         context = AttemptContext(5.0, lambda: None)
@@ -276,8 +292,8 @@
 
 
 @AHEAD
-def test_a_client_that_stays_is_served(tmp_path: Path, ahead: int) -> None:
-    async def scene(stage: Stage) -> None:
+def test_client_that_stays_connected_is_served(tmp_path: Path, ahead: int) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client, _ = await _asked(stage, "accession", ahead)
         await asyncio.sleep(1.0)
@@ -297,12 +313,12 @@
 @MANNERS
 @pytest.mark.parametrize("asleep", [True, False])
 @pytest.mark.parametrize("room", [None, WaitingSettings()])
-def test_a_gearman_job_whose_client_left_is_not_handed_out(
+def test_gearman_job_is_not_assigned_after_its_client_disconnects(
     tmp_path: Path, manner: str, asleep: bool, room: WaitingSettings | None
 ) -> None:
     """The worker asks for it in the very turn in which its client leaves, and is read first."""
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
         worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
@@ -322,12 +338,10 @@
 
 
 @MANNERS
-def test_a_job_in_the_waiting_room_ends_with_the_client_it_was_not_to_outlive(
-    tmp_path: Path, manner: str
-) -> None:
+def test_deferred_gearman_job_ends_when_its_client_disconnects(tmp_path: Path, manner: str) -> None:
     """It waits for any worker at all; one comes in the turn in which its client leaves."""
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
         await turns()
@@ -348,8 +362,8 @@
 
 
 @MANNERS
-def test_a_background_job_outlives_its_client(tmp_path: Path, manner: str) -> None:
-    async def scene(stage: Stage) -> None:
+def test_background_gearman_job_is_assigned_after_its_client_disconnects(tmp_path: Path, manner: str) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
         worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -11,7 +11,7 @@
 
 import jsonschema
 import pytest
-from player import ROOT, SETTINGS
+from exchange_player import ROOT, SETTINGS
 from typer.testing import CliRunner
 
 import oxbowyard.cli
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from player import ROOT, SETTINGS
+from exchange_player import ROOT, SETTINGS
 
 from oxbowyard.daemon.config import ConfigurationError, load
 from oxbowyard.discovery.poll_schedule import PollSchedule
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -10,8 +10,8 @@
 import jsonschema
 import msgspec
 import pytest
+from exchange_player import ROOT
 from openapi_spec_validator import validate
-from player import ROOT
 
 from oxbowyard.backends.answer_lines import FINAL_STATES, AnswerReader
 from oxbowyard.clients.job_documents import BatchDocument, JobDocument, JobView
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from player import PATIENCE, SETTINGS, Program
-from stage import ask
+from exchange_player import SETTINGS, TIMEOUT_S, SchedulerProcess
+from scheduler_harness import request_bytes
 from test_replacement import Stand, free_port, status, wait_until
 
 from oxbowyard.daemon.descriptors import Descriptors
@@ -41,7 +41,7 @@
             while not got.endswith(b"hello"):
                 got += connection.recv(4096)
             self.running += 1
-            self.may_end.wait(PATIENCE)
+            self.may_end.wait(TIMEOUT_S)
             name = got.partition(b"Req-Id: ")[2].split(b"\r")[0].decode()
             line = json.dumps({"id": name, "state": "done", "result": "made"}).encode() + b"\n"
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(line)
@@ -74,14 +74,14 @@
 
 
 def _connected(stack: ExitStack, where: tuple[str, int], text: bytes) -> socket.socket:
-    client = stack.enter_context(socket.create_connection(where, PATIENCE))
+    client = stack.enter_context(socket.create_connection(where, TIMEOUT_S))
     client.sendall(text)
     return client
 
 
 @contextmanager
-def _program(tmp_path: Path, worker: HeldWorker, discovery: LateDiscovery) -> Iterator[Program]:
-    program = Program({
+def _program(tmp_path: Path, worker: HeldWorker, discovery: LateDiscovery) -> Iterator[SchedulerProcess]:
+    program = SchedulerProcess({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery.port}", "seed": "1f",
         "admin": "127.0.0.1:0", "settings": SETTINGS, "known": discovery.listing,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": LIMIT},
@@ -106,24 +106,24 @@
         clients, admin = program.address("http"), program.address("control")
         program.wait_for("-> serving")
         asking = [
-            _connected(stack, clients, ask("preview", f"a{i}", patience=PATIENCE))
+            _connected(stack, clients, request_bytes("preview", f"a{i}", deadline_s=TIMEOUT_S))
             for i in range(SHARED.requests)
         ]
-        wait_until(lambda: worker.running >= 4, PATIENCE)
+        wait_until(lambda: worker.running >= 4, TIMEOUT_S)
         for _ in range(LIMIT):
             _connected(stack, clients, IDLE_MANNERS[manner])
             _connected(stack, admin, b"")
         held = Path(f"/proc/{program.process.pid}/fd")
-        wait_until(lambda: len(list(held.iterdir())) > LIMIT // 2, PATIENCE)
+        wait_until(lambda: len(list(held.iterdir())) > LIMIT // 2, TIMEOUT_S)
         stack.enter_context(discovery.start())
         wait_until(lambda: discovery.calls >= 1, NOTIFIED_WITHIN_S)
         program.wait_for("endpoint list applied: revision=2 scope=full")
         assert status(admin, "/control/ready") == 200, "the operators are answered beside a crowd"
         worker.may_end.set()
         for client in asking[:4]:
-            client.settimeout(PATIENCE)
+            client.settimeout(TIMEOUT_S)
             assert b" 200 OK" in client.recv(4096)
-        last = _connected(stack, clients, ask("preview", "last"))
-        last.settimeout(PATIENCE)
+        last = _connected(stack, clients, request_bytes("preview", "last"))
+        last.settimeout(TIMEOUT_S)
         assert b" 200 OK" in last.recv(4096)
         assert not [line for line in program.lines if "Too many open files" in line or "Traceback" in line]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, HeldLoop, Stage, ask, leave, turns
+from scheduler_harness import SETTINGS, GatedConnectLoop, SchedulerHarness, leave, request_bytes, turns
 
 from oxbowyard.clients.connection import Connection, Phase
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request
@@ -30,20 +30,20 @@
 from oxbowyard.listeners.acceptor import Acceptor
 
 
-def play(tmp_path: Path, scene: Callable[[Stage], Awaitable[None]], **changes: Any) -> None:
+def play(tmp_path: Path, scene: Callable[[SchedulerHarness], Awaitable[None]], **changes: Any) -> None:
     async def whole() -> None:
-        stage = Stage(tmp_path, **changes)
+        stage = SchedulerHarness(tmp_path, **changes)
         try:
             async with asyncio.timeout(120.0):
                 await scene(stage)
         finally:
             await stage.end()
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(whole())
 
 
-async def _leave(stage: Stage) -> None:
+async def _leave(stage: SchedulerHarness) -> None:
     """As the program leaves, from when it accepts nothing more."""
     stage.sessions.start_draining()
     await stage.acceptor.close_and_wait()
@@ -55,16 +55,16 @@
 
 @pytest.mark.parametrize("between", range(8))  # turns of the loop from the connect to the acceptor's end
 @pytest.mark.parametrize("room", [True, False])
-def test_whoever_connected_before_the_gate_closed_is_answered(
+def test_client_connected_before_the_listener_closed_is_answered(
     tmp_path: Path, between: int, room: bool
 ) -> None:
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         if not room:
             stage.sessions._max_connections = 0  # it waits in the system's queue for a place
         clients = [stage.client() for _ in range(3)]
         for number, client in enumerate(clients):
-            client.sendall(ask("preview", f"a{number}"))
+            client.sendall(request_bytes("preview", f"a{number}"))
         await turns(between)
         stage.sessions._max_connections = 64
         await _leave(stage)
@@ -74,8 +74,8 @@
     play(tmp_path, scene)
 
 
-def test_a_crowd_at_the_closing_gate_takes_no_more_descriptors_than_there_are(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_connections_accepted_while_the_listener_closes_stay_within_the_limit(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.sessions._max_connections = 8
         silent = [stage.client() for _ in range(4)]
@@ -83,7 +83,7 @@
         await asyncio.sleep(0.5)  # these have had their time, and make room
         clients = [stage.client() for _ in range(40)]
         for number, client in enumerate(clients):
-            client.sendall(ask("preview", f"a{number}"))
+            client.sendall(request_bytes("preview", f"a{number}"))
         stage.acceptor.close()
         await turns(4)
         assert 4 <= len(stage.sessions._open) <= 9
@@ -95,7 +95,7 @@
     play(tmp_path, scene)
 
 
-async def _tried(stage: Stage, client: socket.socket) -> bytes:
+async def _tried(stage: SchedulerHarness, client: socket.socket) -> bytes:
     try:
         return await stage.read(client)
     except ConnectionError:
@@ -107,17 +107,15 @@
 
 
 @pytest.mark.parametrize("between", range(6))
-def test_a_request_that_lies_unread_when_its_connection_is_to_close_is_answered(
-    tmp_path: Path, between: int
-) -> None:
-    async def scene(stage: Stage) -> None:
+def test_request_unread_when_shutdown_closes_its_connection_is_answered(tmp_path: Path, between: int) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
-        client.sendall(ask("preview", "a1"))
+        client.sendall(request_bytes("preview", "a1"))
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
         client.setblocking(True)
-        client.sendall(ask("accession", "a2"))
+        client.sendall(request_bytes("accession", "a2"))
         await turns(between)
         await _leave(stage)
         got = await stage.read(client)
@@ -127,30 +125,30 @@
 
 
 @pytest.mark.parametrize("cut", [1, 40, -3])  # bytes: within the request line, the head, the body
-def test_a_request_that_is_half_there_at_the_end_is_answered(tmp_path: Path, cut: int) -> None:
-    async def scene(stage: Stage) -> None:
+def test_partially_received_request_at_shutdown_is_answered(tmp_path: Path, cut: int) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
-        client.sendall(ask("accession")[:cut])
+        client.sendall(request_bytes("accession")[:cut])
         await turns()
         end = asyncio.create_task(_leave(stage))
         await asyncio.sleep(0.5)
         client.setblocking(True)
-        client.sendall(ask("accession")[cut:])
+        client.sendall(request_bytes("accession")[cut:])
         await end
         assert b" 200 OK" in await stage.read(client)
 
     play(tmp_path, scene)
 
 
-def test_a_silent_newcomer_has_a_moment_and_the_idle_are_closed(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_shutdown_waits_briefly_for_a_new_connection_and_closes_idle_ones(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         late, silent = stage.client(), stage.client()
         await turns()
         end = asyncio.create_task(_leave(stage))
         await asyncio.sleep(0.1)
-        late.sendall(ask("preview"))
+        late.sendall(request_bytes("preview"))
         began = stage.loop.time()
         await end
         assert stage.loop.time() - began < 1.0
@@ -160,12 +158,12 @@
     play(tmp_path, scene)
 
 
-def test_an_answer_worded_before_the_end_began_does_not_keep_its_connection(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_response_prepared_before_shutdown_does_not_keep_its_connection_open(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.worker.answer = False
         client = stage.client()
-        client.sendall(ask("accession"))
+        client.sendall(request_bytes("accession"))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
         end = asyncio.create_task(stage.sessions.close(30.0))  # with no start_draining before it
@@ -179,14 +177,14 @@
 
 @pytest.mark.parametrize("first", ["answer", "time"])
 @pytest.mark.parametrize("job_class", ["preview", "accession"])
-def test_a_deadline_in_the_turn_of_the_last_line_is_one_end(
+def test_deadline_in_the_same_iteration_as_the_last_line_gives_one_outcome(
     tmp_path: Path, first: str, job_class: str
 ) -> None:
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.worker.answer = False
         client = stage.client()
-        client.sendall(ask(job_class))
+        client.sendall(request_bytes(job_class))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
         (entry,) = stage.scheduler._admission._open.values()
@@ -208,17 +206,15 @@
 
 
 @pytest.mark.parametrize("cut", [0, 1, 40])  # bytes that had come before: none, some of the head
-def test_a_request_that_lies_unread_as_its_connections_time_is_over_is_answered(
-    tmp_path: Path, cut: int
-) -> None:
-    async def scene(stage: Stage) -> None:
+def test_request_unread_when_its_connection_times_out_is_answered(tmp_path: Path, cut: int) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
-        client.sendall(ask("preview")[:cut])
+        client.sendall(request_bytes("preview")[:cut])
         await turns()
         (connection,) = stage.sessions._open
         assert connection.phase is (Phase.READING if cut else Phase.SILENT)
-        client.sendall(ask("preview")[cut:])
+        client.sendall(request_bytes("preview")[cut:])
         connection._on_timeout()  # the alarm of this turn, before the loop has read what came in it
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
@@ -226,17 +222,17 @@
     play(tmp_path, scene)
 
 
-def test_a_request_that_lies_unread_as_a_kept_connections_time_is_over_is_answered(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_request_unread_when_its_keep_alive_connection_times_out_is_answered(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
-        client.sendall(ask("preview"))
+        client.sendall(request_bytes("preview"))
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
         (connection,) = stage.sessions._open
         assert connection.phase is Phase.KEEP_ALIVE
         client.setblocking(True)
-        client.sendall(ask("preview", "a2"))
+        client.sendall(request_bytes("preview", "a2"))
         connection._on_timeout()
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
@@ -246,8 +242,8 @@
     play(tmp_path, scene)
 
 
-def test_who_drips_on_past_its_time_is_ended(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_client_that_sends_its_head_slowly_past_the_timeout_gets_408(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
         client.sendall(b"POST /preview HTTP/1.1\r\n")
@@ -263,13 +259,13 @@
     play(tmp_path, scene)
 
 
-def test_eviction_spares_a_connection_whose_request_has_come(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_eviction_spares_a_connection_with_an_unread_request(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         asks, silent = stage.client(), stage.client()
         await turns()
         await asyncio.sleep(0.5)
-        asks.sendall(ask("preview"))  # the longest silent one, and it lies unread
+        asks.sendall(request_bytes("preview"))  # the longest silent one, and it lies unread
         stage.sessions.evict_idle_connection()
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(asks)
@@ -279,16 +275,16 @@
 
 
 @pytest.mark.parametrize("waits", [False, True])  # for its body, which comes in the turn of the crossing
-def test_eviction_spares_a_request_that_became_whole_in_that_very_turn(
+def test_eviction_spares_a_request_completed_in_the_same_iteration(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, waits: bool
 ) -> None:
     read = Connection.data_received
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         client = stage.client()
         cut = -3 if waits else 40
-        client.sendall(ask("accession")[:cut])
+        client.sendall(request_bytes("accession")[:cut])
         await turns()
         await asyncio.sleep(1.5)  # it has had its time
 
@@ -297,15 +293,15 @@
             assert not stage.sessions.evict_idle_connection()
 
         monkeypatch.setattr(Connection, "data_received", and_evict)
-        client.sendall(ask("accession")[cut:])
+        client.sendall(request_bytes("accession")[cut:])
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await stage.read(client)
 
     play(tmp_path, scene)
 
 
-def test_eviction_spares_a_gearman_peer_whose_first_packet_lies_unread(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
+def test_eviction_spares_a_gearman_peer_with_an_unread_first_packet(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         gearman = stage.subsystems.gearman
         assert gearman
@@ -322,8 +318,10 @@
 
 
 @pytest.mark.parametrize("sends_on", [False, True])  # closed over what it sends, it would be reset
-def test_a_gearman_client_has_its_end_before_its_connection(tmp_path: Path, sends_on: bool) -> None:
-    async def scene(stage: Stage) -> None:
+def test_gearman_client_receives_its_result_before_its_connection_closes(
+    tmp_path: Path, sends_on: bool
+) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(listed=False)
         worker, client = stage.client("gearman"), stage.client("gearman")
         worker.sendall(encode(PacketType.CAN_DO, b"file_specimen", magic=REQUEST_MAGIC))
@@ -361,14 +359,14 @@
 
 @pytest.mark.parametrize("first", ["answer", "leave"])
 @pytest.mark.parametrize("manner", ["close", "reset"])
-def test_an_answer_and_the_clients_leaving_in_one_turn_are_one_end(
+def test_answer_and_client_disconnect_in_the_same_iteration_give_one_outcome(
     tmp_path: Path, first: str, manner: str
 ) -> None:
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.worker.answer = False
         client = stage.client()
-        client.sendall(ask("accession"))
+        client.sendall(request_bytes("accession"))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
         for what in (first, "leave" if first == "answer" else "answer"):
@@ -384,16 +382,16 @@
     play(tmp_path, scene)
 
 
-def test_the_program_waits_for_a_client_that_waits_longer_than_its_class_says(tmp_path: Path) -> None:
+def test_shutdown_waits_for_a_request_with_a_deadline_longer_than_its_class(tmp_path: Path) -> None:
     async def scene() -> None:
         lanes = [{**lane, "aim": 100.0, "deadline": 500.0} for lane in SETTINGS["lanes"]]
-        stage = Stage(tmp_path, lanes=lanes)
+        stage = SchedulerHarness(tmp_path, lanes=lanes)
         program = Program(lambda: LoadedConfiguration(stage.config))
         await program.start()
         assert program.context.acceptor
         worker = await asyncio.start_server(stage.worker.serve, "127.0.0.1", 0)
         client = socket.create_connection(program.context.acceptor._listener.getsockname(), 5.0)
-        client.sendall(ask("accession", patience=9.0))
+        client.sendall(request_bytes("accession", deadline_s=9.0))
         stage.worker.answer = False
         where = "{}:{}".format(*worker.sockets[0].getsockname()[:2])
         entry = {"uid": "w1", "endpoint": where, "state": "ready"}
@@ -412,15 +410,15 @@
         worker.close()
         stage.acceptor.close()
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
 
 
-def test_a_successor_dies_and_the_address_is_gone(tmp_path: Path) -> None:
+def test_process_stops_when_its_successor_dies_and_its_address_is_in_use(tmp_path: Path) -> None:
     """The old process can't take clients again: it ends, rather than stay with nobody to serve."""
 
     async def scene() -> None:
-        config = Stage(tmp_path).config
+        config = SchedulerHarness(tmp_path).config
         program = Program(lambda: LoadedConfiguration(config))
 
         def taken() -> Acceptor:
@@ -430,7 +428,7 @@
         await program.hot_restart.resume()
         assert program.context.stop_requested.is_set()
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
 
 
@@ -444,7 +442,7 @@
 
 
 @pytest.mark.parametrize("reset_at", [0.5, 0.9])  # of a window of 1 s
-def test_a_repeat_whose_connection_comes_up_late_is_not_written_after_its_window(
+def test_retry_whose_connection_opens_after_the_deduplication_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reset_at: float
 ) -> None:
     """The window was looked at when the worker was chosen; the last byte went once the connection was up."""
@@ -452,11 +450,11 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(composition, "make_unix_ms_clock", lambda: lambda: loop.time() * 1000)
-        stage = Stage(tmp_path, lanes=_guarded(1000.0))
+        stage = SchedulerHarness(tmp_path, lanes=_guarded(1000.0))
         await stage.begin()
         stage.worker.answer = False
         client = stage.client()
-        client.sendall(ask("accession"))
+        client.sendall(request_bytes("accession"))
         while not stage.worker.ran:
             await asyncio.sleep(0.001)
         sent = stage.loop.time()
@@ -474,16 +472,16 @@
         await stage.end()
         assert again is None if reset_at > 0.7 else again is not None and again < 1.0
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeat_that_a_gearman_worker_asks_for_after_its_window_is_not_handed_out(
+def test_retry_is_not_assigned_to_a_gearman_worker_after_the_deduplication_window(
     tmp_path: Path, late: bool
 ) -> None:
     async def scene() -> None:
-        stage = Stage(tmp_path, lanes=_guarded(1000.0))
+        stage = SchedulerHarness(tmp_path, lanes=_guarded(1000.0))
         await stage.begin(listed=False)
         first, second, client = (stage.client("gearman") for _ in range(3))
         can_do = encode(PacketType.CAN_DO, b"file_specimen", magic=REQUEST_MAGIC)
@@ -502,7 +500,7 @@
         assert got == encode(PacketType.NO_JOB) if late else got.endswith(b"sheet")
         await stage.end()
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
 
 
@@ -510,13 +508,11 @@
 
 
 @pytest.mark.parametrize("wait", [0.0, SETTLE_S / 2])
-def test_a_second_reload_that_undoes_the_first_leaves_nothing_of_it_pending(
-    tmp_path: Path, wait: float
-) -> None:
+def test_second_reload_that_reverts_the_first_cancels_its_pending_step(tmp_path: Path, wait: float) -> None:
     """The first one's later step made a class repeatable that the second says must never run twice."""
 
     async def scene() -> None:
-        config = Stage(tmp_path).config
+        config = SchedulerHarness(tmp_path).config
         lanes = {c.name: c for c in config.settings.classes}
         loose = replace(lanes["accession"], retry_safety=RetrySafety.IDEMPOTENT)
         loosened = replace(config.settings, classes=tuple({**lanes, "accession": loose}.values()))
@@ -529,7 +525,7 @@
         in_force = {c.name: c.retry_safety for c in program.reloader.settings.classes}
         assert in_force["accession"] is RetrySafety.NOT_IDEMPOTENT
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
 
 
@@ -560,11 +556,11 @@
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-def test_an_answer_without_an_end_or_with_two(tmp_path: Path, name: str) -> None:
+def test_malformed_worker_answer_gives_one_outcome_within_bounds(tmp_path: Path, name: str) -> None:
     """Each has one ending, in time, and nothing of it reaches the next request."""
     first, rest, wanted = ANSWERS[name]
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         sent = 0
 
@@ -597,10 +593,8 @@
     play(tmp_path, scene)
 
 
-def test_a_backend_that_moves_while_a_connection_comes_up_is_not_sent_to_at_its_old_place(
-    tmp_path: Path,
-) -> None:
-    async def scene(stage: Stage) -> None:
+def test_backend_that_moves_during_connect_is_not_sent_to_at_its_old_address(tmp_path: Path) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin()
         stage.loop.way.clear()
         request = Request("a1", "preview", 30.0, "/preview", b"hello")
@@ -616,11 +610,11 @@
 
 
 @pytest.mark.parametrize("attempt", ["first", "further"])
-def test_an_attempt_whose_connection_came_up_late_tells_what_is_left(tmp_path: Path, attempt: str) -> None:
+def test_attempt_after_a_slow_connect_sends_the_remaining_deadline(tmp_path: Path, attempt: str) -> None:
     """It used to tell the time that was left when its connection was asked for."""
     patience, late = 6.0, 1.5
 
-    async def scene(stage: Stage) -> None:
+    async def scene(stage: SchedulerHarness) -> None:
         await stage.begin(names=("w1", "w2"))
         if attempt == "further":
             stage.worker.decline = 1
@@ -628,7 +622,7 @@
         else:
             stage.loop.way.clear()
         client = stage.client()
-        client.sendall(ask("preview", patience=patience))
+        client.sendall(request_bytes("preview", deadline_s=patience))
         asked_at = stage.loop.time()
         while stage.loop.connecting < (2 if attempt == "further" else 1):
             await asyncio.sleep(0.001)
--- a/tests/test_ends_of_the_program.py
+++ b/tests/test_ends_of_the_program.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 import pytest
-from player import PATIENCE, Peer, Program
-from stage import SETTINGS, ask
+from exchange_player import TIMEOUT_S, Peer, SchedulerProcess
+from scheduler_harness import SETTINGS, request_bytes
 from test_replacement import free_port
 
 ENTRY = {"uid": "w1", "az": "a", "model": "m", "state": "ready", "boot_ms": 0}
@@ -26,14 +26,14 @@
 def _answer_lists(discovery: Peer, worker: Peer, hold: threading.Event) -> None:
     """Whole lists to whoever asks for them, once `hold` is set; watches are left waiting."""
     assert discovery.listener
-    discovery.listener.settimeout(PATIENCE)
+    discovery.listener.settimeout(TIMEOUT_S)
     body = json.dumps({"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": worker.address}]}).encode()
     try:
         while True:
             side, _ = discovery.listener.accept()
             head = side.recv(1 << 16)
             if b"after=" in head or not hold.is_set():
-                hold.wait(PATIENCE)
+                hold.wait(TIMEOUT_S)
                 continue
             side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     except OSError:
@@ -51,27 +51,27 @@
     config = _config(discovery)
     if state == "handing over":  # both processes bind it
         config["listen"] = f"127.0.0.1:{free_port()}"
-    program = Program(config, tmp_path, [])
-    successor: Program | None = None
+    program = SchedulerProcess(config, tmp_path, [])
+    successor: SchedulerProcess | None = None
     client: socket.socket | None = None
     try:
         where = program.address("http")
-        client = socket.create_connection(where, PATIENCE)
-        client.settimeout(PATIENCE)
+        client = socket.create_connection(where, TIMEOUT_S)
+        client.settimeout(TIMEOUT_S)
         program.wait_for("http listens")
         if state == "starting":  # it has no list: the req is held, and refused before its deadline
-            client.sendall(ask("preview", patience=1.5))
+            client.sendall(request_bytes("preview", deadline_s=1.5))
         else:
             program.wait_for("-> serving")
-            client.sendall(ask("accession", patience=8.0))
+            client.sendall(request_bytes("accession", deadline_s=8.0))
             worker.accept()
-            assert "hello" in worker.http()  # it runs by now
+            assert "hello" in worker.receive_http()  # it runs by now
         if state == "reloading":
             (tmp_path / "config.json").write_text(json.dumps(_config(silent)))
             program.process.send_signal(signal.SIGHUP)
             program.wait_for("-> reloading")
         if state == "handing over":
-            successor = Program(config, tmp_path, [])
+            successor = SchedulerProcess(config, tmp_path, [])
             program.wait_for("-> handing over")
         if state == "leaving":
             program.process.send_signal(signal.SIGTERM)
@@ -88,7 +88,7 @@
             got += piece
         wanted = b" 503 " if state == "starting" else b" 200 "
         assert wanted in got and b"Connection: close" in got
-        assert program.process.wait(PATIENCE) == 0, "\n".join(program.lines)
+        assert program.process.wait(TIMEOUT_S) == 0, "\n".join(program.lines)
         assert not [line for line in program.lines if "background task ended" in line or "Traceback" in line]
     finally:
         if client is not None:
--- a/tests/test_gearman_chaos.py
+++ b/tests/test_gearman_chaos.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from player import Player, Program
+from exchange_player import ExchangePlayer, SchedulerProcess
 
 JOBS = 150
 WORKERS = 4
@@ -97,10 +97,10 @@
 def test_every_accession_is_counted(seed: int, tmp_path: Path) -> None:
     script = tmp_path / "start.txt"
     script.write_text('start gearman:max_queue=1000\nlist {"rev":1,"all":true,"targets":[]}\n')
-    player = Player(script, tmp_path)
+    player = ExchangePlayer(script, tmp_path)
     try:
         for _, line in player.lines:
-            player._line(line)
+            player._run_line(line)
         assert player.program
         tally = asyncio.run(play(player.program.address("gearman"), seed))
         check(tally, player.program)
@@ -108,7 +108,7 @@
         player.end()
 
 
-def check(tally: Tally, program: Program) -> None:
+def check(tally: Tally, program: SchedulerProcess) -> None:
     assert len(tally.ends) == JOBS and tally.killed_with
     for workload, times in tally.handed_out.items():
         if workload.startswith(b"a"):
--- a/tests/test_handover_states.py
+++ b/tests/test_handover_states.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from stage import HeldLoop, Stage
+from scheduler_harness import GatedConnectLoop, SchedulerHarness
 
 from oxbowyard.daemon.loading import LoadedConfiguration
 from oxbowyard.daemon.program import Program
@@ -33,7 +33,7 @@
 ) -> None:
     # Guards against a successor that is told "handed over" by a process which goes on to accept clients.
     async def scene() -> None:
-        config = Stage(tmp_path).config
+        config = SchedulerHarness(tmp_path).config
         program = Program(lambda: LoadedConfiguration(config))
         files = PidFiles(tmp_path, config.name, OWN_PID)
         program.hot_restart.handover.files = files
@@ -56,5 +56,5 @@
             assert files.read_pid(files.handed_over) == SUCCESSOR_PID
         await abort_startup(program.context)
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.core.request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request, RunState
 from oxbowyard.core.scheduler import Limits, Scheduler
@@ -148,7 +148,7 @@
             await room.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
         ).body == b"made c2"  # the same job
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_a_refused_job_is_asked_again_until_it_is_served() -> None:
@@ -163,7 +163,7 @@
         assert len(asks) > 2  # each ask is a new request, as from a client that comes back
         assert all(sum(x == id_ for _, x, _, _ in stage.attempts) <= 3 for id_ in asks)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_refused_without_end_it_ends_with_its_patience() -> None:
@@ -178,7 +178,7 @@
         stage.submit("b", "once", max_wait_s=30.0)  # its class does not queue
         assert await stage.until("b") == [JobOutcome.REJECTED]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize(
@@ -207,7 +207,7 @@
         assert stage.finals["p"].run_state is ran
         assert set(stage.ends.values()) == {1}
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_a_client_that_leaves_ends_its_job_and_the_family() -> None:
@@ -220,7 +220,7 @@
         assert await stage.until("c") == [JobOutcome.DEPENDENCY_FAILED]
         assert stage.attempts == [] and stage.room.find("p").outcome is JobOutcome.CANCELLED  # type: ignore[union-attr]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("hours", [-1.0, 24.0])
@@ -237,7 +237,7 @@
         stage.submit("past", not_before_unix_s=1.0)
         assert await stage.until("past") == [JobOutcome.SERVED]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_a_thousand_that_wait_end_as_never_run_when_the_program_stops() -> None:
@@ -262,7 +262,7 @@
         await stage.room.wait_until_idle()
         assert len(stage.ends) == 1_000
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 class Slow(InMemoryJournal):
@@ -317,7 +317,7 @@
         await stage.room.wait_until_idle()
         assert await poll is None and "b" not in stage.finals
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_one_fronts_fault_does_not_cost_the_others_their_ends(caplog: pytest.LogCaptureFixture) -> None:
@@ -332,7 +332,7 @@
         assert await stage.until("good") == [JobOutcome.SERVED]
         assert "could not carry out" in caplog.text
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 class Slots:
@@ -374,7 +374,7 @@
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
         assert {final.outcome for final in stage.finals.values()} == {JobOutcome.SERVED}
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_a_shrinking_fleet_gets_no_more_than_it_takes() -> None:
@@ -393,7 +393,7 @@
         assert {backend for backend, _ in workers.is_waiting} == {"w0"}
         assert max(wait for _, wait in workers.is_waiting) < 0.4
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_an_aged_job_is_asked_with_the_patience_to_queue() -> None:
@@ -404,7 +404,7 @@
         while not any(name.endswith(AGED_CLASS_SUFFIX) for _, _, name, _ in stage.attempts):
             await asyncio.sleep(0.005)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_limits_of_watchers_and_of_the_window() -> None:
@@ -420,7 +420,7 @@
         assert await stage.room.wait("a", 0.01) is None
         assert with_bounded_window(stage.room.settings, max_open_requests=5).max_window == 2
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_answers_say_what_is_known_of_the_run() -> None:
@@ -435,7 +435,7 @@
         answer = await stage.scheduler.serve(Request("r", "once", 0.3))
         assert (answer.kind, answer.run_state) == (AnswerKind.REJECTED, RunState.NEVER_RAN)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_served_reqs_leave_no_circles_and_full_collections_wait_for_few_jobs() -> None:
@@ -462,7 +462,7 @@
     enabled = gc.isenabled()
     gc.disable()  # only what is asked for
     try:
-        play(scene, most=2 * MAX_PASS_INTERVAL_S)
+        run_in_virtual_time(scene, timeout_s=2 * MAX_PASS_INTERVAL_S)
     finally:
         gc.callbacks.pop()
         if enabled:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -5,7 +5,7 @@
 from conftest import KNOWN_RED, known_red
 
 
-def test_an_entry_names_its_test_and_how_it_fails() -> None:
+def test_entry_names_its_test_and_its_exception() -> None:
     # Guards against an entry that is taken for shown although its test fails for another reason.
     text = (
         "tests/test_a.py::test_one\n    raises: KeyError\n    command: python -m pytest\n"
@@ -18,7 +18,7 @@
     assert known_red("") == {}
 
 
-def test_every_entry_says_how_to_play_it_and_what_was_seen() -> None:
+def test_every_entry_has_a_command_an_observation_and_an_issue() -> None:
     text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
     count = len(known_red(text))
     for key in ("command: ", "seen: ", "issue: "):
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from stage import HeldLoop, Stage
+from scheduler_harness import GatedConnectLoop, SchedulerHarness
 
 from oxbowyard import Dispatcher, Settings
 from oxbowyard.daemon.loading import LoadedConfiguration
@@ -208,7 +208,7 @@
         raise KeyError("a fault of ours")
 
     async def scene() -> None:
-        config = Stage(tmp_path).config
+        config = SchedulerHarness(tmp_path).config
         program = Program(lambda: LoadedConfiguration(config))
         scheduler = program.context.subsystems.scheduler
         now = program.context.subsystems.clock()
@@ -221,7 +221,7 @@
         program.hot_restart.hand_over_estimates()
         await abort_startup(program.context)
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
         runner.run(scene())
     assert caplog.text.count("a fault of ours") >= 2
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from player import ROOT, Program
+from exchange_player import ROOT, SchedulerProcess
 
 
 @contextmanager
@@ -55,7 +55,7 @@
 
 def test_the_example_daemon(tmp_path: Path) -> None:
     with running(r"on ([\d.]+):(\d+)", "examples/toy_server.py", "--port", "0") as toy:
-        program = Program(config(tmp_path, toy), tmp_path, [])
+        program = SchedulerProcess(config(tmp_path, toy), tmp_path, [])
         try:
             program.wait_for("-> serving")
             address = program.address("http")
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -10,7 +10,7 @@
 import re
 
 import pytest
-from sources import (
+from source_inspection import (
     DOCS,
     PLACEHOLDER,
     PROGRAM,
@@ -64,7 +64,7 @@
     return {name for name in names if name.startswith("oxbowyard")}
 
 
-def test_every_line_that_is_written_is_listed_under_its_logger() -> None:
+def test_every_logged_line_is_listed_under_its_logger() -> None:
     missing = []
     for line in written():
         sections = {section for section, text in listed() if describes(text, line.text)}
@@ -75,13 +75,13 @@
 
 
 @pytest.mark.parametrize("page", [PAGE, *OTHER_PAGES], ids=lambda page: page.name)
-def test_every_line_that_is_listed_is_written(page: object) -> None:
+def test_every_listed_line_is_logged(page: object) -> None:
     lines = written()
     stale = [text for _, text in listed(page) if not any(describes(text, line.text) for line in lines)]
     assert not stale, f"no such line is written: {stale}"
 
 
-def test_the_loggers_that_the_page_names_are_those_of_the_program() -> None:
+def test_listed_loggers_match_those_of_the_program() -> None:
     named = {name for section, _ in listed() for name in loggers_of(section)}
     assert named == all_loggers()
 
@@ -102,11 +102,11 @@
         ("retry job=ID", "retry job=\0 class=\0", False),
     ],
 )
-def test_what_a_listed_text_stands_for(text: str, line: str, says: bool) -> None:
+def test_listed_text_matches_the_lines_it_describes(text: str, line: str, says: bool) -> None:
     assert describes(text, line) is says
 
 
-def test_a_line_that_is_not_listed_would_be_seen(tmp_path: object) -> None:
+def test_unlisted_line_is_detected(tmp_path: object) -> None:
     line = LogLine("a planted line with \0", "oxbowyard.core", "x.py", 1)
     assert not any(describes(text, line.text) for _, text in listed())
     assert PROGRAM.is_dir() and len(written()) > 50
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from player import ROOT, SETTINGS, Program
+from exchange_player import ROOT, SETTINGS, SchedulerProcess
 
 from oxbowyard.configuration.files import MAX_FILE_BYTES
 from oxbowyard.decision.platform_settings import parse_settings
@@ -106,7 +106,7 @@
 def test_the_program_does_not_start_on_a_faulty_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\nmax_jobs = 0\nmax_depth = 0")
-    program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = SchedulerProcess(config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         found = program.wait_for("^oxbowyard: (.*)")[1]
         assert "waiting.max_jobs" in found and "waiting.max_depth" in found
@@ -118,7 +118,7 @@
 def test_sighup_names_a_changed_table_and_keeps_the_one_in_force(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\n")
-    program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = SchedulerProcess(config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         program.wait_for("http listens")
         path.write_text("[waiting]\nmax_jobs = 7")
--- a/tests/test_reload_names.py
+++ b/tests/test_reload_names.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from player import ROOT, Program
+from exchange_player import ROOT, SchedulerProcess
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,7 @@
     document |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
     operator = tmp_path / "operator.toml"
     operator.write_text("[waiting]\n")
-    program = Program(document, tmp_path, ["--operator", str(operator)])
+    program = SchedulerProcess(document, tmp_path, ["--operator", str(operator)])
     try:
         program.wait_for("http listens")
         if change in ("attempts", "both"):
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -12,7 +12,7 @@
 import urllib.request
 from pathlib import Path
 
-from player import SETTINGS, Program
+from exchange_player import SETTINGS, SchedulerProcess
 
 RUNS_FOR = 2.0  # seconds that the stand-in worker takes for a job
 
@@ -109,8 +109,8 @@
         "admin": "127.0.0.1:0", "settings": SETTINGS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     }  # fmt: skip
-    old = Program(config, tmp_path, [])
-    new: Program | None = None
+    old = SchedulerProcess(config, tmp_path, [])
+    new: SchedulerProcess | None = None
     try:
         old_door = old.address("control")
         wait_until(lambda: status(old_door, "/control/ready") == 200, 10)
@@ -123,7 +123,7 @@
         client = threading.Thread(target=lambda: answer.append(urllib.request.urlopen(request).status))
         client.start()
         assert worker.began.wait(5)  # the job is out at the worker
-        new = Program(config, tmp_path, [])
+        new = SchedulerProcess(config, tmp_path, [])
         new_door = new.address("control")
         new.wait_for("starting -> serving")
         old.wait_for("serving -> handing over")
--- a/tests/test_signals_at_exit.py
+++ b/tests/test_signals_at_exit.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from player import ROOT, Program
+from exchange_player import ROOT, SchedulerProcess
 
 EXIT_WITHIN_S = 10.0
 PAUSE_S = 0.0005
@@ -18,7 +18,7 @@
 def test_signals_until_the_last_moment_leave_the_exit_code_0(number: signal.Signals, tmp_path: Path) -> None:
     # Guards against a process that a late signal ends by itself, which looks like a crash.
     document = json.loads((ROOT / "examples/config.json").read_text())
-    program = Program(document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}, tmp_path, [])
+    program = SchedulerProcess(document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}, tmp_path, [])
     try:
         program.wait_for("http listens")
         program.process.send_signal(signal.SIGTERM)
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -18,8 +18,8 @@
 
 import msgspec
 import pytest
-import scenes
-from player import ROOT, SETTINGS
+import response_recorder
+from exchange_player import ROOT, SETTINGS
 
 from oxbowyard.control.cordon_file import CordonFile
 from oxbowyard.decision.facade import Facade, Scope, WorkerInfo
@@ -160,12 +160,12 @@
     return found
 
 
-def test_each_key_of_the_operators_file_is_read_as_it_was() -> None:
+def test_each_key_of_the_operator_file_is_read_as_recorded() -> None:
     read = as_json(operator_tables(read_operator(FIXTURES / "operator.toml")))
     assert read == json.loads((FIXTURES / "operator.json").read_text())
 
 
-def test_each_key_of_the_operators_file_is_named_by_its_fault(tmp_path: Path) -> None:
+def test_fault_in_the_operator_file_names_its_key(tmp_path: Path) -> None:
     text = (FIXTURES / "operator.toml").read_text()
     path = tmp_path / "operator.toml"
     path.write_text(re.sub(r"(?m)^(\w+) = .*", r"\1 = {bad = 1}", text))
@@ -173,7 +173,7 @@
     assert named == leaves(tomllib.loads(text))
 
 
-def test_the_fixture_has_every_key_of_the_deployed_file() -> None:
+def test_operator_fixture_has_every_key_of_the_deployed_file() -> None:
     deployed = re.sub(r"(?m)^# (?=[\[\w]+.*(=|\]$))", "", (ROOT / "deploy/operator.toml").read_text())
     tables = tomllib.loads(deployed)
     own = leaves(tomllib.loads((FIXTURES / "operator.toml").read_text()))
@@ -206,7 +206,7 @@
     return [row[1] for row in rows(path)[1]]
 
 
-def test_a_store_is_read_and_written_alike(store: Path, tmp_path: Path) -> None:
+def test_store_is_read_and_rewritten_identically(store: Path, tmp_path: Path) -> None:
     ids, before = job_ids(store), rows(store)
     old, new = Database(store), Database(tmp_path / "new.db")
     jobs = stored_jobs(old, ids)
@@ -218,7 +218,7 @@
     assert rows(tmp_path / "new.db") == before
 
 
-def test_the_records_of_waiting_jobs_are_read_and_written_alike(store: Path) -> None:
+def test_deferred_job_records_are_decoded_and_encoded_identically(store: Path) -> None:
     database = Database(store)
     jobs = stored_jobs(database, job_ids(store))
     database.close()
@@ -228,14 +228,14 @@
 # ---- The list kept on disk, and the workers out by hand ----
 
 
-def test_the_list_on_disk_is_read_and_written_alike(tmp_path: Path) -> None:
+def test_endpoint_snapshot_is_read_and_rewritten_identically(tmp_path: Path) -> None:
     rev, entries, age = read_list(FIXTURES / "list.json", WALL_S + 7.0)
     assert (rev, age, [row["uid"] for row in entries]) == (41, 7.0, ["w1", "w2", "w3"])
     write_list(tmp_path / "list.json", rev, entries)
     assert (tmp_path / "list.json").read_bytes() == (FIXTURES / "list.json").read_bytes()
 
 
-def test_the_file_of_workers_out_by_hand_is_read_and_written_alike(tmp_path: Path) -> None:
+def test_cordon_file_is_read_and_rewritten_identically(tmp_path: Path) -> None:
     assert out_by_hand(FIXTURES / "out-by-hand.json") == {"w1", "w3", "gone \xe9"}
     path = Path(shutil.copy(FIXTURES / "out-by-hand.json", tmp_path))
     change_out_by_hand(path, "w2", True)
@@ -261,12 +261,12 @@
         ("learned-adopted", "learned-adopted"),
     ],
 )
-def test_the_file_of_estimates_is_read_and_written_alike(name: str, written: str) -> None:
+def test_learned_estimates_are_decoded_and_encoded_identically(name: str, written: str) -> None:
     text = (FIXTURES / name).read_bytes()
     assert learned_again(text, body_of(text)["at"] + 100.0) == (FIXTURES / written).read_bytes()
 
 
-def test_the_estimates_have_what_they_are_to_show() -> None:
+def test_estimate_fixtures_fill_the_fields_they_cover() -> None:
     body = body_of((FIXTURES / "learned").read_bytes())
     workers = body["workers"]
     assert len(workers) == 5 and len(body["pools"]) == 2 and len(body["keys"]) == 7
@@ -277,7 +277,7 @@
         assert all(value for name, value in worker.items() if name not in ("since", "unreachable"))
 
 
-def test_each_estimate_goes_where_it_went() -> None:
+def test_each_estimate_is_restored_to_its_own_field() -> None:
     """Each place of the file has a number of its own, so that two that changed places are seen."""
     text = (FIXTURES / "learned-distinct").read_bytes()
     assert learned_adopted(text) == (FIXTURES / "learned-adopted").read_bytes()
@@ -291,23 +291,23 @@
     return found
 
 
-def test_the_admin_api_answers_as_it_did(tmp_path: Path) -> None:
-    assert scenes.admin_answers(ROOT, tmp_path) == answers("admin")
+def test_admin_api_answers_as_recorded(tmp_path: Path) -> None:
+    assert response_recorder.admin_answers(ROOT, tmp_path) == answers("admin")
 
 
-def test_the_members_call_answers_as_it_did(tmp_path: Path) -> None:
-    assert scenes.members_answers(ROOT, tmp_path) == answers("members")
+def test_members_call_answers_as_recorded(tmp_path: Path) -> None:
+    assert response_recorder.members_answers(ROOT, tmp_path) == answers("members")
 
 
-def test_a_second_process_finds_the_files_of_the_first(tmp_path: Path) -> None:
-    assert scenes.replacement_files(ROOT, tmp_path) == answers("replacement")
+def test_replacement_process_exchanges_the_recorded_files(tmp_path: Path) -> None:
+    assert response_recorder.replacement_files(ROOT, tmp_path) == answers("replacement")
 
 
-def test_the_waiting_api_answers_as_it_did_over_a_store_of_the_program_as_found(tmp_path: Path) -> None:
+def test_deferred_jobs_api_answers_as_recorded_over_an_earlier_store(tmp_path: Path) -> None:
     store = FIXTURES / "jobs.db"
     folder = tmp_path / "program"
     folder.mkdir()
-    found = scenes.waiting_answers(
+    found = response_recorder.waiting_answers(
         ROOT, folder, store, job_ids(Path(shutil.copy(store, tmp_path / "copy.db")))
     )
     assert found == answers("waiting")
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from sources import quoted, table_rows
+from source_inspection import quoted, table_rows
 
 from oxbowyard.gearman.text_commands import VERSION
 
@@ -59,7 +59,7 @@
     return next((found for name in sorted(edges) if (found := walk(name, []))), [])
 
 
-def test_no_import_goes_in_a_circle() -> None:
+def test_imports_have_no_cycle() -> None:
     modules = graph()
     assert cycle(modules) == []
     packages: dict[str, set[str]] = {}
@@ -70,11 +70,11 @@
     assert cycle({k: v - {"oxbowyard"} for k, v in packages.items() if k != "oxbowyard"}) == []
 
 
-def test_a_circle_would_be_seen() -> None:
+def test_import_cycle_is_detected() -> None:
     assert cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
 
 
-def test_the_core_and_the_decisions_know_no_wire() -> None:
+def test_core_and_decision_import_no_network_module() -> None:
     for folder in ("core", "decision"):
         for path in (ROOT / folder).glob("*.py"):
             names = {name.split(".")[0] for name in imports_of(path)}
@@ -83,12 +83,12 @@
             assert packages & INSIDE <= {"oxbowyard.core", "oxbowyard.decision"}, path
 
 
-def test_the_version_is_one() -> None:
+def test_project_version_matches_the_gearman_version() -> None:
     project = tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["project"]
     assert f"{project['name']} {project['version']}" == VERSION
 
 
-def test_the_decisions_stay_behind_their_facade() -> None:
+def test_other_packages_import_only_the_public_decision_modules() -> None:
     """Other packages see the facade, the settings and the snapshot's form alone."""
     public = {"facade", "settings", "platform_settings", "snapshot"}
     for path in ROOT.rglob("*.py"):
@@ -100,7 +100,7 @@
         assert taken <= {"JobClass", "RetrySafety", "Settings"}, path
 
 
-def test_every_package_is_installed() -> None:
+def test_pyproject_lists_every_package() -> None:
     """`pip install .` takes the packages that pyproject names: one left out is missing from the wheel."""
     named = set(tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"])
     found = {"oxbowyard"} | {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if (p / "__init__.py").exists()}
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_the_files_that_a_page_names_are_there(page: str) -> None:
+def test_files_named_by_a_page_exist(page: str) -> None:
     """By their last parts: `core/scheduler.py`, or `choice.py` where the package is clear from the text."""
     folders = ("oxbowyard", "tests", "benchmarks", "examples")
     there = {path.as_posix() for folder in folders for path in (ROOT.parent / folder).rglob("*.py")}
@@ -162,7 +162,7 @@
     assert {name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in there)} == set()
 
 
-def test_the_table_of_packages_in_the_readme_is_whole() -> None:
+def test_readme_package_table_is_complete() -> None:
     rows = table_rows(ROOT.parent / "README.md", "package")
     named = {name.rstrip("/") for row in rows for name in quoted(row.cells[0])}
     assert named == {p.name for p in ROOT.iterdir() if (p / "__init__.py").exists()} | {"simhost.py"}
@@ -175,12 +175,12 @@
     ARCHITECTURE.write_text(before + PICTURE_BEGINS + picture() + end + after)
 
 
-def test_the_picture_of_the_packages_is_that_of_the_imports() -> None:
+def test_package_diagram_matches_the_imports() -> None:
     shown = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)[2].partition(PICTURE_ENDS)[0]
     assert shown == picture(), "write it anew: PYTHONPATH=.:tests python tests/test_structure.py"
 
 
-def test_an_import_that_follows_from_others_is_left_out() -> None:
+def test_direct_edges_omit_transitive_imports() -> None:
     edges = {"a": {"b", "c"}, "b": {"c"}, "c": set[str]()}
     assert direct_edges(edges) == [("a", "b"), ("b", "c")]
 
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from sources import (
+from source_inspection import (
     DOCS,
     PROGRAM,
     class_sizes,
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("package", FINISHED)
-def test_a_finished_package_has_no_withdrawn_word(package: str) -> None:
+def test_finished_package_has_no_withdrawn_word(package: str) -> None:
     allowed = {(edge.file, edge.word) for edge in edges()}
     found = [f for path in module_of(package) for f in look(path, package, withdrawn())]
     wrong = sorted(
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("package", FINISHED)
-def test_a_finished_package_has_no_large_class(package: str) -> None:
+def test_finished_package_has_no_large_class(package: str) -> None:
     excepted = {name for row in table_rows(NOTE, "class") for name in quoted(row.cells[0])}
     large = [
         f"{path.relative_to(PROGRAM)}: {size}"
@@ -159,7 +159,7 @@
     assert not large, "split them, or give a reason in docs/design/readability.md:\n" + "\n".join(large)
 
 
-def test_every_edge_is_needed() -> None:
+def test_every_listed_edge_is_needed() -> None:
     """An edge of a finished package whose file does not have the word any more goes from the page."""
     stale = []
     for edge in edges():
@@ -172,7 +172,7 @@
     assert not stale
 
 
-def test_every_listed_exception_is_needed() -> None:
+def test_every_class_size_exception_is_needed() -> None:
     sizes = {size.name: size for path in sources() for size in class_sizes(parse(path))}
     excepted = [name for row in table_rows(NOTE, "class") for name in quoted(row.cells[0])]
     assert [name for name in excepted if name not in sizes] == []
@@ -180,7 +180,7 @@
     assert small == []
 
 
-def test_the_page_is_read() -> None:
+def test_glossary_table_is_parsed() -> None:
     words = {w.word for w in withdrawn()}
     assert {"req", "chore", "door", "kin", "barred"} <= words
     assert all(re.fullmatch("[a-z]+", word) for word in words), "one word each, in small letters"
@@ -211,27 +211,27 @@
         ("import logging\nlog = logging.getLogger('x')\nlog.info('worker %s is ejected', x)", False),
     ],
 )
-def test_a_planted_word_is_found(
+def test_withdrawn_word_is_found_in_names_and_log_lines(
     source: str, seen: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "module.py"
     path.write_text(source)
-    monkeypatch.setattr("sources.REPOSITORY", tmp_path)
+    monkeypatch.setattr("source_inspection.REPOSITORY", tmp_path)
     monkeypatch.setattr("test_vocabulary.PROGRAM", tmp_path)
     words = [Withdrawn("barred", frozenset()), Withdrawn("other", frozenset({"elsewhere"}))]
     assert bool(look(path, "somewhere", words)) is seen
 
 
-def test_a_planted_module_name_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_withdrawn_word_is_found_in_a_module_name(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "barred_workers.py"
     path.write_text("")
-    monkeypatch.setattr("sources.REPOSITORY", tmp_path)
+    monkeypatch.setattr("source_inspection.REPOSITORY", tmp_path)
     monkeypatch.setattr("test_vocabulary.PROGRAM", tmp_path)
     assert look(path, "somewhere", [Withdrawn("barred", frozenset())])
     assert not look(path, "somewhere", [Withdrawn("barred", frozenset({"elsewhere"}))])
 
 
-def test_a_planted_large_class_is_seen() -> None:
+def test_class_size_counts_methods_and_lines() -> None:
     methods = "\n".join(f"    def f{i}(self): ..." for i in range(MAX_METHODS + 1))
     (size,) = class_sizes(ast.parse(f"class Large:\n{methods}"))
     assert (size.name, size.methods) == ("Large", MAX_METHODS + 1) and size.lines == MAX_METHODS + 2
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.decision.facade import Readiness, Scope, WorkerInfo
 from oxbowyard.discovery.client import DiscoveryClient
@@ -157,7 +157,7 @@
         assert seen.registry.address("w1") is None
         await _ended(server, task)
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
 
 
 @pytest.mark.parametrize("overloaded", [True, False])
@@ -183,7 +183,7 @@
         assert seen.registry.address("w1") is not None and seen.told[-1][1] is Readiness.READY
         await _ended(server, task)
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -199,7 +199,7 @@
         assert (seen.registry.address("w1") is None) is late
         await _ended(server, task)
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
 
 
 ABSURD: list[dict[str, Any]] = [
@@ -262,7 +262,7 @@
         assert seen.told[-1][1] is Readiness.DRAINING, "the change that was lost is told again"
         await _ended(server, task)
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
 
 
 def test_an_older_list_is_asked_for_again_before_it_counts() -> None:
@@ -282,7 +282,7 @@
         assert seen.told[-1][1] is Readiness.READY and seen.registry.address("w1")
         await _ended(server, task)
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
 
 
 def test_a_backend_gone_and_back_elsewhere_is_sent_to_where_it_is_now() -> None:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -10,7 +10,7 @@
 
 import pytest
 from aiohttp import web
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.decision.facade import Scope, WorkerInfo
 from oxbowyard.discovery.client import DiscoveryClient
@@ -130,7 +130,7 @@
         assert bound == [True] * CALLERS, "none late for the drain"
         assert sorted(heard.values())[CALLERS // 2] - DRAIN_AT < 1.0, "most at once, by a watch that goes on"
 
-    play(scene, most=600.0)
+    run_in_virtual_time(scene, timeout_s=600.0)
 
 
 RESTARTED, READY_WITHIN_S = 20, 6.0  # a tenth of 200; the bound where a day ends soon
@@ -165,6 +165,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await runner.cleanup()
 
-    play(scene, most=60.0)
+    run_in_virtual_time(scene, timeout_s=60.0)
     assert len(ready_at) >= 0.9 * RESTARTED
     assert not known or max(ready_at) == 0.0
--- a/tests/virtual.py
+++ b/tests/virtual_loop.py
@@ -27,11 +27,11 @@
         return found
 
 
-def play(scene: Callable[[], Awaitable[None]], most: float = 3600.0) -> None:
+def run_in_virtual_time(scene: Callable[[], Awaitable[None]], timeout_s: float = 3600.0) -> None:
     """Run a scene for so many virtual seconds at most."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(most):
+        async with asyncio.timeout(timeout_s):
             await scene()
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
