--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Tests named in KNOWN-RED.txt show a fault that is not mended yet: they have to fail, and are printed.
+"""Mark the tests named in KNOWN-RED.txt as strict expected failures and print them in the summary.
 
-An entry is a line with the test's id, and indented lines below it; `raises: NAME` among these is the built-in
-exception that the fault shows itself by. A test that fails in another way is not the known failure.
+Such a test shows a fault that is not fixed yet. An entry is a line with the test's id, followed by indented
+lines; `raises: NAME` among these names the built-in exception by which the test fails (default:
+AssertionError). A test that fails with another exception is reported as a failure.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 
 
-def known_red(text: str) -> dict[str, type[BaseException]]:
-    """The ids of the tests, each with the exception that it has to raise."""
+def parse_known_red(text: str) -> dict[str, type[BaseException]]:
+    """Return the test ids, each with the exception that its test is expected to raise."""
     entries: dict[str, type[BaseException]] = {}
     test = ""
     for line in text.splitlines():
@@ -29,14 +30,14 @@
     return entries
 
 
-def listed() -> dict[str, type[BaseException]]:
-    """The entries of the file, if there is one."""
-    return known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else {}
+def read_known_red() -> dict[str, type[BaseException]]:
+    """Return the entries of KNOWN-RED.txt, or none if the file does not exist."""
+    return parse_known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else {}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """A test of the list that passes fails the run: its entry has to go."""
-    entries = listed()
+    """Add a strict xfail marker to each listed test: one that passes fails the run while it is listed."""
+    entries = read_known_red()
     for item in items:
         if item.nodeid in entries:
             raises = entries[item.nodeid]
@@ -44,6 +45,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the tests that are known to fail."""
-    for name in listed():
+    """Print the listed tests."""
+    for name in read_known_red():
         terminalreporter.write_line(f"known to fail (KNOWN-RED.txt): {name}")
--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -1,7 +1,8 @@
-"""The scheduler's subsystems on real sockets in one process, the loop in the test's hand.
+"""The scheduler's subsystems on real sockets in the test's own process, under a loop that the test controls.
 
-A crossing is forced: what two peers do is done between two turns of the loop, so that it learns of both at
-once, in the order in which they were done. Connections to workers come up when the test lets them.
+Races are forced rather than left to chance: a test performs the actions of two peers between two iterations
+of the event loop, so that the loop sees both in the same iteration, in the order of the actions. Connections
+to workers are established only when the test allows them.
 """
 
 from __future__ import annotations
@@ -30,28 +31,28 @@
 
 
 class GatedConnectLoop(VirtualLoop):
-    """New connections come up once `way` is open."""
+    """Delay outgoing connections until `connects_allowed` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.way = asyncio.Event()
-        self.way.set()
-        self.connecting = 0
+        self.connects_allowed = asyncio.Event()
+        self.connects_allowed.set()
+        self.connect_count = 0
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        self.connecting += 1
-        await self.way.wait()
+        self.connect_count += 1
+        await self.connects_allowed.wait()
         await super().sock_connect(sock, address)
 
 
-async def turns(count: int = 60) -> None:
-    """Let the loop do all that can be done now; no time passes while there is something to do."""
+async def run_loop_iterations(count: int = 60) -> None:
+    """Let the loop process everything that is ready; the virtual clock stands still meanwhile."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def leave(client: socket.socket, manner: str) -> None:
-    """Close, half-close or reset."""
+def disconnect(client: socket.socket, manner: str) -> None:
+    """End a connection in the given manner: "close", "half" (half-close) or "reset"."""
     if manner == "half":
         client.shutdown(socket.SHUT_WR)
         return
@@ -60,62 +61,62 @@
     client.close()
 
 
-class Worker:
-    """A scan worker that keeps what it gets, and answers what the test says."""
+class FakeScanWorker:
+    """A scan worker that records the bytes it receives and answers as the test configures it."""
 
     def __init__(self) -> None:
-        self.got: list[bytearray] = []  # of each connection
+        self.received: list[bytearray] = []  # the bytes of each connection
         self.writers: list[asyncio.StreamWriter] = []
-        self.decline = 0  # so many whole requests are turned away unstarted
-        self.on_decline: list[Any] = []  # called, once, in the moment that one is turned away
-        self.answer = True
+        self.remaining_rejections = 0  # how many of the next requests are rejected unstarted
+        self.on_rejection: list[Any] = []  # a callback, called once upon the next rejection
+        self.answers_requests = True
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        got = bytearray()
-        number = len(self.got)
-        self.got.append(got)
+        received = bytearray()
+        number = len(self.received)
+        self.received.append(received)
         self.writers.append(writer)
         while piece := await reader.read(1 << 16):
-            got += piece
-            if not whole(got):
+            received += piece
+            if not is_complete_request(received):
                 continue
-            if self.decline:
-                self.decline -= 1
+            if self.remaining_rejections:
+                self.remaining_rejections -= 1
                 writer.write(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-                for call in self.on_decline[:1]:
-                    self.on_decline.clear()
+                for call in self.on_rejection[:1]:
+                    self.on_rejection.clear()
                     call()
-            elif self.answer:
-                self.end(number)
+            elif self.answers_requests:
+                self.respond(number)
         writer.close()
 
-    def end(self, number: int) -> None:
-        """Serve the request of a connection."""
-        id_ = bytes(self.got[number]).partition(b"Req-Id: ")[2].split(b"\r")[0].decode()
+    def respond(self, number: int) -> None:
+        """Send the successful answer to the request of a connection."""
+        id_ = bytes(self.received[number]).partition(b"Req-Id: ")[2].split(b"\r")[0].decode()
         line = json.dumps({"id": id_, "state": "done", "result": "yes"}) + "\n"
         text = ANSWER + f"{len(line):x}\r\n{line}\r\n0\r\n\r\n"
         self.writers[number].write(text.encode())
 
     @property
-    def bytes_got(self) -> int:
-        """Bytes that came on all connections so far."""
-        return sum(map(len, self.got))
+    def received_bytes(self) -> int:
+        """Return the number of bytes received on all connections."""
+        return sum(map(len, self.received))
 
     @property
-    def ran(self) -> int:
-        """Requests whose last byte came, but those that were turned away."""
-        return sum(whole(got) for got in self.got)
+    def complete_requests(self) -> int:
+        """Return the number of connections that received a complete request, rejected ones included."""
+        return sum(is_complete_request(received) for received in self.received)
 
 
-def whole(got: bytes | bytearray) -> bool:
-    """A head and as many bytes as it says."""
-    head, end, body = bytes(got).partition(b"\r\n\r\n")
+def is_complete_request(received: bytes | bytearray) -> bool:
+    """Return whether the bytes hold a head and a body of its Content-Length."""
+    head, end, body = bytes(received).partition(b"\r\n\r\n")
     size = int(head.lower().partition(b"content-length: ")[2].split(b"\r")[0] or 0)
     return bool(end) and len(body) >= size
 
 
 class SchedulerHarness:
-    """One scheduler with both fronts, one worker, and the test's clients as bare sockets."""
+    """A scheduler with its HTTP and Gearman fronts, one fake worker, and clients as plain sockets."""
 
     def __init__(self, folder: Path, waiting: WaitingSettings | None = None, **changes: Any) -> None:
         path = folder / "config.json"
@@ -129,33 +130,35 @@
         self.config = load({"LB_CONFIG": str(path)})
         text = (TESTS_FOLDER.parent / "deploy/gearman.toml").read_text().replace(":4730", ":0")
         document = tomllib.loads(text)
-        if waiting is not None:  # a job that is refused waits, and is asked again
+        if waiting is not None:  # a rejected job is deferred and submitted again
             document["functions"]["file_specimen"]["queueing"] = True
         packets = gearman.parse(document, self.config.settings.classes)
         self.subsystems = compose(self.config, packets, waiting=waiting, clock=lambda: loop.time() * 1000)
         self.scheduler = self.subsystems.scheduler
-        self.sessions = ClientConnections(self.scheduler, self.subsystems.classes, lambda: True, 64, 1 << 24)
-        self.acceptor = Acceptor("http", "127.0.0.1", 0, self.sessions)
-        self.worker = Worker()
+        self.client_connections = ClientConnections(
+            self.scheduler, self.subsystems.classes, lambda: True, 64, 1 << 24
+        )
+        self.acceptor = Acceptor("http", "127.0.0.1", 0, self.client_connections)
+        self.worker = FakeScanWorker()
         self._server: asyncio.Server | None = None
         self.clients: list[socket.socket] = []
 
     def move_endpoint(self, name: str, address: str) -> None:
-        """The worker listens elsewhere, and no watch event has said so."""
+        """Change an endpoint's address in the registry without a discovery event."""
         endpoints = self.subsystems.registry.endpoints
         endpoints[name] = endpoints[name]._replace(address=address)
 
-    async def begin(self, listed: bool = True, names: tuple[str, ...] = ("w1",)) -> None:
-        """Both fronts and the worker listen; the list names it, perhaps several times."""
+    async def start(self, listed: bool = True, names: tuple[str, ...] = ("w1",)) -> None:
+        """Start both fronts and the worker, and, if `listed`, publish the worker under each of the names."""
         self._server = await asyncio.start_server(self.worker.serve, "127.0.0.1", 0)
         self.acceptor.open()
         assert self.subsystems.gearman
         self.subsystems.gearman.listen()
         if listed:
-            self.list(names)
+            self.publish_endpoints(names)
 
-    def list(self, names: tuple[str, ...] = ("w1",)) -> None:
-        """Discovery names the worker, under each of these names."""
+    def publish_endpoints(self, names: tuple[str, ...] = ("w1",)) -> None:
+        """Apply an endpoint list that names the worker once under each of the names."""
         assert self._server
         host, port = self._server.sockets[0].getsockname()[:2]
         row = {"endpoint": f"{host}:{port}", "az": "a", "model": "m", "state": "ready"}
@@ -163,28 +166,28 @@
         change = parse_endpoint_list({"rev": 1, "all": True, "targets": rows})
         self.scheduler.update_endpoints(*self.subsystems.registry.apply(change))
 
-    def client(self, front: str = "http") -> socket.socket:
-        """A new connection; the system takes it, the loop has not seen it yet."""
+    def connect(self, front: str = "http") -> socket.socket:
+        """Connect a new client: the kernel accepts it, and the event loop has not seen it yet."""
         acceptor = self.acceptor if front == "http" else self.subsystems.gearman._acceptor  # type: ignore[union-attr]
         where = acceptor._listener.getsockname()  # type: ignore[union-attr]
         self.clients.append(socket.create_connection(where, 5.0))
         return self.clients[-1]
 
-    async def read(self, client: socket.socket) -> bytes:
-        """What has come for a client by now."""
-        await turns()
+    async def read_available(self, client: socket.socket) -> bytes:
+        """Return the bytes that have arrived at a client."""
+        await run_loop_iterations()
         client.setblocking(False)
         try:
             return client.recv(1 << 20)
         except BlockingIOError:
             return b""
 
-    async def end(self) -> None:
-        """Close all."""
+    async def close(self) -> None:
+        """Close the clients, the fronts and the worker."""
         for client in self.clients:
             client.close()
         self.acceptor.close()
-        await self.sessions.close(1.0)
+        await self.client_connections.close(1.0)
         assert self.subsystems.gearman and self._server
         self.subsystems.gearman.start_draining()
         await self.subsystems.close()
@@ -192,7 +195,7 @@
 
 
 def request_bytes(job_class: str, id_: str = "a1", body: str = "hello", deadline_s: float = 9.0) -> bytes:
-    """A request as clients send it."""
+    """Return an HTTP request with the headers that clients send."""
     head = [f"POST /{job_class} HTTP/1.1", "Host: api", f"Req-Id: {id_}", f"Req-Kind: {job_class}"]
     head += [f"Req-Deadline: {deadline_s * 1000:.0f}m", f"Content-Length: {len(body)}"]
     return ("\r\n".join(head) + "\r\n\r\n" + body).encode()
--- a/tests/source_inspection.py
+++ b/tests/source_inspection.py
@@ -1,4 +1,4 @@
-"""What tests read from the source, with `ast`, and from the pages: names, log lines, classes, tables."""
+"""Extract identifiers, log lines and class sizes from source files, and tables from Markdown pages."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from pathlib import Path
 
 REPOSITORY = Path(__file__).parent.parent
-PROGRAM = REPOSITORY / "oxbowyard"
+PACKAGE = REPOSITORY / "oxbowyard"
 DOCS = REPOSITORY / "docs"
 
-LEVELS = ("info", "warning", "error", "exception", "critical", "log")  # `debug` lines are nobody's duty
-PLACEHOLDER = "\0"  # stands for what a log line is told at run time
+LEVELS = ("info", "warning", "error", "exception", "critical", "log")  # debug lines need no documentation
+PLACEHOLDER = "\0"  # stands for an argument of a log line
 _FORMAT = re.compile(r"%[-+ #0]*\d*(?:\.\d+)?[a-zA-Z]")
 _WORD = re.compile(r"[A-Z]+(?=[A-Z][a-z])|[A-Z]?[a-z]+|[A-Z]+")
 
 
 @dataclass(slots=True, frozen=True)
 class Identifier:
-    """A name in the source and where it stands."""
+    """A name in the source and its line number."""
 
     text: str
     line: int
@@ -28,35 +28,35 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """A line that the program writes; `PLACEHOLDER` stands where values go."""
+    """The text of a log call, with `PLACEHOLDER` in place of its arguments."""
 
     text: str
-    logger: str  # empty: written to standard error without one
+    logger: str  # empty if the line is printed to standard error without a logger
     file: str
     line: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClassSize:
-    """A class, its methods and its lines."""
+    """The number of methods and lines of a class."""
 
     name: str
     methods: int
     lines: int
 
 
-def words_of(identifier: str) -> list[str]:
-    """The words of a name, split at underscores and humps, in small letters."""
+def split_words(identifier: str) -> list[str]:
+    """Split a name at underscores and case changes, and return the words in lower case."""
     return [word.lower() for word in _WORD.findall(identifier)]
 
 
 def parse(path: Path) -> ast.Module:
-    """A file's syntax tree."""
+    """Return the syntax tree of a file."""
     return ast.parse(path.read_text(), str(path))
 
 
 def identifiers(tree: ast.AST) -> Iterator[Identifier]:
-    """Every name of a file: variables, attributes, arguments, keywords, functions, classes, imports."""
+    """Yield every name of a file: variables, attributes, arguments, keywords, functions, classes, imports."""
     for node in ast.walk(tree):
         match node:
             case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
@@ -79,30 +79,31 @@
 
 
 def class_sizes(tree: ast.AST) -> Iterator[ClassSize]:
-    """The classes of a file; a nested function is no method."""
+    """Yield the size of each class of a file; nested functions do not count as methods."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
-            methods = sum(isinstance(x, ast.FunctionDef | ast.AsyncFunctionDef) for x in node.body)
+            methods = sum(isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef) for child in node.body)
             yield ClassSize(node.name, methods, (node.end_lineno or node.lineno) - node.lineno + 1)
 
 
 def logger_names(tree: ast.AST) -> dict[str, str]:
-    """The module's loggers by the names of the variables that hold them."""
-    found = {}
+    """Return the logger names of a module by the variables that hold the loggers."""
+    loggers = {}
     for node in ast.walk(tree):
         match node:
             case ast.Assign(
                 targets=[ast.Name(id=variable)],
                 value=ast.Call(func=ast.Attribute(attr="getLogger"), args=[ast.Constant(value=str(name))]),
             ):
-                found[variable] = name
-    return found
+                loggers[variable] = name
+    return loggers
 
 
 def log_lines(path: Path) -> Iterator[LogLine]:
-    """All that a file logs at INFO or above, the lines that `summary` functions make, and standard error.
+    """Yield the log calls of a file at INFO or above, the texts that `summary` functions return, and, for a
+    `__main__.py`, the texts printed to a file object such as standard error.
 
-    Raises ValueError where the first argument of a call is neither a text nor a formatted one.
+    Raise ValueError if the message of a log call is neither a string literal nor an f-string.
     """
     tree, file = parse(path), path.relative_to(REPOSITORY).as_posix()
     loggers = logger_names(tree)
@@ -111,21 +112,25 @@
             case ast.Call(func=ast.Attribute(value=ast.Name(id=variable), attr=level)) if (
                 variable in loggers and level in LEVELS
             ):
-                text = _text(node.args[1 if level == "log" else 0])
+                text = _literal_text(node.args[1 if level == "log" else 0])
                 if text is None:
-                    raise ValueError(f"{file}:{node.lineno}: a log line has to be a literal")
+                    raise ValueError(
+                        f"{file}:{node.lineno}: the message of a log call must be a string literal"
+                    )
                 yield LogLine(text, loggers[variable], file, node.lineno)
             case ast.Call(func=ast.Name(id="print"), keywords=[ast.keyword(arg="file")], args=[first]):
-                if (text := _text(first)) is not None and path.name == "__main__.py":
+                if (text := _literal_text(first)) is not None and path.name == "__main__.py":
                     yield LogLine(text, "", file, node.lineno)
             case ast.FunctionDef(name="summary"):
-                for returned in (x for x in ast.walk(node) if isinstance(x, ast.Return) and x.value):
-                    if returned.value and (text := _text(returned.value)) is not None:
+                for returned in (
+                    child for child in ast.walk(node) if isinstance(child, ast.Return) and child.value
+                ):
+                    if returned.value and (text := _literal_text(returned.value)) is not None:
                         yield LogLine(text, "", file, returned.lineno)
 
 
-def _text(node: ast.expr) -> str | None:
-    """A literal's text with `PLACEHOLDER` for what is put in; None if it is no literal."""
+def _literal_text(node: ast.expr) -> str | None:
+    """Return a literal's text with `PLACEHOLDER` in place of its values, or None if it is not a literal."""
     match node:
         case ast.Constant(value=str(text)):
             return _FORMAT.sub(PLACEHOLDER, text)
@@ -134,21 +139,21 @@
     return None
 
 
-def sources(folder: Path = PROGRAM) -> list[Path]:
-    """The files of the program, or of one package."""
+def python_files(folder: Path = PACKAGE) -> list[Path]:
+    """Return the Python files below a folder, by default the whole program."""
     return sorted(folder.rglob("*.py"))
 
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A row of a page's table."""
+    """A row of a Markdown table."""
 
-    section: str  # the heading above it
+    section: str  # the heading above the table
     cells: tuple[str, ...]
 
 
 def table_rows(page: Path, first_column: str) -> list[Row]:
-    """The rows of those tables of a page whose first column has this name."""
+    """Return the rows of all tables of a page whose first column has this heading."""
     rows: list[Row] = []
     section, inside = "", False
     for line in page.read_text().splitlines():
@@ -165,6 +170,6 @@
     return rows
 
 
-def quoted(cell: str) -> list[str]:
-    """The texts in backticks of a cell."""
+def backticked(cell: str) -> list[str]:
+    """Return the texts in backticks of a table cell."""
     return re.findall(r"`([^`]+)`", cell)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,7 +1,8 @@
-"""A request whose client left while it waited is not sent on, wherever it waits, on both fronts.
+"""A waiting request is not sent to a worker after its client has disconnected, on both fronts.
 
-The client's end and what lets the request go on come in one turn of the loop, as on a loop that was held up:
-the loop has not read the end when it could send. `ahead` has the client send more than may come ahead.
+The disconnect and the event that lets the request proceed happen in the same iteration of the loop, as after
+a stall: the loop could send the request before it reads the disconnect. With `ahead`, the client also sends
+pipelined requests, up to more than the scheduler reads in advance.
 """
 
 from __future__ import annotations
@@ -12,7 +13,14 @@
 from typing import Any
 
 import pytest
-from scheduler_harness import SETTINGS, GatedConnectLoop, SchedulerHarness, leave, request_bytes, turns
+from scheduler_harness import (
+    SETTINGS,
+    GatedConnectLoop,
+    SchedulerHarness,
+    disconnect,
+    request_bytes,
+    run_loop_iterations,
+)
 
 from oxbowyard.core.request import AttemptContext, Request
 from oxbowyard.decision.facade import Result
@@ -21,34 +29,38 @@
 from oxbowyard.waiting.settings import WaitingSettings
 
 MANNERS = pytest.mark.parametrize("manner", ["close", "half", "reset"])
-AHEAD = pytest.mark.parametrize("ahead", [0, 200, 400_000])  # bytes; 200 small requests pause reading
+AHEAD = pytest.mark.parametrize(
+    "ahead", [0, 200, 400_000]
+)  # bytes of pipelined requests; 200 small ones pause reading
 CLASSES = pytest.mark.parametrize("job_class", ["preview", "accession"])
-GONE_WITHIN_S = 0.1  # the protocol's bound: an attempt that begins later than this after the close is a fault
-HELD_UP_S = 0.05  # of it, the loop may do something else: what is left has to do
-LATE_CONNECT_S = 1.5  # so long a worker's connection may take to come up
+DETECT_DISCONNECT_S = 0.1  # the protocol's bound: no attempt may begin later than this after the close
+LOOP_STALL_S = 0.05  # a stall of the loop within that bound; detection must need no more than the rest
+SLOW_CONNECT_S = 1.5  # duration of a slow connect to a worker
 
 
-def play(
+def run_scenario(
     tmp_path: Path,
-    scene: Callable[[SchedulerHarness], Awaitable[None]],
+    scenario: Callable[[SchedulerHarness], Awaitable[None]],
     waiting: WaitingSettings | None = None,
     **changes: Any,
 ) -> None:
-    async def whole() -> None:
-        stage = SchedulerHarness(tmp_path, waiting, **changes)
+    async def run() -> None:
+        harness = SchedulerHarness(tmp_path, waiting, **changes)
         try:
             async with asyncio.timeout(120.0):
-                await scene(stage)
+                await scenario(harness)
         finally:
-            await stage.end()
+            await harness.close()
 
     with asyncio.Runner(loop_factory=GatedConnectLoop) as runner:
-        runner.run(whole())
+        runner.run(run())
 
 
-async def _asked(stage: SchedulerHarness, job_class: str, ahead: int) -> tuple[object, Callable[[str], None]]:
-    """A client whose request was taken, and perhaps more that it sent on at once."""
-    client = stage.client()
+async def _send_request(
+    harness: SchedulerHarness, job_class: str, ahead: int
+) -> tuple[object, Callable[[str], None]]:
+    """Send a request and pipelined ones; return the client and a function that disconnects it."""
+    client = harness.connect()
     client.setblocking(False)
     body = "x" * min(50_000, max(ahead // 200, 1))
     text = request_bytes(job_class) + request_bytes("preview", "b1", body) * (ahead // len(body))
@@ -56,23 +68,25 @@
         try:
             text = text[client.send(text) :]
         except BlockingIOError:
-            break  # it is not read any more
-        await turns(20)
-    await turns()
-    return client, lambda manner: leave(client, manner)
-
-
-async def _nothing_runs(stage: SchedulerHarness, ran: int = 0) -> None:
-    """From the bound on the request is not open any more, and no byte of it reaches the worker."""
-    await turns()
-    await asyncio.sleep(GONE_WITHIN_S - HELD_UP_S)
-    await turns()
-    assert stage.scheduler.open_request_count == 0, "it is still held"
-    sent = stage.worker.bytes_got
+            break  # the scheduler does not read any more
+        await run_loop_iterations(20)
+    await run_loop_iterations()
+    return client, lambda manner: disconnect(client, manner)
+
+
+async def _assert_not_sent(harness: SchedulerHarness, complete_requests: int = 0) -> None:
+    """Assert that from the bound on the request is not open and no further byte reaches a worker."""
+    await run_loop_iterations()
+    await asyncio.sleep(DETECT_DISCONNECT_S - LOOP_STALL_S)
+    await run_loop_iterations()
+    assert harness.scheduler.open_request_count == 0, "the request is still open"
+    sent = harness.worker.received_bytes
     await asyncio.sleep(3.0)
-    await turns()
-    assert stage.worker.ran == ran, "sent on though its client had left"
-    assert stage.worker.bytes_got == sent, "an attempt began, or went on"
+    await run_loop_iterations()
+    assert harness.worker.complete_requests == complete_requests, (
+        "a request was sent to a worker after its client had disconnected"
+    )
+    assert harness.worker.received_bytes == sent, "an attempt was begun or continued after the disconnect"
 
 
 @MANNERS
@@ -81,15 +95,15 @@
 def test_queued_request_is_dropped_when_its_client_disconnects(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(listed=False)
-        _, left = await _asked(stage, job_class, ahead)
-        assert stage.scheduler.open_request_count == 1
-        left(manner)
-        stage.list()
-        await _nothing_runs(stage)
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(listed=False)
+        _, disconnect_client = await _send_request(harness, job_class, ahead)
+        assert harness.scheduler.open_request_count == 1
+        disconnect_client(manner)
+        harness.publish_endpoints()
+        await _assert_not_sent(harness)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @MANNERS
@@ -98,16 +112,16 @@
 def test_request_is_dropped_when_its_client_disconnects_during_connect(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        stage.loop.way.clear()
-        _, left = await _asked(stage, job_class, ahead)
-        assert stage.loop.connecting == 1
-        left(manner)
-        stage.loop.way.set()
-        await _nothing_runs(stage)
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        harness.loop.connects_allowed.clear()
+        _, disconnect_client = await _send_request(harness, job_class, ahead)
+        assert harness.loop.connect_count == 1
+        disconnect_client(manner)
+        harness.loop.connects_allowed.set()
+        await _assert_not_sent(harness)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @MANNERS
@@ -116,16 +130,16 @@
 def test_rejected_request_is_not_retried_after_its_client_disconnects(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        stage.worker.decline = 1
-        stage.loop.way.clear()
-        _, left = await _asked(stage, job_class, ahead)
-        stage.worker.on_decline.append(lambda: left(manner))
-        stage.loop.way.set()
-        await _nothing_runs(stage, ran=1)  # the one that was turned away
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        harness.worker.remaining_rejections = 1
+        harness.loop.connects_allowed.clear()
+        _, disconnect_client = await _send_request(harness, job_class, ahead)
+        harness.worker.on_rejection.append(lambda: disconnect_client(manner))
+        harness.loop.connects_allowed.set()
+        await _assert_not_sent(harness, complete_requests=1)  # the rejected one
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @MANNERS
@@ -133,18 +147,20 @@
 def test_non_idempotent_request_is_not_finished_if_its_client_disconnects_before_the_last_byte(
     tmp_path: Path, manner: str, ahead: int
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        stage.loop.way.clear()
-        _, left = await _asked(stage, "accession", ahead)
-        stage.loop.way.set()
-        while not stage.worker.got or not stage.worker.got[0].endswith(b"hell"):
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        harness.loop.connects_allowed.clear()
+        _, disconnect_client = await _send_request(harness, "accession", ahead)
+        harness.loop.connects_allowed.set()
+        while not harness.worker.received or not harness.worker.received[0].endswith(b"hell"):
             await asyncio.sleep(0)
-        left(manner)
-        stage.loop._now += 0.3  # the loop stands still: the time of the last byte comes with the end
-        await _nothing_runs(stage)
+        disconnect_client(manner)
+        harness.loop._now += (
+            0.3  # the loop stalls, so the last byte is due in the same iteration as the disconnect
+        )
+        await _assert_not_sent(harness)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @MANNERS
@@ -152,18 +168,20 @@
 def test_request_is_dropped_when_its_client_disconnects_before_accept(
     tmp_path: Path, manner: str, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        client = stage.client()
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        client = harness.connect()
         client.sendall(request_bytes(job_class))
-        leave(client, manner)
-        await _nothing_runs(stage)
+        disconnect(client, manner)
+        await _assert_not_sent(harness)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-MOVE_EARNED = 6  # requests after which the decisions may move one
-SLOW_CONNECTS: dict[str, Any] = {"policyLimits": {**SETTINGS["policyLimits"], "connectTimeout": 2000.0}}
+REQUESTS_PER_MOVE = 6  # completed requests that allow the decisions to move one
+SLOW_CONNECT_CHANGES: dict[str, Any] = {
+    "policyLimits": {**SETTINGS["policyLimits"], "connectTimeout": 2000.0}
+}
 
 
 @MANNERS
@@ -172,16 +190,16 @@
 def test_request_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        stage.loop.way.clear()
-        _, left = await _asked(stage, job_class, ahead)
-        stage.loop.call_later(LATE_CONNECT_S, stage.loop.way.set)
-        await asyncio.sleep(0.101)  # just past a look that finds the client there, if one comes every 0.1 s
-        left(manner)
-        await _nothing_runs(stage)
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        harness.loop.connects_allowed.clear()
+        _, disconnect_client = await _send_request(harness, job_class, ahead)
+        harness.loop.call_later(SLOW_CONNECT_S, harness.loop.connects_allowed.set)
+        await asyncio.sleep(0.101)  # just after a check, if the connection were polled every 0.1 s
+        disconnect_client(manner)
+        await _assert_not_sent(harness)
 
-    play(tmp_path, scene, **SLOW_CONNECTS)
+    run_scenario(tmp_path, scenario, **SLOW_CONNECT_CHANGES)
 
 
 @MANNERS
@@ -190,18 +208,18 @@
 def test_retry_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
     tmp_path: Path, manner: str, ahead: int, job_class: str
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(names=("w1", "w2"))
-        stage.worker.decline = 1
-        stage.worker.on_decline.append(stage.loop.way.clear)
-        _, left = await _asked(stage, job_class, ahead)
-        while stage.loop.connecting < 2:
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(names=("w1", "w2"))
+        harness.worker.remaining_rejections = 1
+        harness.worker.on_rejection.append(harness.loop.connects_allowed.clear)
+        _, disconnect_client = await _send_request(harness, job_class, ahead)
+        while harness.loop.connect_count < 2:
             await asyncio.sleep(0.001)
-        stage.loop.call_later(LATE_CONNECT_S, stage.loop.way.set)
-        left(manner)
-        await _nothing_runs(stage, ran=1)  # the one that was turned away
+        harness.loop.call_later(SLOW_CONNECT_S, harness.loop.connects_allowed.set)
+        disconnect_client(manner)
+        await _assert_not_sent(harness, complete_requests=1)  # the rejected one
 
-    play(tmp_path, scene, **SLOW_CONNECTS)
+    run_scenario(tmp_path, scenario, **SLOW_CONNECT_CHANGES)
 
 
 @MANNERS
@@ -209,24 +227,26 @@
 def test_moved_attempt_is_dropped_in_time_when_its_client_disconnects_during_a_slow_connect(
     tmp_path: Path, manner: str, ahead: int
 ) -> None:
-    """The first worker never begins it, so that the decisions move it to the other one."""
+    """The first worker does not start the request, so the decisions move it to the other one."""
 
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(names=("w1", "w2"))
-        for number in range(MOVE_EARNED):
-            client = stage.client()
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(names=("w1", "w2"))
+        for number in range(REQUESTS_PER_MOVE):
+            client = harness.connect()
             client.sendall(request_bytes("preview", f"c{number}"))
-            assert b" 200 OK" in await stage.read(client)
-        stage.worker.answer = False
-        _, left = await _asked(stage, "preview", ahead)
-        stage.loop.way.clear()
-        while stage.loop.connecting <= MOVE_EARNED + 1:
+            assert b" 200 OK" in await harness.read_available(client)
+        harness.worker.answers_requests = False
+        _, disconnect_client = await _send_request(harness, "preview", ahead)
+        harness.loop.connects_allowed.clear()
+        while harness.loop.connect_count <= REQUESTS_PER_MOVE + 1:
             await asyncio.sleep(0.01)
-        stage.loop.call_later(LATE_CONNECT_S, stage.loop.way.set)
-        left(manner)
-        await _nothing_runs(stage, ran=MOVE_EARNED + 1)  # one that never began among them
+        harness.loop.call_later(SLOW_CONNECT_S, harness.loop.connects_allowed.set)
+        disconnect_client(manner)
+        await _assert_not_sent(
+            harness, complete_requests=REQUESTS_PER_MOVE + 1
+        )  # including the one that the first worker never started
 
-    play(tmp_path, scene, **SLOW_CONNECTS)
+    run_scenario(tmp_path, scenario, **SLOW_CONNECT_CHANGES)
 
 
 @MANNERS
@@ -234,73 +254,76 @@
 def test_no_byte_of_a_non_idempotent_request_is_sent_if_its_client_disconnects_during_connect(
     tmp_path: Path, manner: str, ahead: int
 ) -> None:
-    """Its connection comes up in the turn in which the client leaves: not even a part of it is sent."""
+    """The worker's connection opens in the iteration of the disconnect; not even a part may be sent."""
 
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        stage.loop.way.clear()
-        _, left = await _asked(stage, "accession", ahead)
-        left(manner)
-        stage.loop._now += GONE_WITHIN_S
-        stage.loop.way.set()
-        await _nothing_runs(stage)
-        assert stage.worker.bytes_got == 0, "a part of it was sent"
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        harness.loop.connects_allowed.clear()
+        _, disconnect_client = await _send_request(harness, "accession", ahead)
+        disconnect_client(manner)
+        harness.loop._now += DETECT_DISCONNECT_S
+        harness.loop.connects_allowed.set()
+        await _assert_not_sent(harness)
+        assert harness.worker.received_bytes == 0, "a part of the request was sent"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @MANNERS
 def test_idle_connection_is_closed_when_its_client_disconnects(tmp_path: Path, manner: str) -> None:
-    """Nothing was asked on it, or its last request was answered: it holds no descriptor any longer."""
+    """Guards against leaked descriptors of connections without a request, or whose last one was answered."""
 
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        silent, kept = stage.client(), stage.client()
-        kept.sendall(request_bytes("preview"))
-        assert b" 200 OK" in await stage.read(kept)
-        assert len(stage.sessions._open) == 2
-        for client in (silent, kept):
-            leave(client, manner)
-        await asyncio.sleep(GONE_WITHIN_S - HELD_UP_S)
-        assert not stage.sessions._open
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        silent, keep_alive = harness.connect(), harness.connect()
+        keep_alive.sendall(request_bytes("preview"))
+        assert b" 200 OK" in await harness.read_available(keep_alive)
+        assert len(harness.client_connections._open) == 2
+        for client in (silent, keep_alive):
+            disconnect(client, manner)
+        await asyncio.sleep(DETECT_DISCONNECT_S - LOOP_STALL_S)
+        assert not harness.client_connections._open
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("stays", [True, False])
+@pytest.mark.parametrize("stays_connected", [True, False])
 def test_attempt_is_sent_after_its_lease_is_recorded_only_if_its_client_is_connected(
-    tmp_path: Path, stays: bool
+    tmp_path: Path, stays_connected: bool
 ) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        there, granted = [True], []
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        connected, granted = [True], []
         context = AttemptContext(5.0, lambda: None)
         request = Request(
             "a1", "accession", 5.0, "/accession", b"hello",
-            record_lease=lambda backend, then: granted.append(then), client_connected=lambda: there[0],
+            record_lease=lambda backend, then: granted.append(then), client_connected=lambda: connected[0],
         )  # fmt: skip
-        attempt = asyncio.create_task(stage.subsystems.backends.attempt("w1", request, context))
+        attempt = asyncio.create_task(harness.subsystems.backends.attempt("w1", request, context))
         while not granted:
             await asyncio.sleep(0.001)
-        there[0] = stays
+        connected[0] = stays_connected
         granted[0]()
         ending = await attempt
-        assert ending.result is (Result.OK if stays else Result.NOT_SENT)
-        assert stage.worker.ran == stays and context.is_last_byte_written is stays
+        assert ending.result is (Result.OK if stays_connected else Result.NOT_SENT)
+        assert (
+            harness.worker.complete_requests == stays_connected
+            and context.is_last_byte_written is stays_connected
+        )
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @AHEAD
 def test_client_that_stays_connected_is_served(tmp_path: Path, ahead: int) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin()
-        client, _ = await _asked(stage, "accession", ahead)
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start()
+        client, _ = await _send_request(harness, "accession", ahead)
         await asyncio.sleep(1.0)
-        assert b" 200 OK" in await stage.read(client)  # type: ignore[arg-type]
-        assert stage.worker.ran >= 1
+        assert b" 200 OK" in await harness.read_available(client)  # type: ignore[arg-type]
+        assert harness.worker.complete_requests >= 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 # ---- Gearman ----
@@ -312,70 +335,70 @@
 
 @MANNERS
 @pytest.mark.parametrize("asleep", [True, False])
-@pytest.mark.parametrize("room", [None, WaitingSettings()])
+@pytest.mark.parametrize("waiting", [None, WaitingSettings()])
 def test_gearman_job_is_not_assigned_after_its_client_disconnects(
-    tmp_path: Path, manner: str, asleep: bool, room: WaitingSettings | None
+    tmp_path: Path, manner: str, asleep: bool, waiting: WaitingSettings | None
 ) -> None:
-    """The worker asks for it in the very turn in which its client leaves, and is read first."""
+    """The worker requests a job in the iteration of the disconnect, and is read first."""
 
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(listed=False)
-        worker, client = stage.client("gearman"), stage.client("gearman")
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(listed=False)
+        worker, client = harness.connect("gearman"), harness.connect("gearman")
         worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
-        await turns()
+        await run_loop_iterations()
         client.sendall(_packet(PacketType.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
-        assert encode(PacketType.NOOP) in await stage.read(worker)
+        assert encode(PacketType.NOOP) in await harness.read_available(worker)
         if asleep:
             worker.sendall(_packet(PacketType.PRE_SLEEP))
-            await stage.read(worker)
+            await harness.read_available(worker)
         worker.sendall(_packet(PacketType.GRAB_JOB))
-        leave(client, manner)
-        assert await stage.read(worker) == encode(PacketType.NO_JOB)
+        disconnect(client, manner)
+        assert await harness.read_available(worker) == encode(PacketType.NO_JOB)
         await asyncio.sleep(1.0)
-        assert stage.scheduler.open_request_count == 0
+        assert harness.scheduler.open_request_count == 0
 
-    play(tmp_path, scene, room)
+    run_scenario(tmp_path, scenario, waiting)
 
 
 @MANNERS
 def test_deferred_gearman_job_ends_when_its_client_disconnects(tmp_path: Path, manner: str) -> None:
-    """It waits for any worker at all; one comes in the turn in which its client leaves."""
+    """The job waits for a first worker, which registers in the iteration of the disconnect."""
 
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(listed=False)
-        worker, client = stage.client("gearman"), stage.client("gearman")
-        await turns()
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(listed=False)
+        worker, client = harness.connect("gearman"), harness.connect("gearman")
+        await run_loop_iterations()
         client.sendall(_packet(PacketType.SUBMIT_JOB, b"file_specimen", b"u1", b"sheet"))
-        await turns()
+        await run_loop_iterations()
         worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.GRAB_JOB))
-        leave(client, manner)
-        got = await stage.read(worker)
+        disconnect(client, manner)
+        got = await harness.read_available(worker)
         for _ in range(20):
             await asyncio.sleep(0.1)
             worker.setblocking(True)
             worker.sendall(_packet(PacketType.GRAB_JOB))
-            got += await stage.read(worker)
+            got += await harness.read_available(worker)
         assert got == encode(PacketType.NO_JOB) * 21
-        assert stage.scheduler.open_request_count == 0
+        assert harness.scheduler.open_request_count == 0
 
-    play(tmp_path, scene, WaitingSettings())
+    run_scenario(tmp_path, scenario, WaitingSettings())
 
 
 @MANNERS
 def test_background_gearman_job_is_assigned_after_its_client_disconnects(tmp_path: Path, manner: str) -> None:
-    async def scene(stage: SchedulerHarness) -> None:
-        await stage.begin(listed=False)
-        worker, client = stage.client("gearman"), stage.client("gearman")
+    async def scenario(harness: SchedulerHarness) -> None:
+        await harness.start(listed=False)
+        worker, client = harness.connect("gearman"), harness.connect("gearman")
         worker.sendall(_packet(PacketType.CAN_DO, b"file_specimen") + _packet(PacketType.PRE_SLEEP))
-        await turns()
+        await run_loop_iterations()
         client.sendall(_packet(PacketType.SUBMIT_JOB_BG, b"file_specimen", b"u1", b"sheet"))
-        await stage.read(worker)
+        await harness.read_available(worker)
         worker.sendall(_packet(PacketType.GRAB_JOB))
-        leave(client, manner)
-        got = await stage.read(worker)
+        disconnect(client, manner)
+        got = await harness.read_available(worker)
         assert got.startswith(b"\0RES\0\0\0\x0b") and got.endswith(b"sheet")
         handle = got[12:].split(b"\0")[0]
         worker.sendall(_packet(PacketType.WORK_COMPLETE, handle, b"filed"))
-        await turns()
+        await run_loop_iterations()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -1,8 +1,8 @@
-"""`docs/oncall.md` lists every line that the program logs at INFO or above, and no other.
+"""`docs/oncall.md` lists exactly the lines that the program logs at INFO or above.
 
-In the page a capital word stands for a value, `...` for any text. A row may also name the values of a line
-(`state starting -> serving` for `state %s -> %s`). The pages in `docs/operate/` may repeat lines, and those
-have to be written too.
+In the page a word in capitals stands for a value, and `...` for any text. A row may also list a line with
+concrete values (`state starting -> serving` for `state %s -> %s`). The pages in `docs/operate/` may repeat
+lines; the program must log those too.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 import pytest
 from source_inspection import (
     DOCS,
+    PACKAGE,
     PLACEHOLDER,
-    PROGRAM,
     LogLine,
+    backticked,
     log_lines,
     logger_names,
     parse,
-    quoted,
-    sources,
+    python_files,
     table_rows,
 )
 
@@ -29,65 +29,65 @@
 _VALUE = re.compile(r"\b[A-Z][A-Z_]*\b(?:[:/]\b[A-Z][A-Z_]*\b)*")
 
 
-def written() -> list[LogLine]:
-    """What the program logs; a line that is nothing but values is told by whoever makes them (`summary`)."""
-    lines = [line for path in sources() for line in log_lines(path)]
+def logged_lines() -> list[LogLine]:
+    """Return the logged lines except those of placeholders only, whose text is made by a `summary`."""
+    lines = [line for path in python_files() for line in log_lines(path)]
     return [line for line in lines if re.search(r"[a-z]", line.text)]
 
 
-def describes(listed: str, line: str) -> bool:
-    """Whether a listed text is this line in general, or one of it with values named."""
-    general, at = "", 0
+def matches(listed: str, line: str) -> bool:
+    """Return whether a listed text describes this line, either in general or with concrete values."""
+    pattern, position = "", 0
     for match in re.finditer(r"\.\.\.|" + _VALUE.pattern, listed):
-        general += re.escape(listed[at : match.start()])
-        general += ".*" if match[0] == "..." else rf"{PLACEHOLDER}[{PLACEHOLDER}\W]*"
-        at = match.end()
-    general += re.escape(listed[at:])
-    if len(re.findall(r"[a-z]", _VALUE.sub("", listed))) >= 3 and re.fullmatch(general, line):
+        pattern += re.escape(listed[position : match.start()])
+        pattern += ".*" if match[0] == "..." else rf"{PLACEHOLDER}[{PLACEHOLDER}\W]*"
+        position = match.end()
+    pattern += re.escape(listed[position:])
+    if len(re.findall(r"[a-z]", _VALUE.sub("", listed))) >= 3 and re.fullmatch(pattern, line):
         return True
     instance = ".*".join(re.escape(piece) for piece in line.split(PLACEHOLDER))
     return re.fullmatch(instance, listed) is not None
 
 
-def listed(page: object = PAGE) -> list[tuple[str, str]]:
-    """Section and text of each line that a page lists."""
+def listed_lines(page: object = PAGE) -> list[tuple[str, str]]:
+    """Return the section and the text of each line that a page lists."""
     rows = table_rows(PAGE if page is PAGE else page, FIRST_COLUMN)  # type: ignore[arg-type]
-    return [(row.section, text) for row in rows for text in quoted(row.cells[0])]
+    return [(row.section, text) for row in rows for text in backticked(row.cells[0])]
 
 
 def loggers_of(section: str) -> set[str]:
-    return {f"oxbowyard.{name}" for name in quoted(section)}
+    return {f"oxbowyard.{name}" for name in backticked(section)}
 
 
 def all_loggers() -> set[str]:
-    names = {name for path in sources() for name in logger_names(parse(path)).values()}
+    names = {name for path in python_files() for name in logger_names(parse(path)).values()}
     return {name for name in names if name.startswith("oxbowyard")}
 
 
 def test_every_logged_line_is_listed_under_its_logger() -> None:
     missing = []
-    for line in written():
-        sections = {section for section, text in listed() if describes(text, line.text)}
+    for line in logged_lines():
+        sections = {section for section, text in listed_lines() if matches(text, line.text)}
         names = {name for section in sections for name in loggers_of(section)}
         if not sections or (line.logger and line.logger not in names):
             missing.append(f"{line.file}:{line.line}: {line.logger}: {line.text.replace(PLACEHOLDER, '%')}")
-    assert not missing, "not in docs/oncall.md, or not under its logger:\n" + "\n".join(missing)
+    assert not missing, "logged, but not listed in docs/oncall.md under its logger:\n" + "\n".join(missing)
 
 
 @pytest.mark.parametrize("page", [PAGE, *OTHER_PAGES], ids=lambda page: page.name)
 def test_every_listed_line_is_logged(page: object) -> None:
-    lines = written()
-    stale = [text for _, text in listed(page) if not any(describes(text, line.text) for line in lines)]
-    assert not stale, f"no such line is written: {stale}"
+    lines = logged_lines()
+    stale = [text for _, text in listed_lines(page) if not any(matches(text, line.text) for line in lines)]
+    assert not stale, f"listed, but not logged by the program: {stale}"
 
 
 def test_listed_loggers_match_those_of_the_program() -> None:
-    named = {name for section, _ in listed() for name in loggers_of(section)}
+    named = {name for section, _ in listed_lines() for name in loggers_of(section)}
     assert named == all_loggers()
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "says"),
+    ("text", "line", "expected"),
     [
         ("loop lag N ms", "loop lag \0 ms", True),
         ("loop lag N s", "loop lag \0 ms", False),
@@ -102,11 +102,11 @@
         ("retry job=ID", "retry job=\0 class=\0", False),
     ],
 )
-def test_listed_text_matches_the_lines_it_describes(text: str, line: str, says: bool) -> None:
-    assert describes(text, line) is says
+def test_listed_text_matches_the_lines_it_describes(text: str, line: str, expected: bool) -> None:
+    assert matches(text, line) is expected
 
 
 def test_unlisted_line_is_detected(tmp_path: object) -> None:
     line = LogLine("a planted line with \0", "oxbowyard.core", "x.py", 1)
-    assert not any(describes(text, line.text) for _, text in listed())
-    assert PROGRAM.is_dir() and len(written()) > 50
+    assert not any(matches(text, line.text) for _, text in listed_lines())
+    assert PACKAGE.is_dir() and len(logged_lines()) > 50
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,7 +1,7 @@
-"""What earlier releases stored and what peers, clients and operators are sent keeps its form.
+"""The formats of stored data and of what peers, clients and operators receive do not change between releases.
 
-The fixtures were written by the program as found (`fixtures/make_fixtures.py` says how). What is read must be
-read as it was; what is written or sent must be the same bytes again.
+The fixtures were recorded from an earlier program (see `fixtures/make_fixtures.py`). The current program must
+read the same values from them, and write and send the same bytes.
 """
 
 from __future__ import annotations
@@ -40,23 +40,23 @@
 START_MS = CLOCK_MS - 60_000.0
 PID = 4711
 
-# ---- The names of the program that the tests use: all of them stand in this part ----
+# ---- All uses of the program's names by these tests ----
 
 
-def read_operator(path: Path) -> OperatorConfig:
-    """The operator's file as the program reads it."""
+def read_operator_file(path: Path) -> OperatorConfig:
+    """Read an operator file with the program."""
     return load(path, parse_settings(SETTINGS).classes)
 
 
 def operator_faults(path: Path) -> tuple[str, ...]:
-    """What the program says of a faulty one, by keys."""
+    """Return the errors that the program reports for an invalid operator file."""
     with pytest.raises(OperatorFileError) as caught:
-        read_operator(path)
+        read_operator_file(path)
     return tuple(caught.value.errors)
 
 
 def operator_tables(found: OperatorConfig) -> dict[str, Any]:
-    """What was read: by the file's keys, for [gearman] and the group in the order of the fields."""
+    """Return the tables read, by key, with [gearman] and the membership group as tuples of their fields."""
     assert found.gearman is not None and found.membership is not None
     tables = {"waiting": found.waiting, "durable": found.durable, "membership": found.membership,
               "start": found.start}  # fmt: skip
@@ -67,12 +67,12 @@
 
 
 def stored_jobs(database: Database, ids: list[str]) -> list[StoredJob]:
-    """These jobs as the program reads them."""
+    """Return the jobs with these ids as the program reads them."""
     return [job for id_ in ids if (job := database.find(id_)) is not None]
 
 
-def store_again(database: Database, jobs: list[StoredJob]) -> None:
-    """Write them anew, change by change."""
+def store_jobs(database: Database, jobs: list[StoredJob]) -> None:
+    """Write jobs into a new store, change by change."""
     changes: list[Change] = []
     for job in jobs:
         number = job.accepted.number
@@ -86,48 +86,48 @@
     database.apply(changes)
 
 
-def packed_again(job: StoredJob) -> tuple[bytes, bytes]:
-    """A stored request and its parents, read and written again."""
+def reencode_job(job: StoredJob) -> tuple[bytes, bytes]:
+    """Decode a stored request and its dependencies, and encode them again."""
     parents = [[parent.id, parent.condition.value] for parent in decode_dependencies(job)]
     return encode_request(decode_request(job, 5.0)), json.dumps(parents).encode()
 
 
-def stored_as(job: StoredJob) -> tuple[bytes, bytes]:
-    """The same as the store has it."""
+def stored_encoding(job: StoredJob) -> tuple[bytes, bytes]:
+    """Return the request and the dependencies as the store holds them."""
     return job.accepted.request, job.accepted.dependencies
 
 
-def read_list(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
-    """The list kept on disk: its version, entries and age."""
+def read_snapshot_file(path: Path, now: float) -> tuple[int, list[dict[str, Any]], float]:
+    """Return the revision, entries and age of the endpoint list in a snapshot file."""
     found = read_snapshot(path, "default", now, 86400.0, 100, 1 << 20)
     return found.revision, [dict(row) for row in found.targets], found.age_s
 
 
-def write_list(path: Path, rev: int, rows: list[dict[str, Any]]) -> None:
-    """Take a list from discovery, as the program does, and keep it on disk."""
+def write_snapshot_file(path: Path, rev: int, entries: list[dict[str, Any]]) -> None:
+    """Apply an endpoint list as one from discovery, and write its snapshot file."""
     registry = Registry(lambda: CLOCK_MS, 1000.0)
-    registry.apply(parse_endpoint_list({"rev": rev, "all": True, "targets": rows}))
+    registry.apply(parse_endpoint_list({"rev": rev, "all": True, "targets": entries}))
     registry.cordon("w3")
     write_snapshot(path, "default", WALL_S, rev, registry.targets())
 
 
-def out_by_hand(path: Path) -> set[str]:
-    """The workers that the file names."""
+def cordoned_workers(path: Path) -> set[str]:
+    """Return the cordoned workers that the file names."""
     return set(CordonFile(path).read() or ())
 
 
-def change_out_by_hand(path: Path, uid: str, out: bool) -> None:
-    """Add one to the file or take it away."""
+def change_cordon(path: Path, uid: str, out: bool) -> None:
+    """Add a worker to the file, or remove it."""
     CordonFile(path).update(uid, out)
 
 
-def learned_again(text: bytes, now: float) -> bytes:
-    """The file of estimates, read and written."""
+def reencode_estimates(text: bytes, now: float) -> bytes:
+    """Decode the file of learned estimates, and encode it again."""
     return encode(decode(text, PID, now), PID)
 
 
-def learned_adopted(text: bytes) -> bytes:
-    """What a fresh process that goes on from these estimates hands on at once."""
+def restore_and_encode_estimates(text: bytes) -> bytes:
+    """Return the estimates that a new process hands over directly after restoring these."""
     classes = (
         JobClass("short", latency_objective_ms=1000, deadline_ms=10000, retry_safety=RetrySafety.IDEMPOTENT),
         JobClass("once", latency_objective_ms=4000, deadline_ms=25000),
@@ -144,7 +144,7 @@
     return encode(facade.snapshot(), PID)
 
 
-# ---- The operator's file ----
+# ---- The operator file ----
 
 
 def as_json(value: object) -> Any:
@@ -153,15 +153,15 @@
     )
 
 
-def leaves(table: dict[str, Any], above: str = "") -> set[str]:
+def leaf_keys(table: dict[str, Any], above: str = "") -> set[str]:
     found: set[str] = set()
     for key, value in table.items():
-        found |= leaves(value, f"{above}{key}.") if isinstance(value, dict) else {above + key}
+        found |= leaf_keys(value, f"{above}{key}.") if isinstance(value, dict) else {above + key}
     return found
 
 
 def test_each_key_of_the_operator_file_is_read_as_recorded() -> None:
-    read = as_json(operator_tables(read_operator(FIXTURES / "operator.toml")))
+    read = as_json(operator_tables(read_operator_file(FIXTURES / "operator.toml")))
     assert read == json.loads((FIXTURES / "operator.json").read_text())
 
 
@@ -170,23 +170,23 @@
     path = tmp_path / "operator.toml"
     path.write_text(re.sub(r"(?m)^(\w+) = .*", r"\1 = {bad = 1}", text))
     named = {fault.partition(":")[0] for fault in operator_faults(path)}
-    assert named == leaves(tomllib.loads(text))
+    assert named == leaf_keys(tomllib.loads(text))
 
 
 def test_operator_fixture_has_every_key_of_the_deployed_file() -> None:
     deployed = re.sub(r"(?m)^# (?=[\[\w]+.*(=|\]$))", "", (ROOT / "deploy/operator.toml").read_text())
     tables = tomllib.loads(deployed)
-    own = leaves(tomllib.loads((FIXTURES / "operator.toml").read_text()))
+    own = leaf_keys(tomllib.loads((FIXTURES / "operator.toml").read_text()))
     for table in ("waiting", "durable", "membership", "start"):
-        keys = {key for key in leaves({table: tables[table]}) if ".classes." not in key}
+        keys = {key for key in leaf_keys({table: tables[table]}) if ".classes." not in key}
         assert keys and keys <= own
 
 
 # ---- The store ----
 
 
-def rows(path: Path) -> tuple[list[Any], list[Any]]:
-    """The schema, and the jobs."""
+def read_tables(path: Path) -> tuple[list[Any], list[Any]]:
+    """Return the schema with its pragmas, and the rows of the jobs table."""
     database = sqlite3.connect(path)
     try:
         schema = database.execute("SELECT type, name, sql FROM sqlite_master ORDER BY name").fetchall()
@@ -203,51 +203,51 @@
 
 
 def job_ids(path: Path) -> list[str]:
-    return [row[1] for row in rows(path)[1]]
+    return [row[1] for row in read_tables(path)[1]]
 
 
 def test_store_is_read_and_rewritten_identically(store: Path, tmp_path: Path) -> None:
-    ids, before = job_ids(store), rows(store)
+    ids, before = job_ids(store), read_tables(store)
     old, new = Database(store), Database(tmp_path / "new.db")
     jobs = stored_jobs(old, ids)
     assert len(jobs) == len(ids) == 18
-    store_again(new, jobs)
+    store_jobs(new, jobs)
     old.close()
     new.close()
-    assert rows(store) == before, "reading changes nothing"
-    assert rows(tmp_path / "new.db") == before
+    assert read_tables(store) == before, "reading must not change the store"
+    assert read_tables(tmp_path / "new.db") == before
 
 
 def test_deferred_job_records_are_decoded_and_encoded_identically(store: Path) -> None:
     database = Database(store)
     jobs = stored_jobs(database, job_ids(store))
     database.close()
-    assert [packed_again(job) for job in jobs] == [stored_as(job) for job in jobs]
+    assert [reencode_job(job) for job in jobs] == [stored_encoding(job) for job in jobs]
 
 
-# ---- The list kept on disk, and the workers out by hand ----
+# ---- The endpoint snapshot and the cordon file ----
 
 
 def test_endpoint_snapshot_is_read_and_rewritten_identically(tmp_path: Path) -> None:
-    rev, entries, age = read_list(FIXTURES / "list.json", WALL_S + 7.0)
+    rev, entries, age = read_snapshot_file(FIXTURES / "list.json", WALL_S + 7.0)
     assert (rev, age, [row["uid"] for row in entries]) == (41, 7.0, ["w1", "w2", "w3"])
-    write_list(tmp_path / "list.json", rev, entries)
+    write_snapshot_file(tmp_path / "list.json", rev, entries)
     assert (tmp_path / "list.json").read_bytes() == (FIXTURES / "list.json").read_bytes()
 
 
 def test_cordon_file_is_read_and_rewritten_identically(tmp_path: Path) -> None:
-    assert out_by_hand(FIXTURES / "out-by-hand.json") == {"w1", "w3", "gone \xe9"}
+    assert cordoned_workers(FIXTURES / "out-by-hand.json") == {"w1", "w3", "gone \xe9"}
     path = Path(shutil.copy(FIXTURES / "out-by-hand.json", tmp_path))
-    change_out_by_hand(path, "w2", True)
-    assert out_by_hand(path) == {"w1", "w2", "w3", "gone \xe9"}
-    change_out_by_hand(path, "w2", False)
+    change_cordon(path, "w2", True)
+    assert cordoned_workers(path) == {"w1", "w2", "w3", "gone \xe9"}
+    change_cordon(path, "w2", False)
     assert path.read_bytes() == (FIXTURES / "out-by-hand.json").read_bytes()
 
 
-# ---- What a replaced process has learned ----
+# ---- Learned estimates handed over to a replacement process ----
 
 
-def body_of(text: bytes) -> dict[str, Any]:
+def decode_body(text: bytes) -> dict[str, Any]:
     found: dict[str, Any] = json.loads(text.partition(b"\n")[2])
     return found
 
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize(
     ("name", "written"),
     [
-        ("learned", "learned-read"),  # its whole numbers are read as floats
+        ("learned", "learned-read"),  # its integers are read as floats
         ("learned-read", "learned-read"),
         ("learned-distinct", "learned-distinct"),
         ("learned-adopted", "learned-adopted"),
@@ -263,44 +263,44 @@
 )
 def test_learned_estimates_are_decoded_and_encoded_identically(name: str, written: str) -> None:
     text = (FIXTURES / name).read_bytes()
-    assert learned_again(text, body_of(text)["at"] + 100.0) == (FIXTURES / written).read_bytes()
+    assert reencode_estimates(text, decode_body(text)["at"] + 100.0) == (FIXTURES / written).read_bytes()
 
 
 def test_estimate_fixtures_fill_the_fields_they_cover() -> None:
-    body = body_of((FIXTURES / "learned").read_bytes())
+    body = decode_body((FIXTURES / "learned").read_bytes())
     workers = body["workers"]
     assert len(workers) == 5 and len(body["pools"]) == 2 and len(body["keys"]) == 7
     assert workers["w1"]["faults"]["short"] and workers["w4"]["since"] and workers["w4"]["base"] is None
     assert workers["w2"]["unreachable"] and workers["w0"]["kept"] and body["holds"] and body["price_with"]
-    distinct = body_of((FIXTURES / "learned-distinct").read_bytes())
+    distinct = decode_body((FIXTURES / "learned-distinct").read_bytes())
     for worker in distinct["workers"].values():
         assert all(value for name, value in worker.items() if name not in ("since", "unreachable"))
 
 
 def test_each_estimate_is_restored_to_its_own_field() -> None:
-    """Each place of the file has a number of its own, so that two that changed places are seen."""
+    """Each field of the fixture has a distinct number, so that swapped fields are detected."""
     text = (FIXTURES / "learned-distinct").read_bytes()
-    assert learned_adopted(text) == (FIXTURES / "learned-adopted").read_bytes()
+    assert restore_and_encode_estimates(text) == (FIXTURES / "learned-adopted").read_bytes()
 
 
-# ---- What the started program answers ----
+# ---- Answers of the started program ----
 
 
-def answers(name: str) -> dict[str, str]:
+def recorded_answers(name: str) -> dict[str, str]:
     found: dict[str, str] = json.loads((FIXTURES / f"{name}-answers.json").read_text())
     return found
 
 
 def test_admin_api_answers_as_recorded(tmp_path: Path) -> None:
-    assert response_recorder.admin_answers(ROOT, tmp_path) == answers("admin")
+    assert response_recorder.admin_answers(ROOT, tmp_path) == recorded_answers("admin")
 
 
 def test_members_call_answers_as_recorded(tmp_path: Path) -> None:
-    assert response_recorder.members_answers(ROOT, tmp_path) == answers("members")
+    assert response_recorder.members_answers(ROOT, tmp_path) == recorded_answers("members")
 
 
 def test_replacement_process_exchanges_the_recorded_files(tmp_path: Path) -> None:
-    assert response_recorder.replacement_files(ROOT, tmp_path) == answers("replacement")
+    assert response_recorder.replacement_files(ROOT, tmp_path) == recorded_answers("replacement")
 
 
 def test_deferred_jobs_api_answers_as_recorded_over_an_earlier_store(tmp_path: Path) -> None:
@@ -310,4 +310,4 @@
     found = response_recorder.waiting_answers(
         ROOT, folder, store, job_ids(Path(shutil.copy(store, tmp_path / "copy.db")))
     )
-    assert found == answers("waiting")
+    assert found == recorded_answers("waiting")
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,4 +1,4 @@
-"""The packages import each other in one direction only, and the core knows no wire."""
+"""The imports between packages have no cycle, and the core and the decisions import no network module."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 from pathlib import Path
 
 import pytest
-from source_inspection import quoted, table_rows
+from source_inspection import backticked, table_rows
 
 from oxbowyard.gearman.text_commands import VERSION
 
-ROOT = Path(__file__).parent.parent / "oxbowyard"
-ARCHITECTURE = ROOT.parent / "docs" / "architecture.md"
-PICTURE_BEGINS, PICTURE_ENDS = "<!-- packages -->\n", "<!-- end of packages -->"
-INSIDE = {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if p.is_dir()}
-WIRES = {"aiohttp", "yarl", "orjson", "socket", "http"}
+PACKAGE = Path(__file__).parent.parent / "oxbowyard"
+ARCHITECTURE = PACKAGE.parent / "docs" / "architecture.md"
+DIAGRAM_BEGINS, DIAGRAM_ENDS = "<!-- packages -->\n", "<!-- end of packages -->"
+PACKAGES = {f"oxbowyard.{p.name}" for p in PACKAGE.iterdir() if p.is_dir()}
+NETWORK_MODULES = {"aiohttp", "yarl", "orjson", "socket", "http"}
 
 
 def imports_of(path: Path) -> set[str]:
-    """Absolute names of all that a file imports, modules of the package among them."""
-    inside = ["oxbowyard", *path.relative_to(ROOT).with_suffix("").parts]
+    """Return the absolute names of everything that a file imports, relative imports resolved."""
+    module_parts = ["oxbowyard", *path.relative_to(PACKAGE).with_suffix("").parts]
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
-            base = ".".join(inside[: -node.level]) if node.level else ""
+            base = ".".join(module_parts[: -node.level]) if node.level else ""
             module = ".".join(part for part in (base, node.module) if part)
             found |= {module} | {f"{module}.{alias.name}" for alias in node.names}
     return found
 
 
-def graph() -> dict[str, set[str]]:
+def import_graph() -> dict[str, set[str]]:
     files = {
-        ".".join(("oxbowyard", *p.relative_to(ROOT).with_suffix("").parts)).removesuffix(".__init__"): p
-        for p in ROOT.rglob("*.py")
+        ".".join(("oxbowyard", *p.relative_to(PACKAGE).with_suffix("").parts)).removesuffix(".__init__"): p
+        for p in PACKAGE.rglob("*.py")
     }
     return {name: imports_of(path) & set(files) - {name} for name, path in files.items()}
 
 
-def cycle(edges: dict[str, set[str]]) -> list[str]:
-    """Some circle, or nothing."""
+def find_cycle(edges: dict[str, set[str]]) -> list[str]:
+    """Return the first import cycle found, or an empty list."""
     done: set[str] = set()
 
     def walk(name: str, path: list[str]) -> list[str]:
@@ -60,78 +60,80 @@
 
 
 def test_imports_have_no_cycle() -> None:
-    modules = graph()
-    assert cycle(modules) == []
+    modules = import_graph()
+    assert find_cycle(modules) == []
     packages: dict[str, set[str]] = {}
     for name, others in modules.items():
         package = ".".join(name.split(".")[:2])
-        inside = packages.setdefault(package, set())
-        inside |= {".".join(other.split(".")[:2]) for other in others} - {package}
-    assert cycle({k: v - {"oxbowyard"} for k, v in packages.items() if k != "oxbowyard"}) == []
+        package_imports = packages.setdefault(package, set())
+        package_imports |= {".".join(other.split(".")[:2]) for other in others} - {package}
+    assert find_cycle({k: v - {"oxbowyard"} for k, v in packages.items() if k != "oxbowyard"}) == []
 
 
 def test_import_cycle_is_detected() -> None:
-    assert cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
+    assert find_cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
 
 
 def test_core_and_decision_import_no_network_module() -> None:
     for folder in ("core", "decision"):
-        for path in (ROOT / folder).glob("*.py"):
+        for path in (PACKAGE / folder).glob("*.py"):
             names = {name.split(".")[0] for name in imports_of(path)}
-            assert not names & WIRES, path
+            assert not names & NETWORK_MODULES, path
             packages = {".".join(name.split(".")[:2]) for name in imports_of(path)}
-            assert packages & INSIDE <= {"oxbowyard.core", "oxbowyard.decision"}, path
+            assert packages & PACKAGES <= {"oxbowyard.core", "oxbowyard.decision"}, path
 
 
 def test_project_version_matches_the_gearman_version() -> None:
-    project = tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["project"]
+    project = tomllib.loads((PACKAGE.parent / "pyproject.toml").read_text())["project"]
     assert f"{project['name']} {project['version']}" == VERSION
 
 
 def test_other_packages_import_only_the_public_decision_modules() -> None:
-    """Other packages see the facade, the settings and the snapshot's form alone."""
+    """Other packages may import only the facade, the settings and the snapshot's format."""
     public = {"facade", "settings", "platform_settings", "snapshot"}
-    for path in ROOT.rglob("*.py"):
+    for path in PACKAGE.rglob("*.py"):
         if path.parent.name == "decision" or path.name in ("simhost.py", "__init__.py"):
             continue
         names = {n for n in imports_of(path) if n.startswith("oxbowyard.decision.")}
         assert {n.split(".")[2] for n in names} <= public, path
-        taken = {n.rpartition(".")[2] for n in names if n.startswith("oxbowyard.decision.settings.")}
-        assert taken <= {"JobClass", "RetrySafety", "Settings"}, path
+        imported = {n.rpartition(".")[2] for n in names if n.startswith("oxbowyard.decision.settings.")}
+        assert imported <= {"JobClass", "RetrySafety", "Settings"}, path
 
 
 def test_pyproject_lists_every_package() -> None:
-    """`pip install .` takes the packages that pyproject names: one left out is missing from the wheel."""
-    named = set(tomllib.loads((ROOT.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"])
-    found = {"oxbowyard"} | {f"oxbowyard.{p.name}" for p in ROOT.iterdir() if (p / "__init__.py").exists()}
+    """`pip install .` installs the packages listed in pyproject.toml: the wheel lacks an unlisted one."""
+    named = set(
+        tomllib.loads((PACKAGE.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
+    )
+    found = {"oxbowyard"} | {f"oxbowyard.{p.name}" for p in PACKAGE.iterdir() if (p / "__init__.py").exists()}
     assert named == found
 
 
 def package_graph() -> dict[str, set[str]]:
-    """What each package, or module beside them, imports of the others; `oxbowyard` itself is left out."""
+    """Return the imports between packages and top-level modules, without those of `oxbowyard` itself."""
     edges: dict[str, set[str]] = {}
-    for name, others in graph().items():
+    for name, others in import_graph().items():
         if name == "oxbowyard":
             continue
         package = name.split(".")[1]
-        inside = edges.setdefault(package, set())
-        inside |= {other.split(".")[1] for other in others if other != "oxbowyard"} - {package}
+        package_imports = edges.setdefault(package, set())
+        package_imports |= {other.split(".")[1] for other in others if other != "oxbowyard"} - {package}
     return edges
 
 
 def reachable(edges: dict[str, set[str]], start: str) -> set[str]:
-    """All that a package imports, by others too."""
+    """Return everything that a package imports, directly or transitively."""
     found: set[str] = set()
-    left = [start]
-    while left:
-        for other in edges[left.pop()] - found:
+    pending = [start]
+    while pending:
+        for other in edges[pending.pop()] - found:
             found.add(other)
-            left.append(other)
+            pending.append(other)
     return found
 
 
 def direct_edges(edges: dict[str, set[str]]) -> list[tuple[str, str]]:
-    """The imports that do not follow from others, in the order of their names."""
+    """Return the imports that are not implied by transitive ones, in alphabetical order."""
     return [
         (package, other)
         for package in sorted(edges)
@@ -140,12 +142,12 @@
     ]
 
 
-def picture() -> str:
-    """The packages and their imports as a Mermaid graph."""
+def diagram() -> str:
+    """Return the packages and their direct imports as a Mermaid graph."""
     edges = package_graph()
     direct = direct_edges(edges)
-    alone = sorted(set(edges) - {package for edge in direct for package in edge})
-    lines = ["flowchart TD", *(f"    {package}" for package in alone)]
+    isolated = sorted(set(edges) - {package for edge in direct for package in edge})
+    lines = ["flowchart TD", *(f"    {package}" for package in isolated)]
     lines += [f"    {package} --> {other}" for package, other in direct]
     return "```mermaid\n" + "\n".join(lines) + "\n```\n"
 
@@ -155,29 +157,29 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_files_named_by_a_page_exist(page: str) -> None:
-    """By their last parts: `core/scheduler.py`, or `choice.py` where the package is clear from the text."""
+    """A page may name a file by the end of its path, such as `core/scheduler.py` or `choice.py`."""
     folders = ("oxbowyard", "tests", "benchmarks", "examples")
-    there = {path.as_posix() for folder in folders for path in (ROOT.parent / folder).rglob("*.py")}
-    named = set(re.findall(r"`([\w/]+\.py)`", (ROOT.parent / page).read_text()))
-    assert {name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in there)} == set()
+    existing = {path.as_posix() for folder in folders for path in (PACKAGE.parent / folder).rglob("*.py")}
+    named = set(re.findall(r"`([\w/]+\.py)`", (PACKAGE.parent / page).read_text()))
+    assert {name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in existing)} == set()
 
 
 def test_readme_package_table_is_complete() -> None:
-    rows = table_rows(ROOT.parent / "README.md", "package")
-    named = {name.rstrip("/") for row in rows for name in quoted(row.cells[0])}
-    assert named == {p.name for p in ROOT.iterdir() if (p / "__init__.py").exists()} | {"simhost.py"}
+    rows = table_rows(PACKAGE.parent / "README.md", "package")
+    named = {name.rstrip("/") for row in rows for name in backticked(row.cells[0])}
+    assert named == {p.name for p in PACKAGE.iterdir() if (p / "__init__.py").exists()} | {"simhost.py"}
 
 
-def write_picture() -> None:
-    """Put the picture of today's imports into the page."""
-    before, _, rest = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)
-    _, end, after = rest.partition(PICTURE_ENDS)
-    ARCHITECTURE.write_text(before + PICTURE_BEGINS + picture() + end + after)
+def write_diagram() -> None:
+    """Replace the diagram in the page by that of the current imports."""
+    before, _, rest = ARCHITECTURE.read_text().partition(DIAGRAM_BEGINS)
+    _, end, after = rest.partition(DIAGRAM_ENDS)
+    ARCHITECTURE.write_text(before + DIAGRAM_BEGINS + diagram() + end + after)
 
 
 def test_package_diagram_matches_the_imports() -> None:
-    shown = ARCHITECTURE.read_text().partition(PICTURE_BEGINS)[2].partition(PICTURE_ENDS)[0]
-    assert shown == picture(), "write it anew: PYTHONPATH=.:tests python tests/test_structure.py"
+    shown = ARCHITECTURE.read_text().partition(DIAGRAM_BEGINS)[2].partition(DIAGRAM_ENDS)[0]
+    assert shown == diagram(), "regenerate the diagram: PYTHONPATH=.:tests python tests/test_structure.py"
 
 
 def test_direct_edges_omit_transitive_imports() -> None:
@@ -186,4 +188,4 @@
 
 
 if __name__ == "__main__":
-    write_picture()
+    write_diagram()
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -1,7 +1,7 @@
-"""The finished packages speak the field's language: `docs/glossary.md` says which words are withdrawn.
+"""The finished packages use the terms of the field: `docs/glossary.md` lists the withdrawn words.
 
-A word of its left column stands in no identifier and no log line of a finished package, but where the page
-lists an edge: a file whose names are those of the wire, the settings or the stored data.
+No identifier and no log line of a finished package contains a word of the page's left column, except in the
+files that the page lists as edges, whose names are those of the wire, the settings or the stored data.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 import pytest
 from source_inspection import (
     DOCS,
-    PROGRAM,
+    PACKAGE,
+    backticked,
     class_sizes,
     identifiers,
     log_lines,
     parse,
-    quoted,
-    sources,
+    python_files,
+    split_words,
     table_rows,
-    words_of,
 )  # fmt: skip
 
-# Packages whose names are the field's, whole. One that is added here stays.
+# Packages that use the terms of the field throughout. A package is never removed from this list.
 FINISHED: tuple[str, ...] = (
     "backends",
     "cli",
@@ -50,16 +50,16 @@
 )
 
 GLOSSARY = DOCS / "glossary.md"
-NOTE = DOCS / "design" / "readability.md"
+READABILITY_NOTE = DOCS / "design" / "readability.md"
 MAX_METHODS = 20
 MAX_LINES = 250
-# Names of the standard library and of others that hold a withdrawn word.
+# Names of the standard library and of other libraries that contain a withdrawn word.
 FOREIGN = frozenset({"most_common", "heapq", "partial", "partition", "rpartition"})
 
 
 @dataclass(slots=True, frozen=True)
-class Withdrawn:
-    """A word that is not used any more, and the packages where it is looked for; none: in all."""
+class WithdrawnWord:
+    """A word that is no longer used, and the packages that are searched for it; all packages if empty."""
 
     word: str
     packages: frozenset[str]
@@ -67,15 +67,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Edge:
-    """A file where a word stays, since it is the wire's, the settings' or the stored data's."""
+    """A file that keeps a word because the wire, the settings or the stored data use it."""
 
     file: str  # below oxbowyard/
     word: str
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """A withdrawn word in a file."""
+class Occurrence:
+    """An occurrence of a withdrawn word in a file."""
 
     file: str
     line: int
@@ -83,36 +83,36 @@
     text: str
 
 
-def withdrawn() -> list[Withdrawn]:
-    """The left column."""
+def withdrawn_words() -> list[WithdrawnWord]:
+    """Return the words of the left column of the glossary."""
     words = []
     for row in table_rows(GLOSSARY, "withdrawn"):
-        packages = frozenset(quoted(row.cells[2]))
-        words += [Withdrawn(word, packages) for word in quoted(row.cells[0])]
+        packages = frozenset(backticked(row.cells[2]))
+        words += [WithdrawnWord(word, packages) for word in backticked(row.cells[0])]
     return words
 
 
 def edges() -> list[Edge]:
-    """The page's table of edges."""
+    """Return the edges that the glossary lists."""
     return [
         Edge(file, word)
         for row in table_rows(GLOSSARY, "file")
-        for file in quoted(row.cells[0])
-        for word in quoted(row.cells[1])
+        for file in backticked(row.cells[0])
+        for word in backticked(row.cells[1])
     ]
 
 
-def words_found(tree: ast.AST, lines: list[tuple[int, str]], file: str, words: set[str]) -> list[Found]:
-    """Each withdrawn word in the names of a file and in its log lines."""
+def find_words(tree: ast.AST, lines: list[tuple[int, str]], file: str, words: set[str]) -> list[Occurrence]:
+    """Return each occurrence of the words in the names and the log lines of a file."""
     found = [
-        Found(file, name.line, word, name.text)
+        Occurrence(file, name.line, word, name.text)
         for name in identifiers(tree)
         if name.text not in FOREIGN
-        for word in words_of(name.text)
+        for word in split_words(name.text)
         if word in words
     ]
     found += [
-        Found(file, line, word, text)
+        Occurrence(file, line, word, text)
         for line, text in lines
         for word in re.findall(r"[a-z]+", text.lower())
         if word in words
@@ -120,76 +120,83 @@
     return found
 
 
-def look(path: Path, package: str, words: list[Withdrawn]) -> list[Found]:
-    """The withdrawn words of one file of a package, edges among them."""
-    wanted = {w.word for w in words if not w.packages or package in w.packages}
+def find_withdrawn(path: Path, package: str, words: list[WithdrawnWord]) -> list[Occurrence]:
+    """Return the withdrawn words in a file and in its name, those of edges included."""
+    searched = {w.word for w in words if not w.packages or package in w.packages}
     lines = [(line.line, line.text) for line in log_lines(path)]
     tree = parse(path)
-    file = path.relative_to(PROGRAM).as_posix()
-    return words_found(tree, lines, file, wanted) + [
-        Found(file, 1, word, path.stem) for word in words_of(path.stem) if word in wanted
+    file = path.relative_to(PACKAGE).as_posix()
+    return find_words(tree, lines, file, searched) + [
+        Occurrence(file, 1, word, path.stem) for word in split_words(path.stem) if word in searched
     ]
 
 
-def module_of(package: str) -> list[Path]:
-    """A package's files, or the module of that name."""
-    folder = PROGRAM / package
-    return sources(folder) if folder.is_dir() else [PROGRAM / f"{package}.py"]
+def package_files(package: str) -> list[Path]:
+    """Return the files of a package, or the module of that name."""
+    folder = PACKAGE / package
+    return python_files(folder) if folder.is_dir() else [PACKAGE / f"{package}.py"]
 
 
 @pytest.mark.parametrize("package", FINISHED)
 def test_finished_package_has_no_withdrawn_word(package: str) -> None:
     allowed = {(edge.file, edge.word) for edge in edges()}
-    found = [f for path in module_of(package) for f in look(path, package, withdrawn())]
-    wrong = sorted(
+    found = [f for path in package_files(package) for f in find_withdrawn(path, package, withdrawn_words())]
+    unexpected = sorted(
         f"{f.file}:{f.line}: {f.word} in {f.text!r}" for f in found if (f.file, f.word) not in allowed
     )
-    assert not wrong, "docs/glossary.md has another word for these:\n" + "\n".join(wrong)
+    assert not unexpected, "withdrawn words; docs/glossary.md lists their replacements:\n" + "\n".join(
+        unexpected
+    )
 
 
 @pytest.mark.parametrize("package", FINISHED)
 def test_finished_package_has_no_large_class(package: str) -> None:
-    excepted = {name for row in table_rows(NOTE, "class") for name in quoted(row.cells[0])}
+    exceptions = {name for row in table_rows(READABILITY_NOTE, "class") for name in backticked(row.cells[0])}
     large = [
-        f"{path.relative_to(PROGRAM)}: {size}"
-        for path in module_of(package)
+        f"{path.relative_to(PACKAGE)}: {size}"
+        for path in package_files(package)
         for size in class_sizes(parse(path))
-        if (size.methods > MAX_METHODS or size.lines > MAX_LINES) and size.name not in excepted
+        if (size.methods > MAX_METHODS or size.lines > MAX_LINES) and size.name not in exceptions
     ]
-    assert not large, "split them, or give a reason in docs/design/readability.md:\n" + "\n".join(large)
+    assert not large, (
+        "classes over the limits; split them, or give a reason in docs/design/readability.md:\n"
+        + "\n".join(large)
+    )
 
 
 def test_every_listed_edge_is_needed() -> None:
-    """An edge of a finished package whose file does not have the word any more goes from the page."""
+    """An edge is removed from the page once its file does not contain the word any more."""
     stale = []
     for edge in edges():
         package = edge.file.split("/")[0].removesuffix(".py")
-        path = PROGRAM / edge.file
+        path = PACKAGE / edge.file
         if package not in FINISHED:
             continue
-        if not path.exists() or edge.word not in {f.word for f in look(path, package, withdrawn())}:
+        if not path.exists() or edge.word not in {
+            f.word for f in find_withdrawn(path, package, withdrawn_words())
+        }:
             stale.append(edge)
     assert not stale
 
 
 def test_every_class_size_exception_is_needed() -> None:
-    sizes = {size.name: size for path in sources() for size in class_sizes(parse(path))}
-    excepted = [name for row in table_rows(NOTE, "class") for name in quoted(row.cells[0])]
-    assert [name for name in excepted if name not in sizes] == []
-    small = [n for n in excepted if sizes[n].methods <= MAX_METHODS and sizes[n].lines <= MAX_LINES]
+    sizes = {size.name: size for path in python_files() for size in class_sizes(parse(path))}
+    exceptions = [name for row in table_rows(READABILITY_NOTE, "class") for name in backticked(row.cells[0])]
+    assert [name for name in exceptions if name not in sizes] == []
+    small = [n for n in exceptions if sizes[n].methods <= MAX_METHODS and sizes[n].lines <= MAX_LINES]
     assert small == []
 
 
 def test_glossary_table_is_parsed() -> None:
-    words = {w.word for w in withdrawn()}
+    words = {w.word for w in withdrawn_words()}
     assert {"req", "chore", "door", "kin", "barred"} <= words
-    assert all(re.fullmatch("[a-z]+", word) for word in words), "one word each, in small letters"
-    packages = {package for w in withdrawn() for package in w.packages}
-    assert all((PROGRAM / package).is_dir() for package in packages)
+    assert all(re.fullmatch("[a-z]+", word) for word in words), "each entry must be one word in lower case"
+    packages = {package for w in withdrawn_words() for package in w.packages}
+    assert all((PACKAGE / package).is_dir() for package in packages)
 
 
 @pytest.mark.parametrize(
-    ("source", "seen"),
+    ("source", "is_found"),
     [
         ("barred = 1", True),
         ("x.barred_until", True),
@@ -212,23 +219,23 @@
     ],
 )
 def test_withdrawn_word_is_found_in_names_and_log_lines(
-    source: str, seen: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    source: str, is_found: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "module.py"
     path.write_text(source)
     monkeypatch.setattr("source_inspection.REPOSITORY", tmp_path)
-    monkeypatch.setattr("test_vocabulary.PROGRAM", tmp_path)
-    words = [Withdrawn("barred", frozenset()), Withdrawn("other", frozenset({"elsewhere"}))]
-    assert bool(look(path, "somewhere", words)) is seen
+    monkeypatch.setattr("test_vocabulary.PACKAGE", tmp_path)
+    words = [WithdrawnWord("barred", frozenset()), WithdrawnWord("other", frozenset({"elsewhere"}))]
+    assert bool(find_withdrawn(path, "somewhere", words)) is is_found
 
 
 def test_withdrawn_word_is_found_in_a_module_name(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "barred_workers.py"
     path.write_text("")
     monkeypatch.setattr("source_inspection.REPOSITORY", tmp_path)
-    monkeypatch.setattr("test_vocabulary.PROGRAM", tmp_path)
-    assert look(path, "somewhere", [Withdrawn("barred", frozenset())])
-    assert not look(path, "somewhere", [Withdrawn("barred", frozenset({"elsewhere"}))])
+    monkeypatch.setattr("test_vocabulary.PACKAGE", tmp_path)
+    assert find_withdrawn(path, "somewhere", [WithdrawnWord("barred", frozenset())])
+    assert not find_withdrawn(path, "somewhere", [WithdrawnWord("barred", frozenset({"elsewhere"}))])
 
 
 def test_class_size_counts_methods_and_lines() -> None:
