--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -29,9 +29,8 @@
 from oxbowyard.waiting.settings import WaitingSettings
 
 MANNERS = pytest.mark.parametrize("manner", ["close", "half", "reset"])
-AHEAD = pytest.mark.parametrize(
-    "ahead", [0, 200, 400_000]
-)  # bytes of pipelined requests; 200 small ones pause reading
+# Bytes of pipelined requests; 200 small requests pause reading.
+AHEAD = pytest.mark.parametrize("ahead", [0, 200, 400_000])
 CLASSES = pytest.mark.parametrize("job_class", ["preview", "accession"])
 DETECT_DISCONNECT_S = 0.1  # the protocol's bound: no attempt may begin later than this after the close
 LOOP_STALL_S = 0.05  # a stall of the loop within that bound; detection must need no more than the rest
@@ -242,9 +241,8 @@
             await asyncio.sleep(0.01)
         harness.loop.call_later(SLOW_CONNECT_S, harness.loop.connects_allowed.set)
         disconnect_client(manner)
-        await _assert_not_sent(
-            harness, complete_requests=REQUESTS_PER_MOVE + 1
-        )  # including the one that the first worker never started
+        # The count includes the request that the first worker never started.
+        await _assert_not_sent(harness, complete_requests=REQUESTS_PER_MOVE + 1)
 
     run_scenario(tmp_path, scenario, **SLOW_CONNECT_CHANGES)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -89,7 +89,7 @@
         harness.client_connections._max_connections = 8
         silent = [harness.connect() for _ in range(4)]
         await run_loop_iterations()
-        await asyncio.sleep(0.5)  # these are past the grace of new connections, and may be evicted
+        await asyncio.sleep(0.5)  # the silent connections have reached the minimum age for eviction
         clients = [harness.connect() for _ in range(40)]
         for number, client in enumerate(clients):
             client.sendall(request_bytes("preview", f"a{number}"))
@@ -135,9 +135,7 @@
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize(
-    "cut", [1, 40, -3]
-)  # bytes sent first: a part of the request line, of the head, of the body
+@pytest.mark.parametrize("cut", [1, 40, -3])  # bytes sent first: within the request line, head, body
 def test_partially_received_request_at_shutdown_is_answered(tmp_path: Path, cut: int) -> None:
     async def scenario(harness: SchedulerHarness) -> None:
         await harness.start()
@@ -280,9 +278,8 @@
         requesting, silent = harness.connect(), harness.connect()
         await run_loop_iterations()
         await asyncio.sleep(0.5)
-        requesting.sendall(
-            request_bytes("preview")
-        )  # the connection that was silent longest, its request unread
+        # The connection that was silent longest now has an unread request.
+        requesting.sendall(request_bytes("preview"))
         harness.client_connections.evict_idle_connection()
         await asyncio.sleep(1.0)
         assert b" 200 OK" in await harness.read_available(requesting)
@@ -293,9 +290,7 @@
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize(
-    "awaits_body", [False, True]
-)  # whether only the body is missing, or a part of the head
+@pytest.mark.parametrize("awaits_body", [False, True])  # False: a part of the head is missing, too
 def test_eviction_spares_a_request_completed_in_the_same_iteration(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, awaits_body: bool
 ) -> None:
@@ -307,7 +302,7 @@
         cut = -3 if awaits_body else 40
         client.sendall(request_bytes("accession")[:cut])
         await run_loop_iterations()
-        await asyncio.sleep(1.5)  # past the grace of new connections
+        await asyncio.sleep(1.5)  # the connection has reached the minimum age for eviction
 
         def receive_and_evict(connection: Connection, data: bytes) -> None:
             receive(connection, data)
@@ -466,7 +461,7 @@
 def test_retry_whose_connection_opens_after_the_deduplication_window_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reset_at: float
 ) -> None:
-    """The window was checked when the worker was chosen, but the last byte was sent after the connect."""
+    """Guards against checking the window only when the worker is chosen, before a slow connect."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -485,9 +480,8 @@
         await run_loop_iterations()
         retried_at = None
         while harness.loop.time() < sent + 3.0:
-            if (
-                harness.loop.time() > sent + reset_at + 0.2
-            ):  # an attempt chosen before has been connecting since
+            # An attempt that was chosen by now has been connecting all this time.
+            if harness.loop.time() > sent + reset_at + 0.2:
                 harness.loop.connects_allowed.set()
             await asyncio.sleep(0.005)
             if retried_at is None and harness.worker.complete_requests == 2:
