--- a/tests/response_recorder.py
+++ b/tests/response_recorder.py
@@ -30,7 +30,8 @@
 # Transient files in `$TMPDIR`: those by which Python's `tempfile` probes the folder, and files that are still
 # written and not yet renamed to their final name.
 TRANSIENT_NAME = re.compile(r"[a-z0-9_]{8}|oxbowyard-.+\.\d+")
-# A loopback address derived from the process id, so that tests in parallel processes do not share ports.
+# A loopback address derived from the process id: a port that another process binds or connects from is at
+# another address and cannot collide.
 OWN_HOST = f"127.{100 + (os.getpid() >> 16) % 100}.{(os.getpid() >> 8) & 255}.{os.getpid() & 255}"
 HTTP_PORT, ADMIN_PORT, MEMBERSHIP_PORT = 18443, 18090, 17946
 
