--- a/tests/test_cancel_crossings.py
+++ b/tests/test_cancel_crossings.py
@@ -7,7 +7,7 @@
 
 import pytest
 from test_job_queue import QueueHarness
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.core.request import AttemptContext, AttemptOutcome, Request, RunState, reason_not_to_send
 from oxbowyard.decision.facade import Result
@@ -80,7 +80,7 @@
         if outcome is JobOutcome.SERVED:
             assert run_state is RunState.HAS_RUN
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("turns", range(6))
@@ -102,4 +102,4 @@
             assert crossing.sent == 1
         assert outcome in (JobOutcome.CANCELLED, JobOutcome.SERVED)
 
-    play(scene)
+    run_in_virtual_time(scene)
--- a/tests/test_gearman_chaos.py
+++ b/tests/test_gearman_chaos.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from player import Player, Program
+from exchange_player import ExchangePlayer, SchedulerProcess
 
 JOBS = 150
 WORKERS = 4
@@ -97,10 +97,10 @@
 def test_each_job_ends_once_while_workers_are_killed(seed: int, tmp_path: Path) -> None:
     script = tmp_path / "start.txt"
     script.write_text('start gearman:max_queue=1000\nlist {"rev":1,"all":true,"targets":[]}\n')
-    player = Player(script, tmp_path)
+    player = ExchangePlayer(script, tmp_path)
     try:
         for _, line in player.lines:
-            player._line(line)
+            player._run_line(line)
         assert player.program
         observations = asyncio.run(play(player.program.address("gearman"), seed))
         check(observations, player.program)
@@ -108,7 +108,7 @@
         player.end()
 
 
-def check(observations: Observations, program: Program) -> None:
+def check(observations: Observations, program: SchedulerProcess) -> None:
     assert len(observations.ends) == JOBS and observations.lost_with_worker
     for workload, times in observations.assigned.items():
         if workload.startswith(b"a"):
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.core.request import Answer, AnswerKind, AttemptContext, AttemptOutcome, Request, RunState
 from oxbowyard.core.scheduler import Limits, Scheduler
@@ -148,7 +148,7 @@
             await job_queue.serve(Request("c3", "once", 60.0), WaitOptions(idempotency_key="k"))
         ).body == b"made c2"  # the key returns the result of the existing job
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_rejected_job_is_resubmitted_until_served() -> None:
@@ -163,7 +163,7 @@
         assert len(request_ids) > 2  # each resubmission has a new request id
         assert all(sum(x == id_ for _, x, _, _ in harness.attempts) <= 3 for id_ in request_ids)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_job_rejected_repeatedly_ends_when_max_wait_expires() -> None:
@@ -178,7 +178,7 @@
         harness.submit("b", "once", max_wait_s=30.0)  # not a queueing class
         assert await harness.until("b") == [JobOutcome.REJECTED]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize(
@@ -207,7 +207,7 @@
         assert harness.results["p"].run_state is ran
         assert set(harness.ends.values()) == {1}
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_client_disconnect_cancels_job_and_fails_dependents() -> None:
@@ -222,7 +222,7 @@
         assert await harness.until("c") == [JobOutcome.DEPENDENCY_FAILED]
         assert harness.attempts == [] and harness.job_queue.find("p").outcome is JobOutcome.CANCELLED  # type: ignore[union-attr]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 @pytest.mark.parametrize("hours", [-1.0, 24.0])
@@ -239,7 +239,7 @@
         harness.submit("past", not_before_unix_s=1.0)
         assert await harness.until("past") == [JobOutcome.SERVED]
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_stop_ends_thousand_waiting_jobs_as_never_run() -> None:
@@ -264,7 +264,7 @@
         await harness.job_queue.wait_until_idle()
         assert len(harness.ends) == 1_000
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 class ManualJournal(InMemoryJournal):
@@ -319,7 +319,7 @@
         await harness.job_queue.wait_until_idle()
         assert await poll is None and "b" not in harness.results
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_failing_end_callback_does_not_affect_other_jobs(caplog: pytest.LogCaptureFixture) -> None:
@@ -334,7 +334,7 @@
         assert await harness.until("good") == [JobOutcome.SERVED]
         assert "could not carry out" in caplog.text
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 class SlotWorkers:
@@ -377,7 +377,7 @@
         assert 0 < after["cold"] < 2.5 * 0.3 * 4 / 0.03 * 3 and after["w1"] > 100
         assert {result.outcome for result in harness.results.values()} == {JobOutcome.SERVED}
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_release_rate_follows_a_shrinking_fleet() -> None:
@@ -398,7 +398,7 @@
         assert {backend for backend, _ in workers.is_waiting} == {"w0"}
         assert max(wait for _, wait in workers.is_waiting) < 0.4
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_aged_job_is_submitted_in_the_aged_class() -> None:
@@ -409,7 +409,7 @@
         while not any(name.endswith(AGED_CLASS_SUFFIX) for _, _, name, _ in harness.attempts):
             await asyncio.sleep(0.005)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_watcher_limit_and_window_bound_are_applied() -> None:
@@ -425,7 +425,7 @@
         assert await harness.job_queue.wait("a", 0.01) is None
         assert with_bounded_window(harness.job_queue.settings, max_open_requests=5).max_window == 2
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_answer_reports_run_state() -> None:
@@ -440,7 +440,7 @@
         answer = await harness.scheduler.serve(Request("r", "once", 0.3))
         assert (answer.kind, answer.run_state) == (AnswerKind.REJECTED, RunState.NEVER_RAN)
 
-    play(scene)
+    run_in_virtual_time(scene)
 
 
 def test_served_requests_leave_no_reference_cycles_and_full_gc_waits_for_few_jobs() -> None:
@@ -467,7 +467,7 @@
     enabled = gc.isenabled()
     gc.disable()  # only explicit collections run
     try:
-        play(scene, most=2 * MAX_PASS_INTERVAL_S)
+        run_in_virtual_time(scene, timeout_s=2 * MAX_PASS_INTERVAL_S)
     finally:
         gc.callbacks.pop()
         if enabled:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,7 +12,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from player import ROOT, Program
+from exchange_player import ROOT, SchedulerProcess
 
 
 @contextmanager
@@ -55,7 +55,7 @@
 
 def test_example_daemon_serves_a_job(tmp_path: Path) -> None:
     with run_program(r"on ([\d.]+):(\d+)", "examples/toy_server.py", "--port", "0") as toy_server:
-        program = Program(make_config(tmp_path, toy_server), tmp_path, [])
+        program = SchedulerProcess(make_config(tmp_path, toy_server), tmp_path, [])
         try:
             program.wait_for("-> serving")
             address = program.address("http")
--- a/tests/test_watch_failures.py
+++ b/tests/test_watch_failures.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.decision.facade import Readiness, Scope, WorkerInfo
 from oxbowyard.discovery.client import DiscoveryClient
@@ -158,7 +158,7 @@
         assert updates.registry.address("w1") is None
         await _stop(server, task)
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
 
 
 @pytest.mark.parametrize("overloaded", [True, False])
@@ -186,7 +186,7 @@
         assert updates.registry.address("w1") is not None and updates.received[-1][1] is Readiness.READY
         await _stop(server, task)
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -202,7 +202,7 @@
         assert (updates.registry.address("w1") is None) is late
         await _stop(server, task)
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
 
 
 MALFORMED_ENTRIES: list[dict[str, Any]] = [
@@ -265,7 +265,7 @@
         assert updates.received[-1][1] is Readiness.DRAINING, "the lost change is sent again"
         await _stop(server, task)
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
 
 
 def test_older_revision_is_applied_only_after_a_full_list_confirms_it() -> None:
@@ -285,7 +285,7 @@
         assert updates.received[-1][1] is Readiness.READY and updates.registry.address("w1")
         await _stop(server, task)
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
 
 
 def test_backend_that_returns_elsewhere_has_its_new_address() -> None:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -12,7 +12,7 @@
 
 import pytest
 from aiohttp import web
-from virtual import play
+from virtual_loop import run_in_virtual_time
 
 from oxbowyard.decision.facade import Scope, WorkerInfo
 from oxbowyard.discovery.client import DiscoveryClient
@@ -139,7 +139,7 @@
             "most are notified at once by their running watch"
         )
 
-    play(scenario, most=600.0)
+    run_in_virtual_time(scenario, timeout_s=600.0)
 
 
 RESTARTED_COUNT, READY_WITHIN_S = 20, 6.0  # a tenth of 200 schedulers; the bound for a short simulated day
@@ -174,6 +174,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await runner.cleanup()
 
-    play(scenario, most=60.0)
+    run_in_virtual_time(scenario, timeout_s=60.0)
     assert len(ready_at) >= 0.9 * RESTARTED_COUNT
     assert not has_stored_list or max(ready_at) == 0.0
