--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -32,7 +32,7 @@
     return path
 
 
-def test_a_file_with_ten_faults_names_all_ten(tmp_path: Path) -> None:
+def test_check_reports_all_ten_faults_of_a_file(tmp_path: Path) -> None:
     bad = copy.deepcopy(GOOD)
     bad["listen"], bad["seed"], bad["limits"]["sockets"] = "here", "xyz", 0
     lanes = bad["settings"]["lanes"]
@@ -53,7 +53,7 @@
     assert done.output.splitlines()[-1].endswith("10 faults")
 
 
-def test_an_unknown_key_names_the_nearest(tmp_path: Path) -> None:
+def test_an_unknown_key_is_reported_with_the_nearest_known_key(tmp_path: Path) -> None:
     bad = copy.deepcopy(GOOD)
     bad["admni"] = "127.0.0.1:9100"
     bad["settings"]["policyLimits"]["maxAtempts"] = bad["settings"]["policyLimits"].pop("maxAttempts")
@@ -70,19 +70,19 @@
     assert done.exit_code == 2 and says in done.output
 
 
-def test_good_files_pass(tmp_path: Path) -> None:
+def test_check_accepts_valid_files(tmp_path: Path) -> None:
     for path in (written(tmp_path, GOOD), ROOT / "examples/config.json", ROOT / "deploy/operator.toml"):
         done = runner.invoke(app, ["check", str(path)])
         assert done.exit_code == 0, done.output
 
 
-def test_a_fault_in_the_operators_file(tmp_path: Path) -> None:
+def test_check_reports_an_unknown_key_of_the_operator_file(tmp_path: Path) -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("max_jobs =", "max_job =", 1)
     done = runner.invoke(app, ["check", str(written(tmp_path, text, "operator.toml"))])
     assert done.exit_code == 2 and "waiting.max_job: no such key; did you mean max_jobs?" in done.output
 
 
-def test_where_each_value_came_from(tmp_path: Path) -> None:
+def test_config_show_names_the_source_of_each_value(tmp_path: Path) -> None:
     document = {k: v for k, v in GOOD.items() if k != "listen"}
     path = written(tmp_path, document)
     env = {"LB_LISTEN": "127.0.0.1:9000", "LB_CONFIG": str(path)}
@@ -95,12 +95,12 @@
     assert rows["settings.policyLimits.maxAttempts"]["value"] == 3
 
 
-def test_show_refuses_a_faulty_file(tmp_path: Path) -> None:
+def test_config_show_rejects_an_invalid_file(tmp_path: Path) -> None:
     done = runner.invoke(app, ["config", "show", "--config", str(written(tmp_path, {"settings": {}}))])
     assert done.exit_code == 2 and "oxbowyard check" in done.output
 
 
-def test_the_schema_holds_the_good_and_not_the_bad() -> None:
+def test_the_schema_accepts_valid_and_rejects_invalid_configurations() -> None:
     done = runner.invoke(app, ["config", "schema"])
     schema = json.loads(done.output)
     jsonschema.validate(json.loads((ROOT / "examples/config.json").read_text()), schema)
@@ -113,19 +113,19 @@
 @pytest.mark.parametrize(
     ("option", "name"), [([], "schema-platform.json"), (["--operator"], "schema-operator.json")]
 )
-def test_the_schemas_are_those_of_the_program_as_found(option: list[str], name: str) -> None:
+def test_the_printed_schemas_equal_the_stored_fixtures(option: list[str], name: str) -> None:
     """Byte for byte, with the docstrings of the models that msgspec puts into them. The fixtures are what
     `python -m oxbowyard.cli config schema [--operator]` printed at 52dd340."""
     done = runner.invoke(app, ["config", "schema", *option])
     assert done.output == (ROOT / "tests" / "fixtures" / name).read_text()
 
 
-def test_version() -> None:
+def test_the_version_command_prints_the_program_name() -> None:
     done = runner.invoke(app, ["version"])
     assert done.exit_code == 0 and done.output.startswith("oxbowyard ")
 
 
-def test_without_the_extra_one_line(
+def test_without_the_cli_extra_the_command_exits_with_one_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setitem(sys.modules, "oxbowyard.cli.app", None)
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize(("path", "value"), [("", None), *MUTATIONS], ids=lambda x: str(x))
-def test_the_model_and_the_loader_of_run_agree(tmp_path: Path, path: str, value: object) -> None:
+def test_check_and_the_loader_of_run_reach_the_same_verdict(tmp_path: Path, path: str, value: object) -> None:
     document = mutated(path, value) if path else GOOD
     faulty = any(not issue.is_note for issue in check_platform(document, {}))
     try:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -43,7 +43,7 @@
         json.dumps(GOOD | {"listen": "192.0.2.1:1"}),  # not an address of this machine
     ],
 )
-def test_bad_configuration(config: str | None, tmp_path: Path) -> None:
+def test_an_invalid_configuration_exits_with_one_line_on_stderr(config: str | None, tmp_path: Path) -> None:
     done = start(config, tmp_path)
     assert done.returncode != 0 and done.stderr.count("\n") == 1, done.stderr
     assert done.stderr.startswith("oxbowyard: ")
@@ -59,7 +59,7 @@
         'listen = "127.0.0.1:0"\n[functions.f]\nclass = "preview"\nworth = -1',
     ],
 )
-def test_bad_gearman_file(text: str, tmp_path: Path) -> None:
+def test_an_invalid_gearman_file_exits_with_one_line_on_stderr(text: str, tmp_path: Path) -> None:
     (tmp_path / "gearman.toml").write_text(text)
     done = start(json.dumps(GOOD), tmp_path, "--gearman", str(tmp_path / "gearman.toml"))
     assert done.returncode != 0 and done.stderr.count("\n") == 1, done.stderr
@@ -67,14 +67,14 @@
 
 
 @pytest.mark.parametrize("name", ["config.json", "config_asked.json"])
-def test_the_sample_files_can_be_used(name: str) -> None:
+def test_the_sample_configurations_load(name: str) -> None:
     config = load({"LB_CONFIG": str(ROOT / "examples" / name)})
     assert config.settings.weight_is_per_work and config.settings.must_subscribe is (
         name == "config_asked.json"
     )
 
 
-def test_a_lost_watch_is_given_up_before_all_counts_as_told() -> None:
+def test_a_lost_watch_times_out_before_its_changes_count_as_notified() -> None:
     """Its 8 s and the 2.5 s past them were more than the 10 s after which all counts as told."""
     schedule = PollSchedule(True, 3, Random(1), 10_000.0)
     assert schedule.wait_ms + schedule.timeout_s(0.0, False) * 1000 < 10_000
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize(("table", "name"), FIGURES)
 @pytest.mark.parametrize("value", ["soon", [1], -1, True, None, "absent"])
-def test_a_figure_of_a_wrong_type_is_named_and_one_that_lacks_has_a_default(
+def test_a_setting_of_the_wrong_type_is_named_and_a_missing_one_gets_its_default(
     table: str, name: str, value: object, tmp_path: Path
 ) -> None:
     """A text for a figure used to be found by the first req, or by the start, as a fault of ours."""
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -44,7 +44,7 @@
     return found
 
 
-def test_the_openapi_description_is_one() -> None:
+def test_the_openapi_descriptions_are_valid() -> None:
     validate(OPENAPI)
     validate(WAITING)
 
@@ -60,7 +60,7 @@
     assert {200, 400, 404, 405, 413, 502, 503} <= seen
 
 
-def test_the_described_forms_are_those_the_program_takes() -> None:
+def test_the_described_header_patterns_and_limits_match_the_program() -> None:
     forms = {p["name"]: p["schema"].get("pattern") for p in SUBMIT["parameters"]}
     for name, form in (("Req-Id", ID_PATTERN), ("Req-Deadline", DURATION_PATTERN)):
         for text in ("9b1f", "a b", "", "-x", "480m", "480", "1.5u", "1s", "~", "x" * 129):
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(MESSAGES))
-def test_each_job_event_is_taken_as_described(name: str) -> None:
+def test_the_answer_reader_parses_each_job_event_as_described(name: str) -> None:
     message = MESSAGES[name]
     for example in message["examples"]:
         payload = example["payload"]
@@ -93,12 +93,12 @@
             assert reader.is_started or reader.progress == payload["share"]
 
 
-def test_the_described_events_are_all_the_events() -> None:
+def test_every_job_event_of_the_program_is_described() -> None:
     assert set(MESSAGES) == {"started", "running", *FINAL_STATES}
     assert set(ASYNCAPI["channels"]["jobEvents"]["messages"]) == set(MESSAGES)
 
 
-def test_the_recorded_events_fit_the_description() -> None:
+def test_recorded_job_events_match_their_schema() -> None:
     count = 0
     for path in EXCHANGES:
         for line in re.findall(r"^s\d chunk (\{.*\})\\n$", path.read_text(), re.M):
@@ -112,7 +112,7 @@
     return {"$ref": f"#/components/schemas/{name}", "components": WAITING["components"]}
 
 
-def test_the_recorded_waiting_jobs_fit_their_description() -> None:
+def test_recorded_deferred_job_exchanges_match_their_schemas() -> None:
     """Each JSON answer of the exchanges by its form, and each status by those that are described."""
     statuses = {s for path in WAITING["paths"].values() for op in path.values() for s in op["responses"]}
     seen = set()
@@ -130,7 +130,7 @@
     assert seen - {"405"} <= statuses and {"200", "202", "404", "409", "413", "422", "429"} <= seen
 
 
-def test_the_described_job_has_the_fields_that_the_program_takes() -> None:
+def test_the_described_deferred_jobs_have_the_fields_and_states_of_the_program() -> None:
     schemas = WAITING["components"]["schemas"]
     for name, form in (("Job", JobDocument), ("JobView", JobView), ("Batch", BatchDocument)):
         assert set(schemas[name]["properties"]) == {f.encode_name for f in msgspec.structs.fields(form)}
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,7 +13,7 @@
 import pytest
 from player import PATIENCE, SETTINGS, Program
 from stage import ask
-from test_replacement import Stand, free_port, status, wait_until
+from test_replacement import ThreadedServer, free_port, get_status, wait_until
 
 from oxbowyard.daemon.descriptors import Descriptors
 from oxbowyard.discovery.poll_schedule import NOTIFIED_WITHIN_S
@@ -27,7 +27,7 @@
 }
 
 
-class HeldWorker(Stand):
+class HeldWorker(ThreadedServer):
     """Takes each job and holds it until told to end them all."""
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("manner", IDLE_MANNERS)
-def test_idle_clients_that_take_all_they_can_leave_room_for_the_rest(tmp_path: Path, manner: str) -> None:
+def test_idle_connections_leave_descriptors_for_other_traffic(tmp_path: Path, manner: str) -> None:
     """Discovery is down meanwhile; as many jobs as may be open hold a connection to the worker each."""
     worker = HeldWorker()
     worker.start()
@@ -118,7 +118,7 @@
         stack.enter_context(discovery.start())
         wait_until(lambda: discovery.calls >= 1, NOTIFIED_WITHIN_S)
         program.wait_for("endpoint list applied: revision=2 scope=full")
-        assert status(admin, "/control/ready") == 200, "the operators are answered beside a crowd"
+        assert get_status(admin, "/control/ready") == 200, "the operators are answered beside a crowd"
         worker.may_end.set()
         for client in asking[:4]:
             client.settimeout(PATIENCE)
--- a/tests/test_ends_of_the_program.py
+++ b/tests/test_ends_of_the_program.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("state", ["starting", "serving", "reloading", "handing over", "leaving"])
 @pytest.mark.parametrize("signals", ["term", "term term", "hup term", "term hup"])
-def test_sigterm_answers_what_was_taken(tmp_path: Path, state: str, signals: str) -> None:
+def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path, state: str, signals: str) -> None:
     discovery, silent, worker = Peer(True), Peer(True), Peer(True)
     told = threading.Event()
     if state != "starting":
--- a/tests/test_handover_states.py
+++ b/tests/test_handover_states.py
@@ -28,9 +28,7 @@
 
 
 @pytest.mark.parametrize("state", [State.STARTING, State.LEAVING])
-def test_a_process_that_does_not_serve_never_says_that_it_has_handed_over(
-    state: State, tmp_path: Path
-) -> None:
+def test_a_process_that_is_not_serving_never_reports_handed_over(state: State, tmp_path: Path) -> None:
     # Guards against a successor that is told "handed over" by a process which goes on to accept clients.
     async def scene() -> None:
         config = Stage(tmp_path).config
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 384, 512, 1024])
 @pytest.mark.parametrize("admin", [False, True])
-def test_the_descriptors_are_enough_for_all_at_once(sockets: int, admin: bool) -> None:
+def test_the_descriptor_budget_fits_the_configured_sockets(sockets: int, admin: bool) -> None:
     """The admin API's 32 callers used to be counted nowhere: more than all that was set aside."""
     shared = Descriptors.share_out(sockets, 20_000, admin=admin)
     assert shared.total <= sockets
@@ -37,7 +37,7 @@
     assert with_gearman.total <= sockets
 
 
-def test_without_a_descriptor_the_acceptor_tries_again_now_and_then() -> None:
+def test_the_acceptor_retries_at_intervals_while_no_descriptor_is_free() -> None:
     class Sessions:
         free = 1
 
@@ -68,7 +68,7 @@
     asyncio.run(play())
 
 
-def test_bodies_are_bounded_in_all() -> None:
+def test_all_request_bodies_share_one_memory_limit() -> None:
     memory = BodyMemory(100)
     with memory.reserve(60):
         with pytest.raises(BodyMemoryFullError) as fault, memory.reserve(60):
@@ -78,13 +78,13 @@
         pass
 
 
-def test_a_unique_id_of_any_size_is_a_short_key() -> None:
+def test_a_unique_id_of_any_length_becomes_a_short_key() -> None:
     assert digest_key(b"") is None
     keys = {digest_key(b"x" * size) for size in (1, 2, 200_000)}
     assert len(keys) == 3 and all(key and len(key) <= 64 for key in keys)
 
 
-def test_gearman_leaves_the_http_front_its_descriptors() -> None:
+def test_gearman_leaves_enough_descriptors_to_the_http_front() -> None:
     async def play() -> None:
         settings = Settings(classes=(JobClass("preview", latency_objective_ms=1000, deadline_ms=5000),))
         config = Config("n", "127.0.0.1", 0, "127.0.0.1:1", 1, 256, 32.0, 20_000, settings, True)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -31,7 +31,7 @@
 # ---- Retuning ----
 
 
-def test_meanwhile_the_stricter_of_old_and_new_holds() -> None:
+def test_the_stricter_class_settings_apply_during_an_update() -> None:
     loosened = replace(
         SETTINGS, classes=(replace(ONCE, retry_safety=RetrySafety.IDEMPOTENT), NEW), max_attempts=5
     )
@@ -50,14 +50,14 @@
     )
 
 
-def test_a_class_made_stricter_is_strict_at_once() -> None:
+def test_a_class_made_stricter_takes_effect_at_once() -> None:
     step = plan_settings_update(
         SETTINGS, replace(SETTINGS, classes=(replace(FREE, retry_safety=RetrySafety.NOT_IDEMPOTENT), ONCE))
     )
     assert {c.name: c.retry_safety for c in step.transition.classes}["free"] is RetrySafety.NOT_IDEMPOTENT
 
 
-def test_only_classes_and_attempts_change_live() -> None:
+def test_only_classes_and_max_attempts_change_without_a_restart() -> None:
     assert restart_only_changes(SETTINGS, replace(SETTINGS, classes=(NEW,), max_attempts=1)) == ()
     assert restart_only_changes(SETTINGS, replace(SETTINGS, scheduler_count=4)) == ("scheduler_count",)
 
@@ -79,7 +79,7 @@
     asyncio.run(play())
 
 
-def test_a_new_class_is_counted_from_nothing() -> None:
+def test_answer_counts_of_a_new_class_start_at_zero() -> None:
     async def play() -> None:
         stage = Stage(lost)
         stage.scheduler.apply_settings(replace(SETTINGS, classes=(*SETTINGS.classes, NEW)))
@@ -107,7 +107,7 @@
         return self.now
 
 
-def test_a_cordoned_endpoint_drains_whatever_discovery_says() -> None:
+def test_a_cordoned_endpoint_drains_even_if_discovery_lists_it_as_ready() -> None:
     clock = Clock()
     registry = Registry(clock, drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
@@ -131,7 +131,7 @@
     assert registry.cordoned == set() and registry.cordoned_count == 0
 
 
-def test_two_processes_share_their_cordons_by_the_file(tmp_path: Path) -> None:
+def test_two_processes_share_cordons_through_the_cordon_file(tmp_path: Path) -> None:
     """Old and new process of one scheduler, each with its registry, one file between them."""
     path = tmp_path / "out.json"
     told: list[tuple[str, list[WorkerInfo]]] = []
@@ -154,7 +154,7 @@
     assert not old_maintenance.cordon("w9")
 
 
-def test_a_start_reads_what_is_cordoned_before_any_list(tmp_path: Path) -> None:
+def test_cordons_are_restored_from_the_file_before_the_first_list(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('["w1"]')
     registry = Registry(Clock(), drain_grace_ms=1000.0)
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("how", BREAKS)
-def test_an_unreadable_cordon_file_changes_nothing(tmp_path: Path, how: str) -> None:
+def test_an_unreadable_cordon_file_leaves_the_cordons_unchanged(tmp_path: Path, how: str) -> None:
     """Whoever is out stays out, who is in stays in, and the next call keeps what is in hand."""
     path = tmp_path / "disk" / "out.json"
     path.parent.mkdir()
@@ -206,7 +206,7 @@
     assert fresh.cordoned or not path.is_file()
 
 
-def test_a_file_not_ours_cordons_nothing_and_one_removed_uncordons_all(tmp_path: Path) -> None:
+def test_an_invalid_cordon_file_cordons_nothing_and_a_removed_one_uncordons_all(tmp_path: Path) -> None:
     path = tmp_path / "out.json"
     path.write_text('{"w1": tru')
     registry = Registry(Clock(), drain_grace_ms=1000.0)
@@ -224,7 +224,7 @@
 # ---- A second process on the same address ----
 
 
-def test_two_listeners_share_the_clients_address() -> None:
+def test_two_shared_acceptors_bind_the_same_address() -> None:
     async def play() -> None:
         first = Acceptor("http", "127.0.0.1", 0, _NoSessions(), shared=True)
         port = first._listener.getsockname()[1]
@@ -263,13 +263,13 @@
     return Handover(PidFiles(folder, "n1", 100), 0.0), Handover(PidFiles(folder, "n1", 200), 10.0)
 
 
-def test_a_lone_process_takes_over_at_once(tmp_path: Path) -> None:
+def test_a_process_without_a_predecessor_is_ready_at_once(tmp_path: Path) -> None:
     alone, _ = sides(tmp_path)
     alone.start()
     assert alone.may_report_ready and alone.files.read_pid(alone.files.serving) == 100
 
 
-def test_readiness_waits_until_the_old_process_holds_nothing(tmp_path: Path) -> None:
+def test_readiness_waits_until_the_old_process_has_no_request_in_flight(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
@@ -284,7 +284,7 @@
     assert new.files.read_pid(new.files.serving) == 200
 
 
-def test_readiness_comes_in_time_whatever_the_old_process_holds(tmp_path: Path) -> None:
+def test_readiness_is_reported_after_max_wait_despite_requests_in_flight(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
@@ -293,7 +293,7 @@
     assert new.poll(10.0 + MAX_WAIT_S, in_flight=0) is Action.TAKE_OVER
 
 
-def test_the_old_process_listens_again_when_the_new_one_went(tmp_path: Path) -> None:
+def test_the_old_process_resumes_when_its_successor_dies(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     new.start()
@@ -303,7 +303,7 @@
     assert old.poll(1.2, in_flight=2) is Action.RESUME and old.may_report_ready
 
 
-def test_a_file_left_by_a_killed_process_is_not_waited_for(tmp_path: Path) -> None:
+def test_a_stale_pid_file_of_a_killed_process_does_not_delay_readiness(tmp_path: Path) -> None:
     old, new = sides(tmp_path)
     old.start()
     stale = time.time() - STALE_AFTER_S - 1
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -30,7 +30,7 @@
     return []
 
 
-def test_the_deployed_file_is_one_and_says_what_holds_anyway() -> None:
+def test_the_deployed_operator_file_is_valid_and_shows_the_defaults() -> None:
     found = load(ROOT / "deploy/operator.toml", CLASSES)
     assert found.waiting is not None and found.gearman is not None
     assert found.waiting.for_class("gearman:render_preview").queueing
@@ -39,7 +39,7 @@
     assert found.waiting == defaults, "the file shows the defaults"
 
 
-def test_every_fault_is_named_by_its_key_in_one_go(tmp_path: Path) -> None:
+def test_all_errors_of_a_file_are_reported_at_once_each_with_its_key(tmp_path: Path) -> None:
     faults = read(tmp_path, """
         colour = "red"
         [waiting]
@@ -88,12 +88,12 @@
         ("#" * (MAX_FILE_BYTES + 1), "over 1048576 bytes"),
     ],
 )  # fmt: skip
-def test_what_values_say_together(text: str, named: str, tmp_path: Path) -> None:
+def test_invalid_values_are_reported_with_their_key(text: str, named: str, tmp_path: Path) -> None:
     (fault,) = read(tmp_path, text)
     assert named in fault
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_operator_file_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(OperatorFileError, match="No such file"):
         load(tmp_path / "none.toml", CLASSES)
 
@@ -103,7 +103,7 @@
     return document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
 
 
-def test_the_program_does_not_start_on_a_faulty_file(tmp_path: Path) -> None:
+def test_the_program_does_not_start_with_an_invalid_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\nmax_jobs = 0\nmax_depth = 0")
     program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
@@ -115,7 +115,7 @@
         program.end()
 
 
-def test_sighup_names_a_changed_table_and_keeps_the_one_in_force(tmp_path: Path) -> None:
+def test_sighup_reports_a_changed_table_and_keeps_the_loaded_settings(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\n")
     program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
@@ -131,7 +131,7 @@
         program.end()
 
 
-def test_without_the_file_none_of_its_libraries_is_loaded() -> None:
+def test_without_an_operator_file_none_of_its_libraries_is_imported() -> None:
     code = "import sys, oxbowyard.__main__; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout
     loaded = {name.partition(".")[0] for name in told.split()}
--- a/tests/test_reload_names.py
+++ b/tests/test_reload_names.py
@@ -14,7 +14,7 @@
     [("attempts", "settings.policyLimits.maxAttempts"), ("classes", "settings.lanes"),
      ("both", "settings.lanes, settings.policyLimits.maxAttempts")],
 )  # fmt: skip
-def test_with_deferred_jobs_a_reload_names_each_setting_that_waits(
+def test_with_deferred_jobs_a_reload_names_each_setting_that_needs_a_restart(
     change: str, names: str, tmp_path: Path
 ) -> None:
     # Guards against a reload that does nothing and says nothing.
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -23,7 +23,7 @@
         return int(probe.getsockname()[1])
 
 
-class Stand(threading.Thread):
+class ThreadedServer(threading.Thread):
     """A listener of the test's that serves each connection in a thread of its own."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
             threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
 
-class Discovery(Stand):
+class Discovery(ThreadedServer):
     """Answers the whole list at once, and a watch after a while with no change."""
 
     def __init__(self, listing: dict[str, object]) -> None:
@@ -60,7 +60,7 @@
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class Worker(Stand):
+class Worker(ThreadedServer):
     """A scan worker that answers each job after RUNS_FOR."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
             connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
 
 
-def status(address: tuple[str, int], path: str) -> int:
+def get_status(address: tuple[str, int], path: str) -> int:
     try:
         with urllib.request.urlopen(f"http://{address[0]}:{address[1]}{path}", timeout=5) as answer:
             return int(answer.status)
@@ -97,7 +97,7 @@
     return time.monotonic() - start
 
 
-def test_the_old_process_hands_over_before_the_new_says_yes(tmp_path: Path) -> None:
+def test_the_new_process_is_ready_only_after_the_old_one_has_handed_over(tmp_path: Path) -> None:
     worker = Worker()
     worker.start()
     entry = {"uid": "w1", "endpoint": worker.address, "az": "a", "model": "m", "state": "ready", "boot_ms": 0}
@@ -113,7 +113,7 @@
     new: Program | None = None
     try:
         old_door = old.address("control")
-        wait_until(lambda: status(old_door, "/control/ready") == 200, 10)
+        wait_until(lambda: get_status(old_door, "/control/ready") == 200, 10)
         answer: list[int] = []
         body = b"x"
         request = urllib.request.Request(
@@ -128,16 +128,16 @@
         new.wait_for("starting -> serving")
         old.wait_for("serving -> handing over")
         new.wait_for("adopted the previous process's estimates: workers=1")
-        assert status(new_door, "/control/ready") == 503  # the old one holds the accession
-        assert status(old_door, "/control/ready") == 503
-        taken = wait_until(lambda: status(new_door, "/control/ready") == 200, 6)
+        assert get_status(new_door, "/control/ready") == 503  # the old one holds the accession
+        assert get_status(old_door, "/control/ready") == 503
+        taken = wait_until(lambda: get_status(new_door, "/control/ready") == 200, 6)
         client.join(5)
         assert answer == [200]
         new.wait_for("successor took over: handed_over=yes")
         assert taken < 4.0
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(5) == 0
-        assert status(("127.0.0.1", port), "/up") == 200  # the address is the new one's alone
+        assert get_status(("127.0.0.1", port), "/up") == 200  # the address is the new one's alone
     finally:
         old.end()
         if new is not None:
--- a/tests/test_signals_at_exit.py
+++ b/tests/test_signals_at_exit.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_signals_until_the_last_moment_leave_the_exit_code_0(number: signal.Signals, tmp_path: Path) -> None:
+def test_signals_sent_until_the_exit_leave_the_exit_code_0(number: signal.Signals, tmp_path: Path) -> None:
     # Guards against a process that a late signal ends by itself, which looks like a crash.
     document = json.loads((ROOT / "examples/config.json").read_text())
     program = Program(document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}, tmp_path, [])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -168,12 +168,12 @@
 )
 
 
-def test_a_run_without_a_fault_breaks_no_rule() -> None:
+def test_the_audit_reports_nothing_for_a_run_without_faults() -> None:
     assert audit(PLAN, good()) == []
 
 
 @pytest.mark.parametrize(("plant", "rule"), PLANTED, ids=[rule for _, rule in PLANTED])
-def test_the_audit_finds_a_planted_fault(plant: Callable[[Observation], None], rule: str) -> None:
+def test_the_audit_finds_each_injected_fault(plant: Callable[[Observation], None], rule: str) -> None:
     seen = good()
     plant(seen)
     assert rule in {violation.rule for violation in audit(PLAN, seen)}
@@ -206,15 +206,13 @@
 
 
 @pytest.mark.parametrize("change", ALLOWED)
-def test_the_audit_lets_pass_what_the_pages_allow(change: Callable[[Observation], None]) -> None:
+def test_the_audit_accepts_behaviour_that_the_contract_allows(change: Callable[[Observation], None]) -> None:
     seen = good()
     change(seen)
     assert audit(PLAN, seen) == []
 
 
-def test_a_program_that_forgets_a_request_on_a_kept_connection_is_found(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_the_audit_finds_a_request_lost_on_a_keep_alive_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a client's timeout that is taken for a close, which may cross a request.
     monkeypatch.setattr("benchmarks.soak.clients.LAST_WAIT_S", 0.1)
     plan = replace(PLAN, leaving_share=0.0, slow_share=0.0)
@@ -244,7 +242,7 @@
     assert any(second.id in text for text in lost)
 
 
-def test_a_seed_draws_one_plan_and_others_draw_others() -> None:
+def test_each_seed_draws_the_same_plan_and_different_seeds_differ() -> None:
     assert draw(7) == draw(7)
     plans = [draw(seed) for seed in range(40)]
     assert len({plan.ending for plan in plans}) == 6
@@ -261,7 +259,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_seed_keeps_all_rules(seed: int) -> None:
+def test_a_soak_run_violates_no_rule(seed: int) -> None:
     verdict = play(draw(seed))
     assert verdict.violations == [], "\n".join(process.log for process in verdict.seen.processes)
     assert len(verdict.seen.exchanges) > 50
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -44,7 +44,7 @@
 # ---- Lists ----
 
 
-def test_the_youngest_list_is_served_from_and_one_of_unknown_age_last() -> None:
+def test_choose_best_prefers_the_youngest_usable_snapshot() -> None:
     config, old, day = one(Source.CONFIG, math.inf), one(Source.DISK, 500.0), one(Source.DISK, 2 * DAY)
     peer = one(Source.PEER, 3.0)
     assert choose_best([config, old, peer], DAY) is peer
@@ -80,7 +80,7 @@
     return read_snapshot(path, site, now, DAY, most, 1 << 16)
 
 
-def test_what_is_written_is_read_with_its_age(tmp_path: Path) -> None:
+def test_a_written_snapshot_is_read_back_with_its_age(tmp_path: Path) -> None:
     path = tmp_path / "list"
     write_snapshot(path, "a", 900.0, 7, workers(3))
     found = kept(path)
@@ -89,7 +89,7 @@
     assert kept(path).revision == 8 and os.listdir(tmp_path) == ["list"]
 
 
-def test_every_single_byte_that_is_wrong_or_missing_is_noticed(tmp_path: Path) -> None:
+def test_a_snapshot_truncated_or_corrupted_at_any_byte_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "list"
     write_snapshot(path, "a", 900.0, 7, workers(2))
     whole = path.read_bytes()
@@ -102,7 +102,7 @@
             kept(path)
 
 
-def test_a_list_that_is_not_to_be_used_says_why(tmp_path: Path) -> None:
+def test_an_unusable_snapshot_file_is_rejected_with_the_reason(tmp_path: Path) -> None:
     path = tmp_path / "list"
     for told_at, site, count, why in (
         (900.0, "b", 2, "another site"), (1100.0, "a", 2, "from the future"), (900.0, "a", 0, "empty"),
@@ -120,7 +120,7 @@
         kept(path)
 
 
-def test_a_write_that_fails_leaves_the_one_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_write_keeps_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "list"
     write_snapshot(path, "a", 900.0, 7, workers(2))
 
@@ -136,7 +136,7 @@
 # ---- Admission ----
 
 
-def test_the_few_go_first_and_everybody_has_a_rank() -> None:
+def test_few_members_fetch_first_and_the_others_are_staggered_by_rank() -> None:
     names = [f"m{i}" for i in range(300)]
     due_at = {n: FetchAdmission(n, 3, 2.0, Random(n), 0.0).due_at(set(names) - {n}, 1) for n in names}
     assert sorted(rank(n, names) for n in names) == list(range(300))
@@ -147,7 +147,7 @@
     assert max(due_at.values()) <= round_start_s(99, 2.0) + 1.0
 
 
-def test_if_the_few_are_dead_the_next_round_begins() -> None:
+def test_the_next_fetch_round_begins_when_the_first_members_are_dead() -> None:
     names = sorted((f"m{i}" for i in range(30)), key=lambda n: rank(n, [f"m{i}" for i in range(30)]))
     dead = set(names[:3])
     after = min(
@@ -160,7 +160,7 @@
     assert gone == 0.0, "found dead, they leave their places"
 
 
-def test_one_that_knows_nobody_goes_by_the_configured_number() -> None:
+def test_a_member_without_known_peers_uses_the_configured_group_size() -> None:
     dues = [FetchAdmission("m0", 3, 2.0, Random(seed), 5.0).due_at([], 200) for seed in range(200)]
     assert max(dues) < 5.0 + 200 * 2.0 / 3 and 40 < sum(due < 5.0 + 40.0 for due in dues) < 80
     assert FetchAdmission("m0", 3, 2.0, Random(1), 5.0).due_at([], 1) == 5.0
@@ -208,7 +208,7 @@
     return all("list service answered" in m.log() for m in members)
 
 
-def test_many_at_once_ask_for_few_whole_lists(tmp_path: Path, service: ServiceThread) -> None:
+def test_a_group_that_starts_at_once_fetches_few_full_lists(tmp_path: Path, service: ServiceThread) -> None:
     with group(tmp_path, service, 14) as made:
         members = list(made)
         for member in members:
@@ -221,7 +221,7 @@
         assert any("serving a cached list: source=peer" in m.log() for m in members)
 
 
-def test_with_the_service_down_all_serve_from_their_disks_until_it_speaks(
+def test_schedulers_serve_from_disk_snapshots_while_discovery_is_down(
     tmp_path: Path, service: ServiceThread
 ) -> None:
     with group(tmp_path, service, 6) as made:
@@ -243,7 +243,7 @@
         until(lambda: all(kept_rev(m) == 10 for m in members), "and is kept")
 
 
-def test_answers_cut_short_and_a_disk_that_takes_nothing_do_no_harm(
+def test_truncated_answers_and_an_unwritable_snapshot_path_do_no_harm(
     tmp_path: Path, service: ServiceThread
 ) -> None:
     service.service.cut_short = True
@@ -293,7 +293,7 @@
     return json.dumps({"rev": rev, "targets": workers(count), "age": age, "site": site}).encode()
 
 
-def test_a_peers_list_is_an_aged_one_and_a_young_one_admits() -> None:
+def test_an_old_peer_snapshot_is_adopted_cold_and_a_young_one_admits() -> None:
     async def play() -> None:
         desk = Desk({"rev": 2, "targets": workers(2)}, fresh_s=60.0, same_service_s=600.0)
         desk.component._served.adopt_best()
@@ -318,7 +318,7 @@
     (body(5, 1e9), "s old"), (body(-5, 1.0), "absurd version"), (body(5, 1.0, 0), "empty"),
     (body(5, 1.0, 99), "over 50"),
 ])  # fmt: skip
-def test_a_peers_list_that_is_absurd_is_named_and_not_used(
+def test_an_invalid_peer_snapshot_is_logged_and_not_adopted(
     offer: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def play() -> None:
@@ -330,7 +330,7 @@
     assert "cached list not used: source=peer origin=m7 reason=" in caplog.text and why in caplog.text
 
 
-def test_only_what_the_service_told_is_given_to_peers_with_its_age() -> None:
+def test_peers_get_only_a_list_confirmed_by_discovery_with_its_age() -> None:
     async def play() -> None:
         desk = Desk()
         desk.list = ServiceList(7, workers(3))
--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -14,12 +14,12 @@
     return made
 
 
-def test_every_state_has_its_transitions_and_its_name_for_the_others() -> None:
+def test_every_state_has_transitions_and_a_membership_state() -> None:
     assert set(TRANSITIONS) == set(MEMBERSHIP_STATES) == set(State)
     assert set(MEMBERSHIP_STATES.values()) <= set(facts.STATES)
 
 
-def test_the_program_can_be_told_to_stop_in_every_state_in_which_it_runs() -> None:
+def test_every_running_state_may_change_to_leaving() -> None:
     ending = {State.LEAVING, State.FINISHING, State.STOPPED}
     assert {state for state in State if State.LEAVING in TRANSITIONS[state]} == set(State) - ending
     assert [TRANSITIONS[state] for state in (State.LEAVING, State.FINISHING, State.STOPPED)] == [
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("old", State)
 @pytest.mark.parametrize("new", State)
-def test_only_what_the_table_has_is_entered_and_logged(
+def test_only_transitions_of_the_table_are_made_and_logged(
     old: State, new: State, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
@@ -45,7 +45,7 @@
     assert states.current is old and not caplog.text
 
 
-def test_clients_are_served_while_the_configuration_is_reloaded() -> None:
+def test_clients_are_served_during_a_configuration_reload() -> None:
     assert {state for state in State if in_state(state).is_serving} == {State.SERVING, State.RELOADING}
     for state in State:
         states = in_state(state)
