--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,5 +1,6 @@
-"""The `oxbowyard` command and the model of the files: every fault by its key, sources, schema, and the same
-verdict as the lean loader that the platform's `run` uses."""
+"""The `oxbowyard` command and the model of the configuration files: each fault with its key, the source of
+each value, the schema, and the same verdict as the minimal loader that the platform's `run` uses.
+"""
 
 from __future__ import annotations
 
@@ -19,21 +20,21 @@
 from oxbowyard.configuration.check import check_platform
 from oxbowyard.daemon.config import ConfigurationError, load
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "settings": SETTINGS,
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 }  # fmt: skip
 runner = CliRunner()
 
 
-def written(tmp_path: Path, document: object, name: str = "config.json") -> Path:
+def write_config(tmp_path: Path, document: object, name: str = "config.json") -> Path:
     path = tmp_path / name
     path.write_text(document if isinstance(document, str) else json.dumps(document))
     return path
 
 
 def test_check_reports_all_ten_faults_of_a_file(tmp_path: Path) -> None:
-    bad = copy.deepcopy(GOOD)
+    bad = copy.deepcopy(VALID_CONFIG)
     bad["listen"], bad["seed"], bad["limits"]["sockets"] = "here", "xyz", 0
     lanes = bad["settings"]["lanes"]
     lanes[0]["aim"], lanes[0]["worth"], lanes[1]["semantics"] = -1, "much", "once"
@@ -41,7 +42,7 @@
     bad["settings"]["siblings"] = 0
     del bad["settings"]["policyLimits"]["maxAttempts"]
     bad["settings"]["rules"]["coldFrom"] = 2
-    done = runner.invoke(app, ["check", str(written(tmp_path, bad))])
+    done = runner.invoke(app, ["check", str(write_config(tmp_path, bad))])
     assert done.exit_code == 2, done.output
     keys = [
         "listen", "seed", "limits.sockets", "settings.siblings", "settings.lanes[0].aim",
@@ -54,10 +55,10 @@
 
 
 def test_an_unknown_key_is_reported_with_the_nearest_known_key(tmp_path: Path) -> None:
-    bad = copy.deepcopy(GOOD)
+    bad = copy.deepcopy(VALID_CONFIG)
     bad["admni"] = "127.0.0.1:9100"
     bad["settings"]["policyLimits"]["maxAtempts"] = bad["settings"]["policyLimits"].pop("maxAttempts")
-    done = runner.invoke(app, ["check", "--json", str(written(tmp_path, bad))])
+    done = runner.invoke(app, ["check", "--json", str(write_config(tmp_path, bad))])
     found = {row["key"]: row for row in json.loads(done.output)["found"]}
     assert "did you mean admin?" in found["admni"]["text"] and found["admni"]["note"]
     assert "did you mean maxAttempts?" in found["settings.policyLimits.maxAtempts"]["text"]
@@ -66,25 +67,29 @@
 
 @pytest.mark.parametrize(("text", "says"), [("", "is empty"), ('{"listen":', "Expecting"), ("[]", "table")])
 def test_a_file_that_is_no_document(tmp_path: Path, text: str, says: str) -> None:
-    done = runner.invoke(app, ["check", str(written(tmp_path, text))])
+    done = runner.invoke(app, ["check", str(write_config(tmp_path, text))])
     assert done.exit_code == 2 and says in done.output
 
 
 def test_check_accepts_valid_files(tmp_path: Path) -> None:
-    for path in (written(tmp_path, GOOD), ROOT / "examples/config.json", ROOT / "deploy/operator.toml"):
+    for path in (
+        write_config(tmp_path, VALID_CONFIG),
+        ROOT / "examples/config.json",
+        ROOT / "deploy/operator.toml",
+    ):
         done = runner.invoke(app, ["check", str(path)])
         assert done.exit_code == 0, done.output
 
 
 def test_check_reports_an_unknown_key_of_the_operator_file(tmp_path: Path) -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("max_jobs =", "max_job =", 1)
-    done = runner.invoke(app, ["check", str(written(tmp_path, text, "operator.toml"))])
+    done = runner.invoke(app, ["check", str(write_config(tmp_path, text, "operator.toml"))])
     assert done.exit_code == 2 and "waiting.max_job: no such key; did you mean max_jobs?" in done.output
 
 
 def test_config_show_names_the_source_of_each_value(tmp_path: Path) -> None:
-    document = {k: v for k, v in GOOD.items() if k != "listen"}
-    path = written(tmp_path, document)
+    document = {k: v for k, v in VALID_CONFIG.items() if k != "listen"}
+    path = write_config(tmp_path, document)
     env = {"LB_LISTEN": "127.0.0.1:9000", "LB_CONFIG": str(path)}
     done = runner.invoke(app, ["config", "show", "--json"], env=env)
     assert done.exit_code == 0, done.output
@@ -96,7 +101,7 @@
 
 
 def test_config_show_rejects_an_invalid_file(tmp_path: Path) -> None:
-    done = runner.invoke(app, ["config", "show", "--config", str(written(tmp_path, {"settings": {}}))])
+    done = runner.invoke(app, ["config", "show", "--config", str(write_config(tmp_path, {"settings": {}}))])
     assert done.exit_code == 2 and "oxbowyard check" in done.output
 
 
@@ -105,7 +110,7 @@
     schema = json.loads(done.output)
     jsonschema.validate(json.loads((ROOT / "examples/config.json").read_text()), schema)
     with pytest.raises(jsonschema.ValidationError):
-        jsonschema.validate({**GOOD, "listen": "here"}, schema)
+        jsonschema.validate({**VALID_CONFIG, "listen": "here"}, schema)
     operator = json.loads(runner.invoke(app, ["config", "schema", "--operator"]).output)
     assert "waiting" in json.dumps(operator)
 
@@ -114,8 +119,9 @@
     ("option", "name"), [([], "schema-platform.json"), (["--operator"], "schema-operator.json")]
 )
 def test_the_printed_schemas_equal_the_stored_fixtures(option: list[str], name: str) -> None:
-    """Byte for byte, with the docstrings of the models that msgspec puts into them. The fixtures are what
-    `python -m oxbowyard.cli config schema [--operator]` printed at 52dd340."""
+    """Compare byte for byte, including the docstrings of the models, which msgspec puts into the schemas. The
+    fixtures are the output of `python -m oxbowyard.cli config schema [--operator]` at 52dd340.
+    """
     done = runner.invoke(app, ["config", "schema", *option])
     assert done.output == (ROOT / "tests" / "fixtures" / name).read_text()
 
@@ -134,7 +140,7 @@
     assert ended.value.code == 1 and "needs the extra cli" in capsys.readouterr().err
 
 
-# ---- One verdict: the model, and the lean loader of `run` ----
+# ---- The same verdict of the model and of the minimal loader of `run` ----
 
 MUTATIONS: list[tuple[str, object]] = [
     ("listen", "here"), ("listen", "127.0.0.1:99999"), ("discovery", 5), ("seed", "xyz"),
@@ -150,27 +156,27 @@
 ]  # fmt: skip
 
 
-def mutated(path: str, value: object) -> dict[str, Any]:
-    document = copy.deepcopy(GOOD)
+def mutate(path: str, value: object) -> dict[str, Any]:
+    document = copy.deepcopy(VALID_CONFIG)
     *inner, last = path.split(".")
-    place: Any = document
+    container: Any = document
     for part in inner:
-        place = place[int(part) if part.isdecimal() else part]
+        container = container[int(part) if part.isdecimal() else part]
     key: Any = int(last) if last.isdecimal() else last
     if value == "-":
-        del place[key]
+        del container[key]
     else:
-        place[key] = value
+        container[key] = value
     return document
 
 
-@pytest.mark.parametrize(("path", "value"), [("", None), *MUTATIONS], ids=lambda x: str(x))
+@pytest.mark.parametrize(("path", "value"), [("", None), *MUTATIONS], ids=lambda parameter: str(parameter))
 def test_check_and_the_loader_of_run_reach_the_same_verdict(tmp_path: Path, path: str, value: object) -> None:
-    document = mutated(path, value) if path else GOOD
-    faulty = any(not issue.is_note for issue in check_platform(document, {}))
+    document = mutate(path, value) if path else VALID_CONFIG
+    is_faulty = any(not issue.is_note for issue in check_platform(document, {}))
     try:
-        load({"LB_CONFIG": str(written(tmp_path, document))})
-        refused = False
+        load({"LB_CONFIG": str(write_config(tmp_path, document))})
+        is_rejected = False
     except ConfigurationError:
-        refused = True
-    assert faulty == refused == bool(path)
+        is_rejected = True
+    assert is_faulty == is_rejected == bool(path)
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -1,4 +1,4 @@
-"""The OpenAPI and AsyncAPI descriptions, against what the program does."""
+"""The OpenAPI and AsyncAPI descriptions, compared with the behaviour of the program."""
 
 from __future__ import annotations
 
@@ -30,18 +30,21 @@
 MESSAGES: dict[str, Any] = ASYNCAPI["components"]["messages"]
 
 
-def answers(path: Path) -> list[tuple[bool, int, dict[str, str]]]:
-    """The answers that clients get in an exchange, which other tests play: for /up?, status, headers."""
-    text, found, asked = path.read_text(), [], {}
-    for m in re.finditer(r"^(c\d) (>|<)(?: (.+)|\n((?:(?!\.$).*\n)*))", text, re.M):
-        name, way, line, block = m.groups()
-        if way == ">":
-            asked[name] = "/up" in (line or "")
+def recorded_answers(path: Path) -> list[tuple[bool, int, dict[str, str]]]:
+    """Return the answers to clients in a recorded exchange, which other tests replay.
+
+    Each answer is a tuple: whether it belongs to a request for /up, its status and its headers.
+    """
+    text, answers, is_up_request = path.read_text(), [], {}
+    for match in re.finditer(r"^(c\d) (>|<)(?: (.+)|\n((?:(?!\.$).*\n)*))", text, re.M):
+        client, direction, line, block = match.groups()
+        if direction == ">":
+            is_up_request[client] = "/up" in (line or "")
         elif not line:
             head = block.partition("\n\n")[0].splitlines()
             headers = dict(h.split(": ", 1) for h in head[1:])
-            found.append((asked[name], int(head[0].split()[1]), headers))
-    return found
+            answers.append((is_up_request[client], int(head[0].split()[1]), headers))
+    return answers
 
 
 def test_the_openapi_descriptions_are_valid() -> None:
@@ -51,8 +54,8 @@
 
 def test_every_recorded_answer_is_described() -> None:
     seen = set()
-    for up, status, headers in [a for path in EXCHANGES for a in answers(path)]:
-        described = (OPENAPI["paths"]["/up"]["get"] if up else SUBMIT)["responses"][str(status)]
+    for is_up, status, headers in [a for path in EXCHANGES for a in recorded_answers(path)]:
+        described = (OPENAPI["paths"]["/up"]["get"] if is_up else SUBMIT)["responses"][str(status)]
         if "$ref" in described:
             described = OPENAPI["components"]["responses"][described["$ref"].rpartition("/")[2]]
         assert headers["Content-Type"].partition(";")[0] in described["content"], (status, headers)
@@ -85,8 +88,8 @@
         ending = reader.read(json.dumps(payload).encode())
         assert (ending is not None) == message["summary"].startswith("Last:")
         if ending is not None:
-            never = "never ran" in message["summary"]
-            assert (ending.result is Result.FULL) == never
+            never_ran = "never ran" in message["summary"]
+            assert (ending.result is Result.FULL) == never_ran
             assert (ending.result is Result.OK) == (name == "done")
             assert len(ending.load) == len(payload.get("load", {}))
         else:
@@ -113,7 +116,7 @@
 
 
 def test_recorded_deferred_job_exchanges_match_their_schemas() -> None:
-    """Each JSON answer of the exchanges by its form, and each status by those that are described."""
+    """Validate the JSON bodies of the exchanges against their schemas; each status must be described."""
     statuses = {s for path in WAITING["paths"].values() for op in path.values() for s in op["responses"]}
     seen = set()
     for path in (ROOT / "tests/exchanges").glob("http_waiting*.txt"):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients take every descriptor they can: the list is heard again, and who asks is served."""
+"""Idle clients occupy as many descriptors as they can: discovery is polled again and requests are served."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 SHARED = Descriptors.share_out(LIMIT, 20_000)
 IDLE_MANNERS = {
     "silent": b"",
-    "kept": b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n",
-    "unfinished": b"POST /preview HTTP/1.1\r\nHost: a\r\nReq-Id: u1\r\n",
+    "keep-alive": b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n",
+    "unfinished head": b"POST /preview HTTP/1.1\r\nHost: a\r\nReq-Id: u1\r\n",
 }
 
 
 class HeldWorker(ThreadedServer):
-    """Takes each job and holds it until told to end them all."""
+    """A fake worker that holds each job until `may_end` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,24 +37,24 @@
 
     def _serve(self, connection: socket.socket) -> None:
         with connection:
-            got = b""
-            while not got.endswith(b"hello"):
-                got += connection.recv(4096)
+            received = b""
+            while not received.endswith(b"hello"):
+                received += connection.recv(4096)
             self.running += 1
             self.may_end.wait(PATIENCE)
-            name = got.partition(b"Req-Id: ")[2].split(b"\r")[0].decode()
-            line = json.dumps({"id": name, "state": "done", "result": "made"}).encode() + b"\n"
+            request_id = received.partition(b"Req-Id: ")[2].split(b"\r")[0].decode()
+            line = json.dumps({"id": request_id, "state": "done", "result": "made"}).encode() + b"\n"
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(line)
             connection.sendall(head + line)
 
 
 class LateDiscovery:
-    """Nobody listens at its address before `start`."""
+    """A fake discovery service whose address refuses connections until `start`."""
 
     def __init__(self, listing: dict[str, object]) -> None:
         self.port = free_port()
         self.listing = listing
-        self.calls = 0
+        self.polls = 0
 
     def start(self) -> socket.socket:
         listener = socket.create_server(("127.0.0.1", self.port))
@@ -67,15 +67,15 @@
             while True:
                 connection, _ = listener.accept()
                 connection.recv(4096)
-                self.calls += 1
+                self.polls += 1
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         except OSError:
             return
 
 
-def _connected(stack: ExitStack, where: tuple[str, int], text: bytes) -> socket.socket:
-    client = stack.enter_context(socket.create_connection(where, PATIENCE))
-    client.sendall(text)
+def _connect_and_send(stack: ExitStack, address: tuple[str, int], data: bytes) -> socket.socket:
+    client = stack.enter_context(socket.create_connection(address, PATIENCE))
+    client.sendall(data)
     return client
 
 
@@ -94,9 +94,9 @@
         worker.listener.close()
 
 
-@pytest.mark.parametrize("manner", IDLE_MANNERS)
-def test_idle_connections_leave_descriptors_for_other_traffic(tmp_path: Path, manner: str) -> None:
-    """Discovery is down meanwhile; as many jobs as may be open hold a connection to the worker each."""
+@pytest.mark.parametrize("behaviour", IDLE_MANNERS)
+def test_idle_connections_leave_descriptors_for_other_traffic(tmp_path: Path, behaviour: str) -> None:
+    """Discovery is down meanwhile, and as many jobs as may be open hold a connection to the worker each."""
     worker = HeldWorker()
     worker.start()
     entry = {"uid": "w1", "endpoint": worker.address, "az": "a", "model": "m", "state": "ready", "boot_ms": 0}
@@ -105,25 +105,27 @@
         program = stack.enter_context(_program(tmp_path, worker, discovery))
         clients, admin = program.address("http"), program.address("control")
         program.wait_for("-> serving")
-        asking = [
-            _connected(stack, clients, ask("preview", f"a{i}", patience=PATIENCE))
+        requests = [
+            _connect_and_send(stack, clients, ask("preview", f"a{i}", patience=PATIENCE))
             for i in range(SHARED.requests)
         ]
         wait_until(lambda: worker.running >= 4, PATIENCE)
         for _ in range(LIMIT):
-            _connected(stack, clients, IDLE_MANNERS[manner])
-            _connected(stack, admin, b"")
-        held = Path(f"/proc/{program.process.pid}/fd")
-        wait_until(lambda: len(list(held.iterdir())) > LIMIT // 2, PATIENCE)
+            _connect_and_send(stack, clients, IDLE_MANNERS[behaviour])
+            _connect_and_send(stack, admin, b"")
+        descriptor_folder = Path(f"/proc/{program.process.pid}/fd")
+        wait_until(lambda: len(list(descriptor_folder.iterdir())) > LIMIT // 2, PATIENCE)
         stack.enter_context(discovery.start())
-        wait_until(lambda: discovery.calls >= 1, NOTIFIED_WITHIN_S)
+        wait_until(lambda: discovery.polls >= 1, NOTIFIED_WITHIN_S)
         program.wait_for("endpoint list applied: revision=2 scope=full")
-        assert get_status(admin, "/control/ready") == 200, "the operators are answered beside a crowd"
+        assert get_status(admin, "/control/ready") == 200, (
+            "the admin API answers despite the idle connections"
+        )
         worker.may_end.set()
-        for client in asking[:4]:
+        for client in requests[:4]:
             client.settimeout(PATIENCE)
             assert b" 200 OK" in client.recv(4096)
-        last = _connected(stack, clients, ask("preview", "last"))
+        last = _connect_and_send(stack, clients, ask("preview", "last"))
         last.settimeout(PATIENCE)
         assert b" 200 OK" in last.recv(4096)
         assert not [line for line in program.lines if "Too many open files" in line or "Traceback" in line]
--- a/tests/test_ends_of_the_program.py
+++ b/tests/test_ends_of_the_program.py
@@ -1,4 +1,6 @@
-"""SIGTERM in every state of the started program, twice, beside SIGHUP: what was taken is answered, exit 0."""
+"""SIGTERM in every state of the running program, also repeated or combined with SIGHUP: accepted requests are
+answered, and the exit code is 0.
+"""
 
 from __future__ import annotations
 
@@ -16,26 +18,26 @@
 ENTRY = {"uid": "w1", "az": "a", "model": "m", "state": "ready", "boot_ms": 0}
 
 
-def _config(discovery: Peer, **more: object) -> dict[str, object]:
+def _make_config(discovery: Peer, **overrides: object) -> dict[str, object]:
     return {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "1f",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS, **more,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS, **overrides,
     }  # fmt: skip
 
 
-def _answer_lists(discovery: Peer, worker: Peer, hold: threading.Event) -> None:
-    """Whole lists to whoever asks for them, once `hold` is set; watches are left waiting."""
+def _answer_lists(discovery: Peer, worker: Peer, may_answer: threading.Event) -> None:
+    """Answer polls with a full list once `may_answer` is set, and leave watches without an answer."""
     assert discovery.listener
     discovery.listener.settimeout(PATIENCE)
     body = json.dumps({"rev": 1, "all": True, "targets": [{**ENTRY, "endpoint": worker.address}]}).encode()
     try:
         while True:
-            side, _ = discovery.listener.accept()
-            head = side.recv(1 << 16)
-            if b"after=" in head or not hold.is_set():
-                hold.wait(PATIENCE)
+            connection, _ = discovery.listener.accept()
+            head = connection.recv(1 << 16)
+            if b"after=" in head or not may_answer.is_set():
+                may_answer.wait(PATIENCE)
                 continue
-            side.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     except OSError:
         return
 
@@ -44,30 +46,30 @@
 @pytest.mark.parametrize("signals", ["term", "term term", "hup term", "term hup"])
 def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path, state: str, signals: str) -> None:
     discovery, silent, worker = Peer(True), Peer(True), Peer(True)
-    told = threading.Event()
+    may_answer = threading.Event()
     if state != "starting":
-        told.set()
-    threading.Thread(target=_answer_lists, args=(discovery, worker, told), daemon=True).start()
-    config = _config(discovery)
-    if state == "handing over":  # both processes bind it
+        may_answer.set()
+    threading.Thread(target=_answer_lists, args=(discovery, worker, may_answer), daemon=True).start()
+    config = _make_config(discovery)
+    if state == "handing over":  # both processes bind the same port
         config["listen"] = f"127.0.0.1:{free_port()}"
     program = Program(config, tmp_path, [])
     successor: Program | None = None
     client: socket.socket | None = None
     try:
-        where = program.address("http")
-        client = socket.create_connection(where, PATIENCE)
+        address = program.address("http")
+        client = socket.create_connection(address, PATIENCE)
         client.settimeout(PATIENCE)
         program.wait_for("http listens")
-        if state == "starting":  # it has no list: the req is held, and refused before its deadline
+        if state == "starting":  # without a list the request is held, and rejected before its deadline
             client.sendall(ask("preview", patience=1.5))
         else:
             program.wait_for("-> serving")
             client.sendall(ask("accession", patience=8.0))
             worker.accept()
-            assert "hello" in worker.http()  # it runs by now
+            assert "hello" in worker.http()  # the job is running
         if state == "reloading":
-            (tmp_path / "config.json").write_text(json.dumps(_config(silent)))
+            (tmp_path / "config.json").write_text(json.dumps(_make_config(silent)))
             program.process.send_signal(signal.SIGHUP)
             program.wait_for("-> reloading")
         if state == "handing over":
@@ -83,11 +85,11 @@
             assert worker.connection
             line = b'{"id":"a1","state":"done","result":"yes"}'
             worker.connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(line) + line)
-        got = b""
-        while piece := client.recv(1 << 16):
-            got += piece
-        wanted = b" 503 " if state == "starting" else b" 200 "
-        assert wanted in got and b"Connection: close" in got
+        response = b""
+        while chunk := client.recv(1 << 16):
+            response += chunk
+        expected_status = b" 503 " if state == "starting" else b" 200 "
+        assert expected_status in response and b"Connection: close" in response
         assert program.process.wait(PATIENCE) == 0, "\n".join(program.lines)
         assert not [line for line in program.lines if "background task ended" in line or "Traceback" in line]
     finally:
@@ -97,7 +99,7 @@
             peer.end()
             assert peer.listener
             peer.listener.close()
-        told.set()
+        may_answer.set()
         program.end()
         if successor is not None:
             successor.end()
--- a/tests/test_handover_states.py
+++ b/tests/test_handover_states.py
@@ -1,4 +1,4 @@
-"""Which states of the program may leave their clients to a successor."""
+"""States in which the program hands its clients over to a successor."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def poll(program: Program) -> Action:
-    """One look at the files, and what the program does about it."""
+    """Read the PID files once and do what the handover asks for."""
     restart = program.hot_restart
     action = restart.handover.poll(asyncio.get_running_loop().time(), in_flight=0)
     if action is Action.HAND_OVER:
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("state", [State.STARTING, State.LEAVING])
 def test_a_process_that_is_not_serving_never_reports_handed_over(state: State, tmp_path: Path) -> None:
-    # Guards against a successor that is told "handed over" by a process which goes on to accept clients.
+    # Guards against a process that reports "handed over" to its successor but still accepts clients.
     async def scene() -> None:
         config = Stage(tmp_path).config
         program = Program(lambda: LoadedConfiguration(config))
@@ -43,7 +43,7 @@
         for _ in range(4):
             await poll(program)
         assert files.read_pid(files.handed_over) is None
-        if state is State.STARTING:  # once it serves, it hands over
+        if state is State.STARTING:  # it hands over once it is serving
             program.context.states.enter(State.SERVING)
             program.context.acceptor = program.context.bind_clients()
             program.context.acceptor.open()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What one process holds fits the descriptors that the configuration states."""
+"""Limits of one process: descriptors, memory for request bodies, and length of keys."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from oxbowyard.gearman.job_requests import digest_key
 from oxbowyard.listeners.acceptor import RETRY_NO_DESCRIPTOR_S, Acceptor
 
-OTHERS = tuple(
+OTHER_CLASSES = tuple(
     JobClass(name, latency_objective_ms=1000, deadline_ms=5000) for name in ("label-check", "accession")
 )
 
@@ -31,7 +31,7 @@
     """The admin API's 32 callers used to be counted nowhere: more than all that was set aside."""
     shared = Descriptors.share_out(sockets, 20_000, admin=admin)
     assert shared.total <= sockets
-    if sockets >= 256:  # a third is held by clients for requests
+    if sockets >= 256:  # at least a third is for open requests
         assert shared.requests >= sockets // 3 and shared.clients > shared.requests
     with_gearman = Descriptors.share_out(sockets, 20_000, gearman=sockets // 4, admin=admin)
     assert with_gearman.total <= sockets
@@ -45,7 +45,7 @@
             self.counts: Counter[str] = Counter()
 
     class Listener:
-        """A listener for whose next connection the system has no descriptor."""
+        """A listener whose accept fails because no descriptor is free."""
 
         def __init__(self, real: socket.socket) -> None:
             self.fileno, self.close = real.fileno, real.close
@@ -56,7 +56,7 @@
     async def play() -> None:
         sessions = Sessions()
         acceptor = Acceptor("http", "127.0.0.1", 0, sessions)  # type: ignore[arg-type]
-        with socket.create_connection(acceptor._listener.getsockname()):  # it stays readable all the time
+        with socket.create_connection(acceptor._listener.getsockname()):  # keeps the listener readable
             acceptor._listener = Listener(acceptor._listener)  # type: ignore[assignment]
             acceptor.open()
             await asyncio.sleep(4.5 * RETRY_NO_DESCRIPTOR_S)
@@ -73,7 +73,7 @@
     with memory.reserve(60):
         with pytest.raises(BodyMemoryFullError) as fault, memory.reserve(60):
             pass
-        assert fault.value.status == 503  # it never ran: a new try does no harm
+        assert fault.value.status == 503  # the request never ran, so a retry is safe
     with memory.reserve(100):
         pass
 
@@ -88,7 +88,7 @@
     async def play() -> None:
         settings = Settings(classes=(JobClass("preview", latency_objective_ms=1000, deadline_ms=5000),))
         config = Config("n", "127.0.0.1", 0, "127.0.0.1:1", 1, 256, 32.0, 20_000, settings, True)
-        gearman = load_gearman(Path("deploy/gearman.toml"), (*settings.classes, *OTHERS))
+        gearman = load_gearman(Path("deploy/gearman.toml"), (*settings.classes, *OTHER_CLASSES))
         subsystems = compose(config, gearman)
         assert subsystems.gearman and subsystems.gearman.config.max_connections == 64
         assert subsystems.descriptors.requests > 50
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,6 @@
-"""Operating days without the wire: classes retuned live, workers in maintenance, a second process beside."""
+"""Operations without network traffic: live settings updates, cordoned workers, and the handover between two
+processes of one scheduler.
+"""
 
 from __future__ import annotations
 
@@ -28,33 +30,33 @@
 NEW = JobClass("new", latency_objective_ms=500, deadline_ms=4000, retry_safety=RetrySafety.IDEMPOTENT)
 
 
-# ---- Retuning ----
+# ---- Live settings updates ----
 
 
 def test_the_stricter_class_settings_apply_during_an_update() -> None:
     loosened = replace(
         SETTINGS, classes=(replace(ONCE, retry_safety=RetrySafety.IDEMPOTENT), NEW), max_attempts=5
     )
-    step = plan_settings_update(SETTINGS, loosened)
-    meanwhile = {c.name: c for c in step.transition.classes}
+    update = plan_settings_update(SETTINGS, loosened)
+    during = {c.name: c for c in update.transition.classes}
     assert (
-        meanwhile["once"].retry_safety is RetrySafety.NOT_IDEMPOTENT
-    )  # a client may still send it as it was
-    assert "free" in meanwhile and "new" in meanwhile  # one that goes out is still taken meanwhile
-    assert step.transition.max_attempts == 3
-    after = {c.name: c for c in step.final.classes}
+        during["once"].retry_safety is RetrySafety.NOT_IDEMPOTENT
+    )  # a client may still submit under the old settings
+    assert "free" in during and "new" in during  # a removed class is still accepted during the update
+    assert update.transition.max_attempts == 3
+    after = {c.name: c for c in update.final.classes}
     assert (
         after["once"].retry_safety is RetrySafety.IDEMPOTENT
         and "free" not in after
-        and step.final.max_attempts == 5
+        and update.final.max_attempts == 5
     )
 
 
 def test_a_class_made_stricter_takes_effect_at_once() -> None:
-    step = plan_settings_update(
+    update = plan_settings_update(
         SETTINGS, replace(SETTINGS, classes=(replace(FREE, retry_safety=RetrySafety.NOT_IDEMPOTENT), ONCE))
     )
-    assert {c.name: c.retry_safety for c in step.transition.classes}["free"] is RetrySafety.NOT_IDEMPOTENT
+    assert {c.name: c.retry_safety for c in update.transition.classes}["free"] is RetrySafety.NOT_IDEMPOTENT
 
 
 def test_only_classes_and_max_attempts_change_without_a_restart() -> None:
@@ -63,7 +65,7 @@
 
 
 def test_a_request_open_at_a_settings_update_keeps_its_class() -> None:
-    """Taken as one that must not run twice, it is never attempted again after its class turned harmless."""
+    """A request accepted as not idempotent is not retried, even if its class becomes idempotent meanwhile."""
 
     async def play() -> None:
         stage = Stage(lost)
@@ -111,14 +113,16 @@
     clock = Clock()
     registry = Registry(clock, drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    held = registry.cordon("w1")
-    assert held is not None and held.readiness is Readiness.DRAINING
-    assert registry.address("w1") is None  # the decisions are told at once: nothing new goes there
-    _, told = registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-    assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
+    cordoned = registry.cordon("w1")
+    assert cordoned is not None and cordoned.readiness is Readiness.DRAINING
+    assert registry.address("w1") is None  # applied at once: no new request goes there
+    _, updates = registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
+    assert updates[0].readiness is Readiness.DRAINING and registry.address("w1") is None
     assert (registry.listed_count, registry.cordoned_count) == (2, 1)
-    back = registry.uncordon("w1")
-    assert back is not None and back.readiness is Readiness.READY and registry.address("w1") is not None
+    restored = registry.uncordon("w1")
+    assert (
+        restored is not None and restored.readiness is Readiness.READY and registry.address("w1") is not None
+    )
     assert registry.cordon("w9") is None and registry.uncordon("w9") is None
 
 
@@ -132,25 +136,25 @@
 
 
 def test_two_processes_share_cordons_through_the_cordon_file(tmp_path: Path) -> None:
-    """Old and new process of one scheduler, each with its registry, one file between them."""
+    """The old and the new process of one scheduler have a registry each and share the cordon file."""
     path = tmp_path / "out.json"
-    told: list[tuple[str, list[WorkerInfo]]] = []
-    sides = []
+    notified: list[tuple[str, list[WorkerInfo]]] = []
+    processes = []
     for name in ("old", "new"):
         registry = Registry(Clock(), drain_grace_ms=1000.0)
         registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
-        learn = lambda scope, infos, name=name: told.append((name, list(infos)))  # noqa: E731
-        sides.append((registry, Maintenance(registry, learn, CordonFile(path))))
-    (old, old_maintenance), (new, new_maintenance) = sides
+        notify = lambda scope, infos, name=name: notified.append((name, list(infos)))  # noqa: E731
+        processes.append((registry, Maintenance(registry, notify, CordonFile(path))))
+    (old, old_maintenance), (new, new_maintenance) = processes
     assert old_maintenance.cordon("w1")
-    assert new_maintenance.cordon("w2")  # before it has read the other's call: both stay
+    assert new_maintenance.cordon("w2")  # before it has read the other process's cordon: both remain
     new_maintenance.sync_from_file()
     old_maintenance.sync_from_file()
     assert old.cordoned == new.cordoned == {"w1", "w2"}
     assert new_maintenance.uncordon("w1")
     old_maintenance.sync_from_file()
     assert old.cordoned == {"w2"} and old.address("w1") is not None
-    assert ("old", [WorkerInfo("w1", Readiness.READY)]) in told
+    assert ("old", [WorkerInfo("w1", Readiness.READY)]) in notified
     assert not old_maintenance.cordon("w9")
 
 
@@ -159,41 +163,43 @@
     path.write_text('["w1"]')
     registry = Registry(Clock(), drain_grace_ms=1000.0)
     Maintenance(registry, lambda scope, infos: None, CordonFile(path)).sync_from_file()
-    _, told = registry.apply(listing(("w1", Readiness.READY)))
-    assert told[0].readiness is Readiness.DRAINING and registry.address("w1") is None
+    _, updates = registry.apply(listing(("w1", Readiness.READY)))
+    assert updates[0].readiness is Readiness.DRAINING and registry.address("w1") is None
 
 
-def _as_a_folder(path: Path) -> None:
+def _replace_by_directory(path: Path) -> None:
     path.unlink()
     path.mkdir()
 
 
-def _disk_as_a_file(path: Path) -> None:
+def _replace_parent_by_file(path: Path) -> None:
     path.unlink()
     path.parent.rmdir()
     path.parent.write_text("")
 
 
-BREAKS: dict[str, Callable[[Path], object]] = {
-    "cut short": lambda path: path.write_text('["w1'),
+FILE_FAULTS: dict[str, Callable[[Path], object]] = {
+    "truncated": lambda path: path.write_text('["w1'),
     "empty": lambda path: path.write_text(""),
-    "not ours": lambda path: path.write_text('{"w1": true}'),
-    "a folder": _as_a_folder,
-    "the disk is gone": lambda path: path.parent.rename(path.parent.with_name("gone")),
-    "the disk is a file": _disk_as_a_file,
+    "wrong document type": lambda path: path.write_text('{"w1": true}'),
+    "a directory": _replace_by_directory,
+    "parent directory missing": lambda path: path.parent.rename(path.parent.with_name("gone")),
+    "parent directory is a file": _replace_parent_by_file,
 }
 
 
-@pytest.mark.parametrize("how", BREAKS)
-def test_an_unreadable_cordon_file_leaves_the_cordons_unchanged(tmp_path: Path, how: str) -> None:
-    """Whoever is out stays out, who is in stays in, and the next call keeps what is in hand."""
+@pytest.mark.parametrize("fault", FILE_FAULTS)
+def test_an_unreadable_cordon_file_leaves_the_cordons_unchanged(tmp_path: Path, fault: str) -> None:
+    """Cordoned workers remain cordoned, the others stay in service, and the next cordon adds to the cordons
+    in memory.
+    """
     path = tmp_path / "disk" / "out.json"
     path.parent.mkdir()
     registry = Registry(Clock(), drain_grace_ms=1000.0)
     registry.apply(listing(("w1", Readiness.READY), ("w2", Readiness.READY)))
     maintenance = Maintenance(registry, lambda scope, infos: None, CordonFile(path))
     maintenance.cordon("w1")
-    BREAKS[how](path)
+    FILE_FAULTS[fault](path)
     for _ in range(3):
         maintenance.sync_from_file()
         assert registry.cordoned == {"w1"} and registry.address("w2") is not None
@@ -202,7 +208,7 @@
     assert registry.cordoned == {"w1", "w2"}
     fresh = Registry(Clock(), drain_grace_ms=1000.0)
     Maintenance(fresh, lambda scope, infos: None, CordonFile(path)).sync_from_file()
-    assert fresh.cordoned in ({"w1", "w2"}, set()), "all are on record, or it can't be written"
+    assert fresh.cordoned in ({"w1", "w2"}, set()), "the file holds all cordons, or it cannot be written"
     assert fresh.cordoned or not path.is_file()
 
 
@@ -221,7 +227,7 @@
     assert registry.cordoned == set()
 
 
-# ---- A second process on the same address ----
+# ---- Two processes on the same address ----
 
 
 def test_two_shared_acceptors_bind_the_same_address() -> None:
@@ -237,7 +243,7 @@
         except OSError:
             pass
         else:
-            raise AssertionError("one not shared was bound beside")
+            raise AssertionError("an address that is not shared was bound twice")
         finally:
             alone.close()
 
@@ -256,21 +262,21 @@
         raise AssertionError
 
 
-# ---- Handing over at a replacement ----
+# ---- Handover to a successor ----
 
 
-def sides(folder: Path) -> tuple[Handover, Handover]:
+def make_handovers(folder: Path) -> tuple[Handover, Handover]:
     return Handover(PidFiles(folder, "n1", 100), 0.0), Handover(PidFiles(folder, "n1", 200), 10.0)
 
 
 def test_a_process_without_a_predecessor_is_ready_at_once(tmp_path: Path) -> None:
-    alone, _ = sides(tmp_path)
+    alone, _ = make_handovers(tmp_path)
     alone.start()
     assert alone.may_report_ready and alone.files.read_pid(alone.files.serving) == 100
 
 
 def test_readiness_waits_until_the_old_process_has_no_request_in_flight(tmp_path: Path) -> None:
-    old, new = sides(tmp_path)
+    old, new = make_handovers(tmp_path)
     old.start()
     new.start()
     assert not new.may_report_ready
@@ -279,13 +285,13 @@
     assert new.poll(10.2, in_flight=0) is Action.NONE and not new.may_report_ready
     assert old.poll(1.4, in_flight=0) is Action.NONE
     assert new.poll(10.4, in_flight=0) is Action.TAKE_OVER and new.may_report_ready
-    assert old.poll(1.6, in_flight=0) is Action.NONE  # the clients are the new one's: no taking them back
+    assert old.poll(1.6, in_flight=0) is Action.NONE  # the clients stay with the successor
     old.end()
     assert new.files.read_pid(new.files.serving) == 200
 
 
 def test_readiness_is_reported_after_max_wait_despite_requests_in_flight(tmp_path: Path) -> None:
-    old, new = sides(tmp_path)
+    old, new = make_handovers(tmp_path)
     old.start()
     new.start()
     old.poll(1.0, in_flight=9)
@@ -294,17 +300,17 @@
 
 
 def test_the_old_process_resumes_when_its_successor_dies(tmp_path: Path) -> None:
-    old, new = sides(tmp_path)
+    old, new = make_handovers(tmp_path)
     old.start()
     new.start()
     assert old.poll(1.0, in_flight=2) is Action.HAND_OVER
     stale = time.time() - STALE_AFTER_S - 1
-    os.utime(new.files.successor, (stale, stale))  # killed: nobody touches its file
+    os.utime(new.files.successor, (stale, stale))  # killed: its file is no longer touched
     assert old.poll(1.2, in_flight=2) is Action.RESUME and old.may_report_ready
 
 
 def test_a_stale_pid_file_of_a_killed_process_does_not_delay_readiness(tmp_path: Path) -> None:
-    old, new = sides(tmp_path)
+    old, new = make_handovers(tmp_path)
     old.start()
     stale = time.time() - STALE_AFTER_S - 1
     os.utime(old.files.serving, (stale, stale))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,6 @@
-"""The operator's file: all its faults in one go, each by its key; and nothing of it loaded without it."""
+"""The operator file: all errors are reported at once, each with its key, and without the file none of the
+libraries that it needs is imported.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +21,8 @@
 FUNCTION = "[gearman]\nlisten = 'h:1'\n[gearman.functions.f]\nclass = 'preview'\n"
 
 
-def read(folder: Path, text: str) -> list[str]:
-    """The faults of a file."""
+def load_errors(folder: Path, text: str) -> list[str]:
+    """Load a file of this text and return its errors."""
     path = folder / "operator.toml"
     path.write_text(text)
     try:
@@ -36,11 +38,11 @@
     assert found.waiting.for_class("gearman:render_preview").queueing
     assert not found.waiting.for_class("gearman:file_specimen").queueing
     defaults = WaitingSettings(classes=found.waiting.classes)
-    assert found.waiting == defaults, "the file shows the defaults"
+    assert found.waiting == defaults, "the deployed file shows the defaults"
 
 
 def test_all_errors_of_a_file_are_reported_at_once_each_with_its_key(tmp_path: Path) -> None:
-    faults = read(tmp_path, """
+    faults = load_errors(tmp_path, """
         colour = "red"
         [waiting]
         max_jobs = -1
@@ -89,7 +91,7 @@
     ],
 )  # fmt: skip
 def test_invalid_values_are_reported_with_their_key(text: str, named: str, tmp_path: Path) -> None:
-    (fault,) = read(tmp_path, text)
+    (fault,) = load_errors(tmp_path, text)
     assert named in fault
 
 
@@ -98,7 +100,7 @@
         load(tmp_path / "none.toml", CLASSES)
 
 
-def config(folder: Path) -> dict[str, object]:
+def make_config(folder: Path) -> dict[str, object]:
     document: dict[str, object] = json.loads((ROOT / "examples/config.json").read_text())
     return document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
 
@@ -106,7 +108,7 @@
 def test_the_program_does_not_start_with_an_invalid_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\nmax_jobs = 0\nmax_depth = 0")
-    program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = Program(make_config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         found = program.wait_for("^oxbowyard: (.*)")[1]
         assert "waiting.max_jobs" in found and "waiting.max_depth" in found
@@ -118,7 +120,7 @@
 def test_sighup_reports_a_changed_table_and_keeps_the_loaded_settings(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\n")
-    program = Program(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = Program(make_config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         program.wait_for("http listens")
         path.write_text("[waiting]\nmax_jobs = 7")
@@ -133,8 +135,8 @@
 
 def test_without_an_operator_file_none_of_its_libraries_is_imported() -> None:
     code = "import sys, oxbowyard.__main__; print(*sys.modules)"
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout
-    loaded = {name.partition(".")[0] for name in told.split()}
+    output = subprocess.run([sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout
+    loaded = {name.partition(".")[0] for name in output.split()}
     assert "aiohttp" in loaded
     assert not loaded & {"msgspec", "sortedcontainers", "hypothesis", "typer", "pydantic"}
     for name in (
@@ -142,5 +144,5 @@
         "clients.job_routes", "clients.job_parsing", "clients.job_documents",
         "cli", "configuration", "membership", "peers", "start",
     ):  # fmt: skip
-        assert f"oxbowyard.{name}" not in told.split()
+        assert f"oxbowyard.{name}" not in output.split()
     assert "sqlite3" not in loaded
--- a/tests/test_reload_names.py
+++ b/tests/test_reload_names.py
@@ -1,4 +1,4 @@
-"""What a reload names as waiting for a restart."""
+"""Settings that a reload reports as needing a restart."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def test_with_deferred_jobs_a_reload_names_each_setting_that_needs_a_restart(
     change: str, names: str, tmp_path: Path
 ) -> None:
-    # Guards against a reload that does nothing and says nothing.
+    # Guards against a reload that ignores a changed setting without a log line.
     document = json.loads((ROOT / "examples/config.json").read_text())
     document |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
     operator = tmp_path / "operator.toml"
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,4 +1,4 @@
-"""A second process beside the first: the old one hands over, then the new one says yes; no req is lost."""
+"""Replacement of a process: the old one hands over, then the new one reports ready; no request is lost."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from player import SETTINGS, Program
 
-RUNS_FOR = 2.0  # seconds that the stand-in worker takes for a job
+JOB_DURATION_S = 2.0  # of each job at the fake worker
 
 
 def free_port() -> int:
@@ -24,7 +24,7 @@
 
 
 class ThreadedServer(threading.Thread):
-    """A listener of the test's that serves each connection in a thread of its own."""
+    """A server that handles each connection in a thread of its own."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -43,8 +43,8 @@
             threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
 
-class Discovery(ThreadedServer):
-    """Answers the whole list at once, and a watch after a while with no change."""
+class FakeDiscovery(ThreadedServer):
+    """A fake discovery service: it answers a full list immediately, and a watch after 1 s without changes."""
 
     def __init__(self, listing: dict[str, object]) -> None:
         super().__init__()
@@ -53,30 +53,32 @@
     def _serve(self, connection: socket.socket) -> None:
         with connection:
             while head := connection.recv(4096):
-                watch = b"after=" in head
-                if watch:
+                is_watch = b"after=" in head
+                if is_watch:
                     time.sleep(1.0)
-                body = json.dumps({"rev": 1, "all": False, "targets": []} if watch else self.listing).encode()
+                body = json.dumps(
+                    {"rev": 1, "all": False, "targets": []} if is_watch else self.listing
+                ).encode()
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class Worker(ThreadedServer):
-    """A scan worker that answers each job after RUNS_FOR."""
+class FakeWorker(ThreadedServer):
+    """A fake scan worker that answers each job after JOB_DURATION_S."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.began = threading.Event()
+        self.job_started = threading.Event()
 
     def _serve(self, connection: socket.socket) -> None:
         with connection:
             head = b""
             while b"\r\n\r\n" not in head:
                 head += connection.recv(4096)
-            found = re.search(rb"Req-Id: (\S+)", head)
-            assert found
-            self.began.set()
-            time.sleep(RUNS_FOR)
-            line = b'{"id":"%s","state":"done","result":"made"}\n' % found[1]
+            request_id = re.search(rb"Req-Id: (\S+)", head)
+            assert request_id
+            self.job_started.set()
+            time.sleep(JOB_DURATION_S)
+            line = b'{"id":"%s","state":"done","result":"made"}\n' % request_id[1]
             chunk = b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line)
             connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk)
 
@@ -85,23 +87,23 @@
     try:
         with urllib.request.urlopen(f"http://{address[0]}:{address[1]}{path}", timeout=5) as answer:
             return int(answer.status)
-    except urllib.error.HTTPError as refused:
-        return refused.code
+    except urllib.error.HTTPError as error:
+        return error.code
 
 
-def wait_until(test: object, within: float) -> float:
+def wait_until(condition: object, timeout_s: float) -> float:
     start = time.monotonic()
-    while not test():  # type: ignore[operator]
-        assert time.monotonic() - start < within, "not in time"
+    while not condition():  # type: ignore[operator]
+        assert time.monotonic() - start < timeout_s, "condition not met in time"
         time.sleep(0.05)
     return time.monotonic() - start
 
 
 def test_the_new_process_is_ready_only_after_the_old_one_has_handed_over(tmp_path: Path) -> None:
-    worker = Worker()
+    worker = FakeWorker()
     worker.start()
     entry = {"uid": "w1", "endpoint": worker.address, "az": "a", "model": "m", "state": "ready", "boot_ms": 0}
-    discovery = Discovery({"rev": 1, "all": True, "targets": [entry]})
+    discovery = FakeDiscovery({"rev": 1, "all": True, "targets": [entry]})
     discovery.start()
     port = free_port()
     config = {
@@ -112,8 +114,8 @@
     old = Program(config, tmp_path, [])
     new: Program | None = None
     try:
-        old_door = old.address("control")
-        wait_until(lambda: get_status(old_door, "/control/ready") == 200, 10)
+        old_admin = old.address("control")
+        wait_until(lambda: get_status(old_admin, "/control/ready") == 200, 10)
         answer: list[int] = []
         body = b"x"
         request = urllib.request.Request(
@@ -122,22 +124,22 @@
         )  # fmt: skip
         client = threading.Thread(target=lambda: answer.append(urllib.request.urlopen(request).status))
         client.start()
-        assert worker.began.wait(5)  # the job is out at the worker
+        assert worker.job_started.wait(5)  # the worker has the job
         new = Program(config, tmp_path, [])
-        new_door = new.address("control")
+        new_admin = new.address("control")
         new.wait_for("starting -> serving")
         old.wait_for("serving -> handing over")
         new.wait_for("adopted the previous process's estimates: workers=1")
-        assert get_status(new_door, "/control/ready") == 503  # the old one holds the accession
-        assert get_status(old_door, "/control/ready") == 503
-        taken = wait_until(lambda: get_status(new_door, "/control/ready") == 200, 6)
+        assert get_status(new_admin, "/control/ready") == 503  # the old process still has the job in flight
+        assert get_status(old_admin, "/control/ready") == 503
+        elapsed_s = wait_until(lambda: get_status(new_admin, "/control/ready") == 200, 6)
         client.join(5)
         assert answer == [200]
         new.wait_for("successor took over: handed_over=yes")
-        assert taken < 4.0
+        assert elapsed_s < 4.0
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(5) == 0
-        assert get_status(("127.0.0.1", port), "/up") == 200  # the address is the new one's alone
+        assert get_status(("127.0.0.1", port), "/up") == 200  # only the new process listens now
     finally:
         old.end()
         if new is not None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,6 @@
-"""The soak: its audit finds planted faults, a seed draws one plan, and some seeds keep all rules."""
+"""The soak test: its audit finds injected faults, a seed determines the plan, and runs of some seeds violate
+no rule.
+"""
 
 from __future__ import annotations
 
@@ -19,38 +21,40 @@
 PLAN = draw(1)
 
 
-def named(semantics: Semantics) -> str:
+def class_name(semantics: Semantics) -> str:
     return next(c.name for c in PLAN.classes if c.semantics is semantics)
 
 
-def good() -> Observation:
-    """A run without any fault: one request of each class, served by one worker."""
-    seen = Observation(processes=[process()])
+def clean_run() -> Observation:
+    """Return a run without faults: one request of each class, served by one worker."""
+    observation = Observation(processes=[clean_process()])
     for number, job_class in enumerate(PLAN.classes):
         at, id_ = 100.0 + number, f"r{number}"
         exchange = Exchange(id_, job_class.name, job_class.deadline_s, True, at, sent_at=at)
         exchange.answered_at, exchange.status, exchange.body, exchange.answers = at + 0.2, 200, b"made", 1
-        seen.exchanges.append(exchange)
-        seen.arrivals.append(Arrival(id_, "w1", at + 0.01, at + 0.02, at + 0.15, at + 0.16, True, b"made"))
-    return seen
+        observation.exchanges.append(exchange)
+        observation.arrivals.append(
+            Arrival(id_, "w1", at + 0.01, at + 0.02, at + 0.15, at + 0.16, True, b"made")
+        )
+    return observation
 
 
-def process() -> Process:
+def clean_process() -> Process:
     return Process(
         90.0, ready_at=91.0, terminated_at=110.0, exited_at=111.0, exit_code=0, log="state serving"
     )
 
 
-def of(seen: Observation, semantics: Semantics) -> tuple[Exchange, Arrival]:
-    exchange = next(e for e in seen.exchanges if e.job_class == named(semantics))
-    return exchange, next(a for a in seen.arrivals if a.id == exchange.id)
+def exchange_and_arrival(observation: Observation, semantics: Semantics) -> tuple[Exchange, Arrival]:
+    exchange = next(e for e in observation.exchanges if e.job_class == class_name(semantics))
+    return exchange, next(a for a in observation.arrivals if a.id == exchange.id)
 
 
-def second_run(semantics: Semantics, after_s: float) -> Callable[[Observation], None]:
-    def plant(seen: Observation) -> None:
-        _, arrival = of(seen, semantics)
+def inject_second_run(semantics: Semantics, after_s: float) -> Callable[[Observation], None]:
+    def inject(observation: Observation) -> None:
+        _, arrival = exchange_and_arrival(observation, semantics)
         assert arrival.whole_at is not None
-        seen.arrivals.append(
+        observation.arrivals.append(
             replace(
                 arrival,
                 worker="w2",
@@ -61,184 +65,187 @@
             )
         )
 
-    return plant
+    return inject
 
 
-def forgets(seen: Observation) -> None:
-    exchange = seen.exchanges[0]
+def lose_answer(observation: Observation) -> None:
+    exchange = observation.exchanges[0]
     exchange.answered_at, exchange.status, exchange.answers = None, 0, 0
 
 
-def closes_a_kept_connection_over_a_forwarded_request(seen: Observation) -> None:
-    forgets(seen)
-    seen.exchanges[0].is_first, seen.exchanges[0].closed_at = False, 101.0
+def close_keep_alive_connection_after_forwarding(observation: Observation) -> None:
+    lose_answer(observation)
+    observation.exchanges[0].is_first, observation.exchanges[0].closed_at = False, 101.0
 
 
-def closes_a_new_connection_unread(seen: Observation) -> None:
-    forgets(seen)
-    seen.exchanges[0].closed_at = 101.0
-    seen.arrivals = [a for a in seen.arrivals if a.id != seen.exchanges[0].id]
+def close_new_connection_unread(observation: Observation) -> None:
+    lose_answer(observation)
+    observation.exchanges[0].closed_at = 101.0
+    observation.arrivals = [a for a in observation.arrivals if a.id != observation.exchanges[0].id]
 
 
-def answers_late(seen: Observation) -> None:
-    exchange = seen.exchanges[0]
+def answer_late(observation: Observation) -> None:
+    exchange = observation.exchanges[0]
     exchange.answered_at = exchange.begun_at + exchange.deadline_s + 0.6
 
 
-def answers_twice(seen: Observation) -> None:
-    seen.exchanges[0].answers = 2
+def answer_twice(observation: Observation) -> None:
+    observation.exchanges[0].answers = 2
 
 
-def invents_an_answer(seen: Observation) -> None:
-    seen.exchanges[0].body = b"a second answer"
+def return_foreign_answer(observation: Observation) -> None:
+    observation.exchanges[0].body = b"a second answer"
 
 
-def refuses_what_ran(seen: Observation) -> None:
-    of(seen, Semantics.SINGLE_SHOT)[0].status = 503
+def reject_request_that_ran(observation: Observation) -> None:
+    exchange_and_arrival(observation, Semantics.SINGLE_SHOT)[0].status = 503
 
 
-def sends_after_a_leave(seen: Observation) -> None:
-    exchange, arrival = of(seen, Semantics.FREE)
+def send_after_client_left(observation: Observation) -> None:
+    exchange, arrival = exchange_and_arrival(observation, Semantics.FREE)
     exchange.left_at = arrival.first_byte_at - 0.2
 
 
-def sends_a_second_copy(seen: Observation) -> None:
-    _, arrival = of(seen, Semantics.FREE)
+def send_second_copy(observation: Observation) -> None:
+    _, arrival = exchange_and_arrival(observation, Semantics.FREE)
     arrival.ended_at = arrival.closed_at = None
-    second_run(Semantics.FREE, 0.3)(seen)
+    inject_second_run(Semantics.FREE, 0.3)(observation)
 
 
-def sends_to_a_draining_worker(seen: Observation) -> None:
-    seen.drains.append(Drain("w1", binds_at=99.0, until=105.0))
+def send_to_draining_worker(observation: Observation) -> None:
+    observation.drains.append(Drain("w1", binds_at=99.0, until=105.0))
 
 
-def crashes(seen: Observation) -> None:
-    seen.processes[0].exit_code = -11
+def crash(observation: Observation) -> None:
+    observation.processes[0].exit_code = -11
 
 
-def outstays(seen: Observation) -> None:
-    seen.processes[0].exited_at = 110.0 + 3.8
+def exit_too_late(observation: Observation) -> None:
+    observation.processes[0].exited_at = 110.0 + 3.8
 
 
-def starts_slowly(seen: Observation) -> None:
-    seen.processes[0].ready_at = 100.5
+def become_ready_late(observation: Observation) -> None:
+    observation.processes[0].ready_at = 100.5
 
 
-def logs_a_fault(seen: Observation) -> None:
-    seen.processes[0].log += "\ndecision fault: KeyError()"
+def log_fault(observation: Observation) -> None:
+    observation.processes[0].log += "\ndecision fault: KeyError()"
 
 
-def grows(seen: Observation) -> None:
-    seen.processes[0].peak_memory_mb = 193.0
+def exceed_memory(observation: Observation) -> None:
+    observation.processes[0].peak_memory_mb = 193.0
 
 
-def leaks(seen: Observation) -> None:
-    seen.processes[0].peak_descriptors = 257
+def leak_descriptors(observation: Observation) -> None:
+    observation.processes[0].peak_descriptors = 257
 
 
-def forgets_a_job(seen: Observation) -> None:
-    seen.forgotten_jobs.append("d1")
+def lose_deferred_job(observation: Observation) -> None:
+    observation.forgotten_jobs.append("d1")
 
 
-def keeps_a_bad_client(seen: Observation) -> None:
-    seen.bad_client_waits_s.append(3.2)
+def keep_bad_client_connected(observation: Observation) -> None:
+    observation.bad_client_waits_s.append(3.2)
 
 
-PLANTED: tuple[tuple[Callable[[Observation], None], str], ...] = (
-    (forgets, "lost request"),
-    (closes_a_kept_connection_over_a_forwarded_request, "lost request"),
-    (closes_a_new_connection_unread, "lost request"),
-    (answers_late, "late answer"),
-    (answers_twice, "two answers"),
-    (invents_an_answer, "foreign answer"),
-    (refuses_what_ran, "refused though it ran"),
-    (second_run(Semantics.SINGLE_SHOT, 0.5), "ran twice"),
-    (second_run(Semantics.GUARDED, 2.1), "ran twice"),
-    (sends_a_second_copy, "second copy"),
-    (sends_after_a_leave, "sent after its client left"),
-    (sends_to_a_draining_worker, "sent to a draining worker"),
-    (crashes, "exit code"),
-    (outstays, "still there when SIGKILL comes"),
-    (starts_slowly, "not ready in time"),
-    (logs_a_fault, "fault in the log"),
-    (grows, "memory"),
-    (leaks, "descriptors"),
-    (forgets_a_job, "forgotten job"),
-    (keeps_a_bad_client, "bad client kept"),
+INJECTED_FAULTS: tuple[tuple[Callable[[Observation], None], str], ...] = (
+    (lose_answer, "lost request"),
+    (close_keep_alive_connection_after_forwarding, "lost request"),
+    (close_new_connection_unread, "lost request"),
+    (answer_late, "late answer"),
+    (answer_twice, "two answers"),
+    (return_foreign_answer, "foreign answer"),
+    (reject_request_that_ran, "refused though it ran"),
+    (inject_second_run(Semantics.SINGLE_SHOT, 0.5), "ran twice"),
+    (inject_second_run(Semantics.GUARDED, 2.1), "ran twice"),
+    (send_second_copy, "second copy"),
+    (send_after_client_left, "sent after its client left"),
+    (send_to_draining_worker, "sent to a draining worker"),
+    (crash, "exit code"),
+    (exit_too_late, "still there when SIGKILL comes"),
+    (become_ready_late, "not ready in time"),
+    (log_fault, "fault in the log"),
+    (exceed_memory, "memory"),
+    (leak_descriptors, "descriptors"),
+    (lose_deferred_job, "forgotten job"),
+    (keep_bad_client_connected, "bad client kept"),
 )
 
 
 def test_the_audit_reports_nothing_for_a_run_without_faults() -> None:
-    assert audit(PLAN, good()) == []
+    assert audit(PLAN, clean_run()) == []
 
 
-@pytest.mark.parametrize(("plant", "rule"), PLANTED, ids=[rule for _, rule in PLANTED])
-def test_the_audit_finds_each_injected_fault(plant: Callable[[Observation], None], rule: str) -> None:
-    seen = good()
-    plant(seen)
-    assert rule in {violation.rule for violation in audit(PLAN, seen)}
+@pytest.mark.parametrize(("inject", "rule"), INJECTED_FAULTS, ids=[rule for _, rule in INJECTED_FAULTS])
+def test_the_audit_finds_each_injected_fault(inject: Callable[[Observation], None], rule: str) -> None:
+    observation = clean_run()
+    inject(observation)
+    assert rule in {violation.rule for violation in audit(PLAN, observation)}
 
 
-def allowed_again(seen: Observation) -> None:
-    second_run(Semantics.FREE, 0.5)(seen)
+def allowed_second_run_of_free_class(observation: Observation) -> None:
+    inject_second_run(Semantics.FREE, 0.5)(observation)
 
 
-def allowed_within_the_window(seen: Observation) -> None:
-    second_run(Semantics.GUARDED, 0.15)(seen)
+def allowed_second_run_within_the_window(observation: Observation) -> None:
+    inject_second_run(Semantics.GUARDED, 0.15)(observation)
 
 
-def allowed_unread_on_a_kept_connection(seen: Observation) -> None:
-    closes_a_new_connection_unread(seen)
-    seen.exchanges[0].is_first = False
+def allowed_unread_close_of_keep_alive_connection(observation: Observation) -> None:
+    close_new_connection_unread(observation)
+    observation.exchanges[0].is_first = False
 
 
-def allowed_of_a_killed_process(seen: Observation) -> None:
-    closes_a_kept_connection_over_a_forwarded_request(seen)
-    seen.processes[0].killed_at, seen.processes[0].exit_code = 101.0, -9
+def allowed_loss_by_killed_process(observation: Observation) -> None:
+    close_keep_alive_connection_after_forwarding(observation)
+    observation.processes[0].killed_at, observation.processes[0].exit_code = 101.0, -9
 
 
 ALLOWED = (
-    allowed_again,
-    allowed_within_the_window,
-    allowed_unread_on_a_kept_connection,
-    allowed_of_a_killed_process,
+    allowed_second_run_of_free_class,
+    allowed_second_run_within_the_window,
+    allowed_unread_close_of_keep_alive_connection,
+    allowed_loss_by_killed_process,
 )
 
 
-@pytest.mark.parametrize("change", ALLOWED)
-def test_the_audit_accepts_behaviour_that_the_contract_allows(change: Callable[[Observation], None]) -> None:
-    seen = good()
-    change(seen)
-    assert audit(PLAN, seen) == []
+@pytest.mark.parametrize("apply_change", ALLOWED)
+def test_the_audit_accepts_behaviour_that_the_contract_allows(
+    apply_change: Callable[[Observation], None],
+) -> None:
+    observation = clean_run()
+    apply_change(observation)
+    assert audit(PLAN, observation) == []
 
 
 def test_the_audit_finds_a_request_lost_on_a_keep_alive_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a client's timeout that is taken for a close, which may cross a request.
+    # Guards against an audit that takes a client's timeout for a close by the server. A close may cross a
+    # request on a keep-alive connection, which excuses its loss; a timeout does not.
     monkeypatch.setattr("benchmarks.soak.clients.LAST_WAIT_S", 0.1)
     plan = replace(PLAN, leaving_share=0.0, slow_share=0.0)
-    seen = Observation(processes=[process()])
+    observation = Observation(processes=[clean_process()])
 
-    async def forget_the_second(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def drop_second_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"sheet")
         writer.write(b"HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n")
         await reader.read()
 
-    async def scene() -> None:
-        server = await asyncio.start_server(forget_the_second, "127.0.0.1", 0)
+    async def run() -> None:
+        server = await asyncio.start_server(drop_second_request, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()[:2]
         stop = asyncio.Event()
-        client = asyncio.create_task(Client(0, plan, seen, lambda: address, stop).run())
+        client = asyncio.create_task(Client(0, plan, observation, lambda: address, stop).run())
         async with asyncio.timeout(20.0):
-            while len(seen.exchanges) < 3:
+            while len(observation.exchanges) < 3:
                 await asyncio.sleep(0.01)
         stop.set()
         client.cancel()
         server.close()
 
-    asyncio.run(scene())
-    second = seen.exchanges[1]
+    asyncio.run(run())
+    second = observation.exchanges[1]
     assert not second.is_first and second.sent_at is not None
-    lost = [violation.text for violation in audit(plan, seen) if violation.rule == "lost request"]
+    lost = [violation.text for violation in audit(plan, observation) if violation.rule == "lost request"]
     assert any(second.id in text for text in lost)
 
 
@@ -251,10 +258,10 @@
 
 
 def test_a_failing_seed_prints_the_command_that_replays_it() -> None:
-    seen = good()
-    forgets(seen)
+    observation = clean_run()
+    lose_answer(observation)
     plan: Plan = replace(PLAN, seed=4711)
-    line = verdict_line(Verdict(plan, seen, audit(plan, seen)))
+    line = verdict_line(Verdict(plan, observation, audit(plan, observation)))
     assert "FAILED" in line and "python -m benchmarks.soak --seed 4711" in line
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,6 @@
-"""How schedulers start: cached lists by source and age, the list on disk, admission, and whole groups."""
+"""Start of schedulers: cached endpoint lists by source and age, the snapshot file, fetch admission, and
+groups of processes.
+"""
 
 from __future__ import annotations
 
@@ -34,28 +36,32 @@
 
 DAY = 86400.0
 CONFIG: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
-ASKED = json.loads((ROOT / "tests/settings_asked.json").read_text())
+SUBSCRIBING_SETTINGS = json.loads((ROOT / "tests/settings_asked.json").read_text())
 
 
-def one(source: Source, age: float) -> Snapshot:
-    return parse_snapshot(source, age, {"rev": 1, "targets": workers(2)}, 10)
+def make_snapshot(source: Source, age_s: float) -> Snapshot:
+    return parse_snapshot(source, age_s, {"rev": 1, "targets": workers(2)}, 10)
 
 
-# ---- Lists ----
+# ---- Choice of a cached list ----
 
 
 def test_choose_best_prefers_the_youngest_usable_snapshot() -> None:
-    config, old, day = one(Source.CONFIG, math.inf), one(Source.DISK, 500.0), one(Source.DISK, 2 * DAY)
-    peer = one(Source.PEER, 3.0)
+    config, old, day = (
+        make_snapshot(Source.CONFIG, math.inf),
+        make_snapshot(Source.DISK, 500.0),
+        make_snapshot(Source.DISK, 2 * DAY),
+    )
+    peer = make_snapshot(Source.PEER, 3.0)
     assert choose_best([config, old, peer], DAY) is peer
     assert choose_best([config, old], DAY) is old
-    assert choose_best([config, day], DAY) is config, "a list that is too old is none"
+    assert choose_best([config, day], DAY) is config, "a list over the age limit is not used"
     assert choose_best([day], DAY) is None and choose_best([], DAY) is None
     assert (
         is_worth_replacing(peer, old) and is_worth_replacing(old, None) and not is_worth_replacing(old, peer)
     )
-    assert not is_worth_replacing(one(Source.PEER, 4.6), one(Source.PEER, 5.0)), (
-        "it would move the work for nothing"
+    assert not is_worth_replacing(make_snapshot(Source.PEER, 4.6), make_snapshot(Source.PEER, 5.0)), (
+        "a list that is hardly younger would move requests between workers without benefit"
     )
 
 
@@ -73,11 +79,11 @@
         parse_snapshot(Source.PEER, 1.0, document, 10)
 
 
-# ---- The list on disk ----
+# ---- The snapshot file ----
 
 
-def kept(path: Path, site: str = "a", now: float = 1000.0, most: int = 10) -> Snapshot:
-    return read_snapshot(path, site, now, DAY, most, 1 << 16)
+def kept(path: Path, site: str = "a", now: float = 1000.0, max_entries: int = 10) -> Snapshot:
+    return read_snapshot(path, site, now, DAY, max_entries, 1 << 16)
 
 
 def test_a_written_snapshot_is_read_back_with_its_age(tmp_path: Path) -> None:
@@ -124,10 +130,10 @@
     path = tmp_path / "list"
     write_snapshot(path, "a", 900.0, 7, workers(2))
 
-    def full(number: int) -> None:
+    def raise_disk_full(descriptor: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", raise_disk_full)
     with pytest.raises(OSError, match="No space"):
         write_snapshot(path, "a", 950.0, 8, workers(2))
     assert kept(path).revision == 7 and os.listdir(tmp_path) == ["list"]
@@ -141,7 +147,7 @@
     due_at = {n: FetchAdmission(n, 3, 2.0, Random(n), 0.0).due_at(set(names) - {n}, 1) for n in names}
     assert sorted(rank(n, names) for n in names) == list(range(300))
     assert sum(due == 0.0 for due in due_at.values()) == 3
-    for second in (10, 100, 1000):  # of a service that answers nobody: at most three in each turn
+    for second in (10, 100, 1000):  # without any answer: at most three members fetch in each round
         begun = sum(round_start_s(number, 2.0) < second for number in range(99))
         assert sum(due < second for due in due_at.values()) <= 3 * (2 + begun)
     assert max(due_at.values()) <= round_start_s(99, 2.0) + 1.0
@@ -150,14 +156,14 @@
 def test_the_next_fetch_round_begins_when_the_first_members_are_dead() -> None:
     names = sorted((f"m{i}" for i in range(30)), key=lambda n: rank(n, [f"m{i}" for i in range(30)]))
     dead = set(names[:3])
-    after = min(
+    earliest_due = min(
         FetchAdmission(n, 3, 2.0, Random(1), 0.0).due_at(set(names) - {n}, 1) for n in names if n not in dead
     )
-    assert 2.0 <= after <= 3.0, "they are still in the view"
-    gone = min(
+    assert 2.0 <= earliest_due <= 3.0, "the dead members are still in the membership view"
+    due_after_removal = min(
         FetchAdmission(n, 3, 2.0, Random(1), 0.0).due_at(set(names) - dead - {n}, 1) for n in names[3:]
     )
-    assert gone == 0.0, "found dead, they leave their places"
+    assert due_after_removal == 0.0, "members found dead no longer take a place in the first round"
 
 
 def test_a_member_without_known_peers_uses_the_configured_group_size() -> None:
@@ -171,51 +177,57 @@
 
 @pytest.fixture
 def service() -> Iterator[ServiceThread]:
-    made = ServiceThread(Service(workers(12)))
-    yield made
-    made.close()
+    thread = ServiceThread(Service(workers(12)))
+    yield thread
+    thread.close()
 
 
 @contextmanager
-def group(tmp_path: Path, service: ServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
-    """Processes with [start] and [membership], not started yet."""
-    config = CONFIG | {"discovery": service.address, "settings": ASKED | {"siblings": size}}
-    with fleet(tmp_path, config) as made:
-        made.tables["start"] = {"keep_every_s": 0.3, **start}
-        made.kept = True
-        made.add(size)
-        yield made
-
-
-def kept_rev(member: Member) -> int:
-    """The version of the list in its file, 0 if there is none of late."""
+def scheduler_group(tmp_path: Path, service: ServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
+    """Prepare processes with the tables [start] and [membership], without starting them."""
+    config = CONFIG | {"discovery": service.address, "settings": SUBSCRIBING_SETTINGS | {"siblings": size}}
+    with fleet(tmp_path, config) as schedulers:
+        schedulers.tables["start"] = {"keep_every_s": 0.3, **start}
+        schedulers.kept = True
+        schedulers.add(size)
+        yield schedulers
+
+
+def stored_revision(member: Member) -> int:
+    """Return the revision of the member's snapshot file, or 0 if none was written within the last 60 s."""
     try:
         return read_snapshot(member.folder / "list", "default", time.time(), 60.0, 99, 1 << 20).revision
     except UnusableSnapshot:
         return 0
 
 
-def figures(members: list[Member], name: str) -> set[int]:
-    """A figure at each one's door."""
+def counter_values(members: list[Member], name: str) -> set[int]:
+    """Return the distinct values of a counter, read from each member's admin API."""
     return {json.loads(m.call("GET", "/control/counters")[1])[name] for m in members}
 
 
-def ready(members: list[Member]) -> bool:
+def are_ready(members: list[Member]) -> bool:
     return all(m.call("GET", "/control/ready")[0] == 200 for m in members)
 
 
-def told(members: list[Member]) -> bool:
+def have_discovery_list(members: list[Member]) -> bool:
     return all("list service answered" in m.log() for m in members)
 
 
 def test_a_group_that_starts_at_once_fetches_few_full_lists(tmp_path: Path, service: ServiceThread) -> None:
-    with group(tmp_path, service, 14) as made:
-        members = list(made)
+    with scheduler_group(tmp_path, service, 14) as schedulers:
+        members = list(schedulers)
         for member in members:
             member.start()
-        until(lambda: members[0].call("PUT", "/control/scan-workers/w1/offline")[0] == 200, "it is told")
-        until(lambda: told(members) and ready(members), "all have the service's list")
-        until(lambda: figures(members, "out_of_rotation") == {1}, "a drain told meanwhile holds at all")
+        until(
+            lambda: members[0].call("PUT", "/control/scan-workers/w1/offline")[0] == 200,
+            "the first member accepts the cordon",
+        )
+        until(
+            lambda: have_discovery_list(members) and are_ready(members),
+            "all members have the list from discovery",
+        )
+        until(lambda: counter_values(members, "out_of_rotation") == {1}, "the drain applies at all members")
         assert service.service.count("whole") <= 4
         assert service.service.count("refused") == 0
         assert any("serving a cached list: source=peer" in m.log() for m in members)
@@ -224,50 +236,67 @@
 def test_schedulers_serve_from_disk_snapshots_while_discovery_is_down(
     tmp_path: Path, service: ServiceThread
 ) -> None:
-    with group(tmp_path, service, 6) as made:
-        members = list(made)
+    with scheduler_group(tmp_path, service, 6) as schedulers:
+        members = list(schedulers)
         service.service.down = True
         for number, member in enumerate(members):
             site = "other" if number == 5 else "default"
             write_snapshot(member.folder / "list", site, time.time() - 300.0, 3, workers(9))
             member.start()
-        until(lambda: ready(members[:5]), "those with a list of their site serve")
+        until(lambda: are_ready(members[:5]), "the members with a snapshot of their own site are ready")
         said = r"serving a cached list: source=disk origin=list age_s=3\d\d workers=9 all_cold=yes"
         assert re.search(said, members[0].log()), members[0].log()
         until(lambda: "of another site" in members[5].log(), "the one with another site's list says so")
         answered = until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
-        assert answered == 503, "it has no list to serve from"
+        assert answered == 503, "it is not ready, since its snapshot belongs to another site"
         service.service.down = False
-        until(lambda: told(members) and ready(members), "the service's list is everywhere", 60)
-        assert figures(members, "registry_entries") == {12}, "it replaced the old ones"
-        until(lambda: all(kept_rev(m) == 10 for m in members), "and is kept")
+        until(
+            lambda: have_discovery_list(members) and are_ready(members),
+            "all members have the list from discovery",
+            60,
+        )
+        assert counter_values(members, "registry_entries") == {12}, (
+            "the list from discovery replaced the snapshots"
+        )
+        until(
+            lambda: all(stored_revision(m) == 10 for m in members),
+            "the snapshot files hold the list from discovery",
+        )
 
 
 def test_truncated_answers_and_an_unwritable_snapshot_path_do_no_harm(
     tmp_path: Path, service: ServiceThread
 ) -> None:
     service.service.cut_short = True
-    with group(tmp_path, service, 3) as made:
-        members = list(made)
-        made.tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
+    with scheduler_group(tmp_path, service, 3) as schedulers:
+        members = list(schedulers)
+        schedulers.tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
         for member in members:
-            made.write(member)
+            schedulers.write(member)
             member.start()
-        until(lambda: any("discovery unavailable" in m.log() for m in members), "it was asked")
-        assert not any(ready([m]) for m in members)
+        until(
+            lambda: any("discovery unavailable" in m.log() for m in members), "a member has polled discovery"
+        )
+        assert not any(are_ready([member]) for member in members)
         service.service.cut_short = False
-        until(lambda: told(members) and ready(members), "all serve")
-        until(lambda: all("cached list cannot be written" in m.log() for m in members), "it is said")
+        until(lambda: have_discovery_list(members) and are_ready(members), "all members are ready")
+        until(
+            lambda: all("cached list cannot be written" in m.log() for m in members),
+            "all members log the failed write",
+        )
         service.tell(targets=workers(13))
-        until(lambda: figures(members, "registry_entries") == {13}, "a change is taken")
+        until(
+            lambda: counter_values(members, "registry_entries") == {13},
+            "all members apply a change of the list",
+        )
         assert all(m.log().count("cached list cannot be written") == 1 for m in members)
 
 
-# ---- One component, without processes ----
+# ---- One start component, without processes ----
 
 
-class Desk:
-    """A component whose program only notes what it is asked."""
+class StartHarness:
+    """A start component with a fake program that records the lists adopted."""
 
     def __init__(self, known: object = None, **settings: Any) -> None:
         self.adopted: list[tuple[int, bool, bool]] = []
@@ -284,8 +313,8 @@
         )
         self.component = StartComponent(StartSettings(**settings), dependencies)
 
-    def _adopt(self, document: Any, cold: bool, newer: bool) -> bool:
-        self.adopted.append((document["rev"], cold, newer))
+    def _adopt(self, document: Any, is_cold: bool, may_resume: bool) -> bool:
+        self.adopted.append((document["rev"], is_cold, may_resume))
         return True
 
 
@@ -295,18 +324,20 @@
 
 def test_an_old_peer_snapshot_is_adopted_cold_and_a_young_one_admits() -> None:
     async def play() -> None:
-        desk = Desk({"rev": 2, "targets": workers(2)}, fresh_s=60.0, same_service_s=600.0)
-        desk.component._served.adopt_best()
-        assert desk.adopted == [(2, True, False)], "of unknown age: cold, and nothing newer is asked for"
-        desk.component._receive("m1", body(5, 5000.0))
-        assert desk.adopted[-1] == (5, True, False) and not desk.component._admitted.is_set()
-        desk.component._receive("m2", body(4, 5000.0))
-        assert len(desk.adopted) == 2, "one that is hardly younger moves the work for nothing"
-        desk.component._receive("m2", body(9, 3.0))
-        assert desk.adopted[-1] == (9, False, True) and desk.component._admitted.is_set()
-        desk.component.service_answered()
-        desk.component._receive("m3", body(99, 0.0))
-        assert len(desk.adopted) == 3, "the service has spoken"
+        harness = StartHarness({"rev": 2, "targets": workers(2)}, fresh_s=60.0, same_service_s=600.0)
+        harness.component._served.adopt_best()
+        assert harness.adopted == [(2, True, False)], (
+            "of unknown age: all workers are cold, and the watch may not resume from it"
+        )
+        harness.component._receive("m1", body(5, 5000.0))
+        assert harness.adopted[-1] == (5, True, False) and not harness.component._admitted.is_set()
+        harness.component._receive("m2", body(4, 5000.0))
+        assert len(harness.adopted) == 2, "a list that is hardly younger is not adopted"
+        harness.component._receive("m2", body(9, 3.0))
+        assert harness.adopted[-1] == (9, False, True) and harness.component._admitted.is_set()
+        harness.component.service_answered()
+        harness.component._receive("m3", body(99, 0.0))
+        assert len(harness.adopted) == 3, "discovery has answered, so lists of peers are ignored"
 
     asyncio.run(play())
 
@@ -322,9 +353,9 @@
     offer: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def play() -> None:
-        desk = Desk(max_entries=50)
-        desk.component._receive("m7", offer)
-        assert not desk.adopted and not desk.component._admitted.is_set()
+        harness = StartHarness(max_entries=50)
+        harness.component._receive("m7", offer)
+        assert not harness.adopted and not harness.component._admitted.is_set()
 
     asyncio.run(play())
     assert "cached list not used: source=peer origin=m7 reason=" in caplog.text and why in caplog.text
@@ -332,13 +363,15 @@
 
 def test_peers_get_only_a_list_confirmed_by_discovery_with_its_age() -> None:
     async def play() -> None:
-        desk = Desk()
-        desk.list = ServiceList(7, workers(3))
-        assert desk.component._answer_peer() is None, "an aged list is not handed on: its age would get lost"
-        desk.component.service_answered()
-        given = json.loads(desk.component._answer_peer() or b"")
+        harness = StartHarness()
+        harness.list = ServiceList(7, workers(3))
+        assert harness.component._answer_peer() is None, (
+            "a cached list is not passed on, because its age would be lost"
+        )
+        harness.component.service_answered()
+        given = json.loads(harness.component._answer_peer() or b"")
         assert given["rev"] == 7 and 0 <= given["age"] < 1.0 and len(given["targets"]) == 3
-        desk.list = ServiceList(8, workers(99999))
-        assert desk.component._answer_peer() is None
+        harness.list = ServiceList(8, workers(99999))
+        assert harness.component._answer_peer() is None
 
     asyncio.run(play())
--- a/tests/test_states.py
+++ b/tests/test_states.py
@@ -1,4 +1,6 @@
-"""The program's states: the table of transitions, and what clients and other schedulers are told of each."""
+"""States of the program: the table of transitions, and what each state means to clients and other
+schedulers.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +10,10 @@
 from oxbowyard.peers import facts
 
 
-def in_state(state: State) -> StateMachine:
-    made = StateMachine()
-    made.current = state
-    return made
+def machine_in(state: State) -> StateMachine:
+    machine = StateMachine()
+    machine.current = state
+    return machine
 
 
 def test_every_state_has_transitions_and_a_membership_state() -> None:
@@ -20,8 +22,8 @@
 
 
 def test_every_running_state_may_change_to_leaving() -> None:
-    ending = {State.LEAVING, State.FINISHING, State.STOPPED}
-    assert {state for state in State if State.LEAVING in TRANSITIONS[state]} == set(State) - ending
+    stopping = {State.LEAVING, State.FINISHING, State.STOPPED}
+    assert {state for state in State if State.LEAVING in TRANSITIONS[state]} == set(State) - stopping
     assert [TRANSITIONS[state] for state in (State.LEAVING, State.FINISHING, State.STOPPED)] == [
         {State.FINISHING},
         {State.STOPPED},
@@ -35,7 +37,7 @@
     old: State, new: State, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
-    states = in_state(old)
+    states = machine_in(old)
     if new in TRANSITIONS[old]:
         states.enter(new)
         assert states.current is new and f"state {old.value} -> {new.value}" in caplog.text
@@ -46,8 +48,8 @@
 
 
 def test_clients_are_served_during_a_configuration_reload() -> None:
-    assert {state for state in State if in_state(state).is_serving} == {State.SERVING, State.RELOADING}
+    assert {state for state in State if machine_in(state).is_serving} == {State.SERVING, State.RELOADING}
     for state in State:
-        states = in_state(state)
+        states = machine_in(state)
         states.discovery_settled()
         assert states.current is (State.SERVING if state is State.RELOADING else state)
