--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -1,4 +1,4 @@
-"""The OpenAPI and AsyncAPI descriptions, against what the program does."""
+"""The OpenAPI and AsyncAPI descriptions, compared with the behaviour of the program."""
 
 from __future__ import annotations
 
@@ -30,29 +30,32 @@
 MESSAGES: dict[str, Any] = ASYNCAPI["components"]["messages"]
 
 
-def answers(path: Path) -> list[tuple[bool, int, dict[str, str]]]:
-    """The answers that clients get in an exchange, which other tests play: for /up?, status, headers."""
-    text, found, asked = path.read_text(), [], {}
-    for m in re.finditer(r"^(c\d) (>|<)(?: (.+)|\n((?:(?!\.$).*\n)*))", text, re.M):
-        name, way, line, block = m.groups()
-        if way == ">":
-            asked[name] = "/up" in (line or "")
+def recorded_answers(path: Path) -> list[tuple[bool, int, dict[str, str]]]:
+    """Return the answers to clients in a recorded exchange, which other tests replay.
+
+    Each answer is a tuple: whether it belongs to a request for /up, its status and its headers.
+    """
+    text, answers, is_up_request = path.read_text(), [], {}
+    for match in re.finditer(r"^(c\d) (>|<)(?: (.+)|\n((?:(?!\.$).*\n)*))", text, re.M):
+        client, direction, line, block = match.groups()
+        if direction == ">":
+            is_up_request[client] = "/up" in (line or "")
         elif not line:
             head = block.partition("\n\n")[0].splitlines()
             headers = dict(h.split(": ", 1) for h in head[1:])
-            found.append((asked[name], int(head[0].split()[1]), headers))
-    return found
+            answers.append((is_up_request[client], int(head[0].split()[1]), headers))
+    return answers
 
 
-def test_the_openapi_description_is_one() -> None:
+def test_the_openapi_descriptions_are_valid() -> None:
     validate(OPENAPI)
     validate(WAITING)
 
 
 def test_every_recorded_answer_is_described() -> None:
     seen = set()
-    for up, status, headers in [a for path in EXCHANGES for a in answers(path)]:
-        described = (OPENAPI["paths"]["/up"]["get"] if up else SUBMIT)["responses"][str(status)]
+    for is_up, status, headers in [a for path in EXCHANGES for a in recorded_answers(path)]:
+        described = (OPENAPI["paths"]["/up"]["get"] if is_up else SUBMIT)["responses"][str(status)]
         if "$ref" in described:
             described = OPENAPI["components"]["responses"][described["$ref"].rpartition("/")[2]]
         assert headers["Content-Type"].partition(";")[0] in described["content"], (status, headers)
@@ -60,7 +63,7 @@
     assert {200, 400, 404, 405, 413, 502, 503} <= seen
 
 
-def test_the_described_forms_are_those_the_program_takes() -> None:
+def test_the_described_header_patterns_and_limits_match_the_program() -> None:
     forms = {p["name"]: p["schema"].get("pattern") for p in SUBMIT["parameters"]}
     for name, form in (("Req-Id", ID_PATTERN), ("Req-Deadline", DURATION_PATTERN)):
         for text in ("9b1f", "a b", "", "-x", "480m", "480", "1.5u", "1s", "~", "x" * 129):
@@ -76,7 +79,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(MESSAGES))
-def test_each_job_event_is_taken_as_described(name: str) -> None:
+def test_the_answer_reader_parses_each_job_event_as_described(name: str) -> None:
     message = MESSAGES[name]
     for example in message["examples"]:
         payload = example["payload"]
@@ -85,20 +88,20 @@
         ending = reader.read(json.dumps(payload).encode())
         assert (ending is not None) == message["summary"].startswith("Last:")
         if ending is not None:
-            never = "never ran" in message["summary"]
-            assert (ending.result is Result.FULL) == never
+            never_ran = "never ran" in message["summary"]
+            assert (ending.result is Result.FULL) == never_ran
             assert (ending.result is Result.OK) == (name == "done")
             assert len(ending.load) == len(payload.get("load", {}))
         else:
             assert reader.is_started or reader.progress == payload["share"]
 
 
-def test_the_described_events_are_all_the_events() -> None:
+def test_every_job_event_of_the_program_is_described() -> None:
     assert set(MESSAGES) == {"started", "running", *FINAL_STATES}
     assert set(ASYNCAPI["channels"]["jobEvents"]["messages"]) == set(MESSAGES)
 
 
-def test_the_recorded_events_fit_the_description() -> None:
+def test_recorded_job_events_match_their_schema() -> None:
     count = 0
     for path in EXCHANGES:
         for line in re.findall(r"^s\d chunk (\{.*\})\\n$", path.read_text(), re.M):
@@ -112,8 +115,8 @@
     return {"$ref": f"#/components/schemas/{name}", "components": WAITING["components"]}
 
 
-def test_the_recorded_waiting_jobs_fit_their_description() -> None:
-    """Each JSON answer of the exchanges by its form, and each status by those that are described."""
+def test_recorded_deferred_job_exchanges_match_their_schemas() -> None:
+    """Validate the JSON bodies of the exchanges against their schemas; each status must be described."""
     statuses = {s for path in WAITING["paths"].values() for op in path.values() for s in op["responses"]}
     seen = set()
     for path in (ROOT / "tests/exchanges").glob("http_waiting*.txt"):
@@ -130,7 +133,7 @@
     assert seen - {"405"} <= statuses and {"200", "202", "404", "409", "413", "422", "429"} <= seen
 
 
-def test_the_described_job_has_the_fields_that_the_program_takes() -> None:
+def test_the_described_deferred_jobs_have_the_fields_and_states_of_the_program() -> None:
     schemas = WAITING["components"]["schemas"]
     for name, form in (("Job", JobDocument), ("JobView", JobView), ("Batch", BatchDocument)):
         assert set(schemas[name]["properties"]) == {f.encode_name for f in msgspec.structs.fields(form)}
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,6 @@
-"""The operator's file: all its faults in one go, each by its key; and nothing of it loaded without it."""
+"""The operator file: all errors are reported at once, each with its key, and without the file none of the
+libraries that it needs is imported.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +21,8 @@
 FUNCTION = "[gearman]\nlisten = 'h:1'\n[gearman.functions.f]\nclass = 'preview'\n"
 
 
-def read(folder: Path, text: str) -> list[str]:
-    """The faults of a file."""
+def load_errors(folder: Path, text: str) -> list[str]:
+    """Load a file of this text and return its errors."""
     path = folder / "operator.toml"
     path.write_text(text)
     try:
@@ -30,17 +32,17 @@
     return []
 
 
-def test_the_deployed_file_is_one_and_says_what_holds_anyway() -> None:
+def test_the_deployed_operator_file_is_valid_and_shows_the_defaults() -> None:
     found = load(ROOT / "deploy/operator.toml", CLASSES)
     assert found.waiting is not None and found.gearman is not None
     assert found.waiting.for_class("gearman:render_preview").queueing
     assert not found.waiting.for_class("gearman:file_specimen").queueing
     defaults = WaitingSettings(classes=found.waiting.classes)
-    assert found.waiting == defaults, "the file shows the defaults"
+    assert found.waiting == defaults, "the deployed file shows the defaults"
 
 
-def test_every_fault_is_named_by_its_key_in_one_go(tmp_path: Path) -> None:
-    faults = read(tmp_path, """
+def test_all_errors_of_a_file_are_reported_at_once_each_with_its_key(tmp_path: Path) -> None:
+    faults = load_errors(tmp_path, """
         colour = "red"
         [waiting]
         max_jobs = -1
@@ -88,25 +90,25 @@
         ("#" * (MAX_FILE_BYTES + 1), "over 1048576 bytes"),
     ],
 )  # fmt: skip
-def test_what_values_say_together(text: str, named: str, tmp_path: Path) -> None:
-    (fault,) = read(tmp_path, text)
+def test_invalid_values_are_reported_with_their_key(text: str, named: str, tmp_path: Path) -> None:
+    (fault,) = load_errors(tmp_path, text)
     assert named in fault
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_operator_file_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(OperatorFileError, match="No such file"):
         load(tmp_path / "none.toml", CLASSES)
 
 
-def config(folder: Path) -> dict[str, object]:
+def make_config(folder: Path) -> dict[str, object]:
     document: dict[str, object] = json.loads((ROOT / "examples/config.json").read_text())
     return document | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
 
 
-def test_the_program_does_not_start_on_a_faulty_file(tmp_path: Path) -> None:
+def test_the_program_does_not_start_with_an_invalid_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\nmax_jobs = 0\nmax_depth = 0")
-    program = SchedulerProcess(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = SchedulerProcess(make_config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         found = program.wait_for("^oxbowyard: (.*)")[1]
         assert "waiting.max_jobs" in found and "waiting.max_depth" in found
@@ -115,10 +117,10 @@
         program.end()
 
 
-def test_sighup_names_a_changed_table_and_keeps_the_one_in_force(tmp_path: Path) -> None:
+def test_sighup_reports_a_changed_table_and_keeps_the_loaded_settings(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[waiting]\n")
-    program = SchedulerProcess(config(tmp_path), tmp_path, ["--operator", str(path)])
+    program = SchedulerProcess(make_config(tmp_path), tmp_path, ["--operator", str(path)])
     try:
         program.wait_for("http listens")
         path.write_text("[waiting]\nmax_jobs = 7")
@@ -131,10 +133,10 @@
         program.end()
 
 
-def test_without_the_file_none_of_its_libraries_is_loaded() -> None:
+def test_without_an_operator_file_none_of_its_libraries_is_imported() -> None:
     code = "import sys, oxbowyard.__main__; print(*sys.modules)"
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout
-    loaded = {name.partition(".")[0] for name in told.split()}
+    output = subprocess.run([sys.executable, "-c", code], cwd=ROOT, stdout=subprocess.PIPE, text=True).stdout
+    loaded = {name.partition(".")[0] for name in output.split()}
     assert "aiohttp" in loaded
     assert not loaded & {"msgspec", "sortedcontainers", "hypothesis", "typer", "pydantic"}
     for name in (
@@ -142,5 +144,5 @@
         "clients.job_routes", "clients.job_parsing", "clients.job_documents",
         "cli", "configuration", "membership", "peers", "start",
     ):  # fmt: skip
-        assert f"oxbowyard.{name}" not in told.split()
+        assert f"oxbowyard.{name}" not in output.split()
     assert "sqlite3" not in loaded
