--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.faults.processes import ROOT, Fleet, fleet, until
-from benchmarks.faults.service import Service, ServiceThread, workers
+from benchmarks.faults.processes import ROOT, Fleet, fleet, wait_until
+from benchmarks.faults.service import ListService, ListServiceThread, worker_entries
 from oxbowyard.start.fetch_admission import FetchAdmission
 from oxbowyard.start.snapshot_file import write_snapshot
 
@@ -33,9 +33,9 @@
 TOLD = re.compile(r"^(\S+ \S+) .*discovery watch active: ", re.M)
 
 
-def after(made: Fleet, line: re.Pattern[str], began: float) -> list[float]:
+def after(group: Fleet, line: re.Pattern[str], began: float) -> list[float]:
     """Seconds until each process said so; those that have not are left out."""
-    found = [m for member in made if (m := line.search(member.log()))]
+    found = [m for member in group if (m := line.search(member.log()))]
     stamps = [datetime.strptime(m[1], "%Y-%m-%d %H:%M:%S,%f").timestamp() for m in found]
     return sorted(stamp - began for stamp in stamps)
 
@@ -49,30 +49,32 @@
     return " / ".join(told) + " s"
 
 
-def processes(size: int, kind: str, patience: float) -> str:
+def measure_processes(size: int, kind: str, patience: float) -> str:
     """One group's cold start."""
-    service = ServiceThread(Service(workers(24)))
+    service = ListServiceThread(ListService(worker_entries(24)))
     config = CONFIG | {"discovery": service.address, "settings": ASKED | {"siblings": size}}
     try:
-        with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), config) as made:
-            made.tables["start"], made.kept = {}, True
-            for member in made.add(size):
+        with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), config) as group:
+            group.other_tables["start"], group.stores_snapshots = {}, True
+            for member in group.add(size):
                 if kind == "today":
                     (member.folder / "operator.toml").write_text("")
                 if kind == "down":
-                    write_snapshot(member.folder / "list", "default", time.time() - 300, 3, workers(24))
-            service.service.down = kind == "down"
+                    write_snapshot(
+                        member.folder / "list", "default", time.time() - 300, 3, worker_entries(24)
+                    )
+            service.service.is_down = kind == "down"
             began = time.time()
-            for member in made:
+            for member in group:
                 member.start()
             line = SERVES if kind == "down" else TOLD
             with contextlib.suppress(AssertionError):  # what is missing shows in the figures
-                until(lambda: len(after(made, line, began)) == size, "all have it", patience)
-            lists, serve = after(made, TOLD, began), after(made, SERVES, began)
+                wait_until(lambda: len(after(group, line, began)) == size, "all have it", patience)
+            lists, serve = after(group, TOLD, began), after(group, SERVES, began)
         s = service.service
         return (
             f"{size} processes, {kind}: whole lists {s.count('whole')}, newer {s.count('newer')}, turned "
-            f"down {s.count('refused')}, overload at most {s.longest_overload():.1f} s; "
+            f"down {s.count('refused')}, overload at most {s.longest_overload_s():.1f} s; "
             f"told {shares(lists, size)}; serve {shares(serve, size)}"
         )
     finally:
@@ -170,7 +172,7 @@
                 print(virtual(size, kind, slow, 1), flush=True)
     for size in args.sizes:
         for kind in ("start", "today", "down"):
-            print(processes(size, kind, args.patience), flush=True)
+            print(measure_processes(size, kind, args.patience), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crash_worker.py
+++ b/benchmarks/crash_worker.py
@@ -17,7 +17,7 @@
 from oxbowyard.gearman.codec import Decoder, Packet, encode
 from oxbowyard.gearman.packet_types import PacketType
 
-from .standin import HEAD_END
+from .stand_in_fleet import HEAD_END
 
 BEFORE, WITHIN = 0.03, 0.08  # chances to die when a job has come, before it is begun, and while it runs
 FUNCTIONS = (b"file_specimen", b"render_preview")
@@ -60,9 +60,9 @@
             payload = (await reader.readexactly(int(size[1]) if size else 0)).decode()
             id_ = (re.search(r"(?i)req-id: (\S+)", head) or ["", ""])[1]
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n")
-            _line(writer, {"id": id_, "state": "started"})
+            _write_line(writer, {"id": id_, "state": "started"})
             await self.work(payload)
-            _line(writer, {"id": id_, "state": "done", "result": f"made {payload}"})
+            _write_line(writer, {"id": id_, "state": "done", "result": f"made {payload}"})
             writer.write(b"0\r\n\r\n")
             await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
@@ -107,7 +107,7 @@
             writer.write(encode(PacketType.GRAB_JOB, magic=b"\0REQ"))
 
 
-def _line(writer: asyncio.StreamWriter, event: dict[str, str]) -> None:
+def _write_line(writer: asyncio.StreamWriter, event: dict[str, str]) -> None:
     data = json.dumps(event).encode() + b"\n"
     writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
--- a/benchmarks/started.py
+++ b/benchmarks/daemon_process.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-WITHIN = 15.0  # seconds for a line of its log
+LOG_TIMEOUT_S = 15.0  # seconds for a line of its log
 
 
-class Daemon:
+class DaemonProcess:
     """A started program."""
 
     def __init__(self, folder: Path, config: dict[str, Any], operator: str | None) -> None:
@@ -36,7 +36,7 @@
 
     def wait_for(self, pattern: str) -> re.Match[str]:
         """The first line of its log that fits."""
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + LOG_TIMEOUT_S
         while time.monotonic() < end and self.process.poll() is None:
             if found := re.search(pattern, self._log.read_text()):
                 return found
@@ -48,7 +48,7 @@
         found = self.wait_for(rf"{front} listens on ([\d.]+):(\d+)")
         return found[1], int(found[2])
 
-    def last(self) -> str:
+    def stop_and_read_summary(self) -> str:
         """Stop it and give the last lines of its log."""
         self.process.terminate()
         self.process.wait(60)
@@ -56,12 +56,14 @@
 
 
 @contextmanager
-def daemon(operator: str | None, discovery: str = "127.0.0.1:1", **changes: Any) -> Iterator[Daemon]:
+def run_daemon(
+    operator: str | None, discovery: str = "127.0.0.1:1", **changes: Any
+) -> Iterator[DaemonProcess]:
     """A daemon with the example's settings; it is gone at the end. Changes replace keys of the file."""
     config = json.loads((ROOT / "examples/config.json").read_text())
     config |= {"listen": "127.0.0.1:0", "discovery": discovery} | changes
     with tempfile.TemporaryDirectory() as folder:
-        started = Daemon(Path(folder), config, operator)
+        started = DaemonProcess(Path(folder), config, operator)
         try:
             yield started
         finally:
--- a/benchmarks/durable_crash.py
+++ b/benchmarks/durable_crash.py
@@ -33,8 +33,8 @@
 from oxbowyard.gearman.codec import encode
 from oxbowyard.gearman.packet_types import PacketType
 
-from .standin import discover
-from .started import ROOT
+from .daemon_process import ROOT
+from .stand_in_fleet import serve_discovery
 
 POINTS = (
     "taken", "before grant", "before record", "granted", "written", "started", "answered", "recovering", "",
@@ -151,7 +151,7 @@
                 self._spawn(self._alive.pop(pid))
 
     async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await discover(reader, writer, self._ports)
+        await serve_discovery(reader, writer, self._ports)
 
     def close(self) -> None:
         """End all."""
--- a/benchmarks/durable_recovery.py
+++ b/benchmarks/durable_recovery.py
@@ -20,8 +20,8 @@
 from oxbowyard.store.database import Database
 from oxbowyard.store.record import JobAccepted
 
-from .standin import Fleet
-from .started import Daemon, daemon
+from .daemon_process import DaemonProcess, run_daemon
+from .stand_in_fleet import StandInFleet
 
 OPERATOR = """
 [waiting]
@@ -63,23 +63,23 @@
     database.close()
 
 
-def memory_mb(started: Daemon) -> float:
+def memory_mb(process: DaemonProcess) -> float:
     """What the process has in memory."""
-    status = Path(f"/proc/{started.process.pid}/status").read_text()
+    status = Path(f"/proc/{process.process.pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+)", status)
     return int(found[1]) / 1024 if found else 0.0
 
 
 async def measure(size: int) -> None:
     """One size."""
-    fleet = Fleet(2, 4, {"preview": 0.01})
+    fleet = StandInFleet(2, 4, {"preview": 0.01})
     discovery = await fleet.start()
     with tempfile.TemporaryDirectory(dir=".") as folder:
         path = Path(folder) / "jobs.db"
         await asyncio.to_thread(fill, path, size)
         begun = time.perf_counter()
-        with daemon(OPERATOR.format(path=path), discovery) as started:
-            host, port = await asyncio.to_thread(started.address, "http")
+        with run_daemon(OPERATOR.format(path=path), discovery) as process:
+            host, port = await asyncio.to_thread(process.address, "http")
             async with aiohttp.ClientSession(f"http://{host}:{port}") as session:
                 await _until_up(session)
                 up = time.perf_counter() - begun
@@ -92,7 +92,7 @@
                     await asyncio.sleep(0.02)
                 back = time.perf_counter() - begun
             print(f"{size:9,} jobs: up after {up:.2f} s, one served after {served:.2f} s, {wanted:,} "
-                  f"read back after {back:.2f} s, {memory_mb(started):.0f} MB", flush=True)  # fmt: skip
+                  f"read back after {back:.2f} s, {memory_mb(process):.0f} MB", flush=True)  # fmt: skip
     fleet.close()
 
 
--- a/benchmarks/durable_hand_in.py
+++ b/benchmarks/durable_submission.py
@@ -1,6 +1,6 @@
 """Hand-ins a second over HTTP, durable and not, beside the store alone, in one run.
 
-    python -m benchmarks.durable_hand_in [--seconds 4]
+    python -m benchmarks.durable_submission [--seconds 4]
 
 Each client hands in jobs that are due in an hour, one after the other, on a connection of its own. The client
 side is a process of its own.
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from .started import daemon
+from .daemon_process import run_daemon
 from .store_commits import clients as store_alone
 
 GROUPS = (1, 16, 256)
@@ -51,9 +51,17 @@
 
 def measure(operator: str, many: int, seconds: float) -> list[float]:
     """A daemon of its own, and the clients in another process."""
-    with daemon(operator) as started:
-        host, port = started.address("http")
-        command = [sys.executable, "-m", "benchmarks.durable_hand_in", "--load", host, str(port), str(many)]
+    with run_daemon(operator) as process:
+        host, port = process.address("http")
+        command = [
+            sys.executable,
+            "-m",
+            "benchmarks.durable_submission",
+            "--load",
+            host,
+            str(port),
+            str(many),
+        ]
         done = subprocess.run([*command, "--seconds", str(seconds)], check=True, stdout=subprocess.PIPE)
     return list(json.loads(done.stdout))
 
--- a/benchmarks/faults/loops.py
+++ b/benchmarks/faults/loops.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-PATIENCE = 10.0  # seconds for what is done there at once
+CALL_TIMEOUT_S = 10.0  # seconds for what is done there at once
 
 
 class LoopThread:
@@ -19,17 +19,17 @@
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
 
-    def run(self, work: Coroutine[Any, Any, T]) -> T:
+    def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
         """Let it do something, and wait for the end."""
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(PATIENCE)
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(CALL_TIMEOUT_S)
 
-    def call(self, do: Callable[[], T]) -> T:
+    def call(self, function: Callable[[], T]) -> T:
         """The same of a plain function."""
 
-        async def work() -> T:
-            return do()
+        async def coroutine() -> T:
+            return function()
 
-        return self.run(work())
+        return self.run(coroutine())
 
     def close(self) -> None:
         """End all that runs there, and the loop."""
@@ -42,5 +42,5 @@
 
         self.run(end())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(PATIENCE)
+        self._thread.join(CALL_TIMEOUT_S)
         self._loop.close()
--- a/benchmarks/faults/processes.py
+++ b/benchmarks/faults/processes.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any
 
-from .relay import Thread
+from .relay import RelayThread
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE = 30.0  # seconds for anything that is to come; it is there long before
-LOOK = 0.05
-DOORS = "127.79.0.1"  # of the operators; others' connections take no ports there
+TIMEOUT_S = 30.0  # seconds for anything that is to come; it is there long before
+POLL_INTERVAL_S = 0.05
+ADMIN_HOST = "127.79.0.1"  # of the operators; others' connections take no ports there
 
 
 def free_port(host: str) -> int:
@@ -37,13 +37,13 @@
             return port
 
 
-def until(found: Callable[[], Any], what: str, patience: float = PATIENCE) -> Any:
+def wait_until(found: Callable[[], Any], what: str, timeout_s: float = TIMEOUT_S) -> Any:
     """Wait for something that is true, and return it."""
-    end = time.monotonic() + patience
+    end = time.monotonic() + timeout_s
     while not (value := found()):
         if time.monotonic() > end:
-            raise AssertionError(f"not within {patience:g} s: {what}")
-        time.sleep(LOOK)
+            raise AssertionError(f"not within {timeout_s:g} s: {what}")
+        time.sleep(POLL_INTERVAL_S)
     return value
 
 
@@ -55,7 +55,7 @@
     folder: Path
     host: str
     port: int
-    door: int
+    admin_port: int
     zone: str
     process: subprocess.Popen[bytes] | None = None
 
@@ -78,11 +78,11 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    def stop(self) -> None:
+    def pause(self) -> None:
         """It stands still."""
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """It runs again."""
         self.signal(signal.SIGCONT)
 
@@ -90,17 +90,17 @@
         """It ends without a word."""
         assert self.process is not None
         self.process.kill()
-        self.process.wait(PATIENCE)
+        self.process.wait(TIMEOUT_S)
 
-    def leave(self) -> int:
+    def terminate(self) -> int:
         """It ends as the operators end it; its exit code."""
         assert self.process is not None
         self.process.terminate()
-        return self.process.wait(PATIENCE)
+        return self.process.wait(TIMEOUT_S)
 
     def call(self, method: str, path: str) -> tuple[int, bytes]:
         """Ask at its door; status 0 if nobody answers."""
-        connection = http.client.HTTPConnection(DOORS, self.door, timeout=2)
+        connection = http.client.HTTPConnection(ADMIN_HOST, self.admin_port, timeout=2)
         try:
             connection.request(method, path)
             answer = connection.getresponse()
@@ -120,7 +120,7 @@
         """What it takes each of the others for."""
         return {m["name"]: m["state"] for m in self.view().get("members", [])}
 
-    def sees(self, state: str) -> set[str]:
+    def names_in_state(self, state: str) -> set[str]:
         """The others that it takes to be so."""
         return {name for name, held in self.states().items() if held == state}
 
@@ -131,12 +131,12 @@
 
     folder: Path
     config: dict[str, Any]
-    relay: Thread
-    table: dict[str, Any] = field(default_factory=dict)
-    tables: dict[str, dict[str, Any]] = field(default_factory=dict)  # others of the operator's file
-    kept: bool = False  # [start] keeps its list in each member's own folder
+    relay: RelayThread
+    membership_table: dict[str, Any] = field(default_factory=dict)
+    other_tables: dict[str, dict[str, Any]] = field(default_factory=dict)  # others of the operator's file
+    stores_snapshots: bool = False  # [start] keeps its list in each member's own folder
     members: dict[str, Member] = field(default_factory=dict)
-    _reached: dict[str, str] = field(default_factory=dict)
+    _addresses: dict[str, str] = field(default_factory=dict)
 
     def add(self, size: int, zones: int = 1) -> list[Member]:
         """Make so many more, not started yet; the first two of all are everybody's seeds."""
@@ -145,31 +145,31 @@
             name, host = f"m{number}", f"127.77.{number >> 8}.{(number & 255) + 1}"
             folder = self.folder / name
             folder.mkdir()
-            port, door = free_port(host), free_port(DOORS)
-            member = Member(name, folder, host, port, door, f"z{number % zones}")
-            self._reached[name] = self.relay.add(name, host, port)
+            port, admin_port = free_port(host), free_port(ADMIN_HOST)
+            member = Member(name, folder, host, port, admin_port, f"z{number % zones}")
+            self._addresses[name] = self.relay.add(name, host, port)
             self.members[name] = member
             added.append(member)
         for member in added:
-            self.write(member)
+            self.write_config_files(member)
         return added
 
-    def write(self, member: Member, **changed: Any) -> None:
+    def write_config_files(self, member: Member, **changed: Any) -> None:
         """Write a member's files; `changed` keys of the table [membership] take the place of the usual."""
-        seeds = list(self._reached.values())[:2]
-        table = {
-            "listen": f"{member.host}:{member.port}", "advertise": self._reached[member.name],
-            "seeds": seeds, **self.table, **changed,
+        seeds = list(self._addresses.values())[:2]
+        membership_table = {
+            "listen": f"{member.host}:{member.port}", "advertise": self._addresses[member.name],
+            "seeds": seeds, **self.membership_table, **changed,
         }  # fmt: skip
-        lines = [f"{key} = {json.dumps(value)}" for key, value in table.items()]
+        lines = [f"{key} = {json.dumps(value)}" for key, value in membership_table.items()]
         text = ["[membership]", *lines]
-        for name, other in self.tables.items():
-            own = {"path": str(member.folder / "list")} if name == "start" and self.kept else {}
+        for name, other in self.other_tables.items():
+            own = {"path": str(member.folder / "list")} if name == "start" and self.stores_snapshots else {}
             text += [f"[{name}]", *(f"{key} = {json.dumps(value)}" for key, value in (own | other).items())]
         (member.folder / "operator.toml").write_text("\n".join([*text, ""]))
         settings = self.config["settings"] | {"myZone": member.zone, "zones": ["z0", "z1", "z2"]}
         document = self.config | {
-            "name": member.name, "listen": "127.0.0.1:0", "admin": f"{DOORS}:{member.door}",
+            "name": member.name, "listen": "127.0.0.1:0", "admin": f"{ADMIN_HOST}:{member.admin_port}",
             "settings": settings,
         }  # fmt: skip
         (member.folder / "config.json").write_text(json.dumps(document))
@@ -181,26 +181,26 @@
         """Those that have been started and have not ended."""
         return [m for m in self if m.process is not None and m.process.poll() is None]
 
-    def met(self) -> bool:
+    def has_converged(self) -> bool:
         """Every running one takes all running ones, and nobody else, to be alive."""
         names = {m.name for m in self.running()}
-        return all(m.sees("alive") | {m.name} == names for m in self.running())
+        return all(m.names_in_state("alive") | {m.name} == names for m in self.running())
 
-    def end(self) -> None:
+    def close(self) -> None:
         """End every process that was started here, by its id."""
         for member in self.running():
             member.signal(signal.SIGKILL)
         for member in self:
             if member.process is not None:
-                member.process.wait(PATIENCE)
+                member.process.wait(TIMEOUT_S)
         self.relay.close()
 
 
 @contextmanager
-def fleet(folder: Path, config: dict[str, Any], seed: int = 1, **table: Any) -> Iterator[Fleet]:
+def fleet(folder: Path, config: dict[str, Any], seed: int = 1, **membership_table: Any) -> Iterator[Fleet]:
     """Processes that end with the block, whatever happens in it."""
-    made = Fleet(folder, config, Thread(seed), table)
+    group = Fleet(folder, config, RelayThread(seed), membership_table)
     try:
-        yield made
+        yield group
     finally:
-        made.end()
+        group.close()
--- a/benchmarks/faults/relay.py
+++ b/benchmarks/faults/relay.py
@@ -16,9 +16,9 @@
 from .loops import LoopThread
 
 Pair = tuple[str, str]
-RETRANSMIT = 0.2  # seconds: what a stream loses comes so much later, then twice as late
-CHUNK = 1 << 16
-DOORS = "127.78.0.1"  # no process has this address
+FIRST_RETRANSMIT_S = 0.2  # seconds: what a stream loses comes so much later, then twice as late
+CHUNK_BYTES = 1 << 16
+RELAY_HOST = "127.78.0.1"  # no process has this address
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,13 +26,13 @@
     """What happens on the way from one to another."""
 
     loss: float = 0.0
-    doubled: float = 0.0
-    least: float = 0.0  # seconds on the way; where most is larger, datagrams overtake each other
-    most: float = 0.0
-    cut: bool = False  # all is lost, and streams stand still
+    duplication: float = 0.0
+    min_delay_s: float = 0.0  # seconds on the way; where most is larger, datagrams overtake each other
+    max_delay_s: float = 0.0
+    is_cut: bool = False  # all is lost, and streams stand still
 
 
-class _Door(asyncio.DatagramProtocol):
+class _DatagramPort(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay, self.name = relay, name
         self.transport: asyncio.DatagramTransport
@@ -41,26 +41,26 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        self.relay.pass_on(self.name, data, source)
+        self.relay.forward(self.name, data, source)
 
 
 @dataclass(slots=True)
-class _End:
+class _Process:
     host: str
     port: int
-    door: _Door | None = None
+    datagram_port: _DatagramPort | None = None
     server: asyncio.Server | None = None
 
 
 @dataclass(slots=True)
 class Relay:
-    """All ways between the processes. To be used on its own loop: see `Thread`."""
+    """All ways between the processes. To be used on its own loop: see `RelayThread`."""
 
     seed: int
-    usual: Fault = field(default_factory=Fault)
+    default: Fault = field(default_factory=Fault)
     counts: Counter[str] = field(default_factory=Counter)
     _faults: dict[Pair, Fault] = field(default_factory=dict)
-    _ends: dict[str, _End] = field(default_factory=dict)
+    _processes: dict[str, _Process] = field(default_factory=dict)
     _random: Random = field(init=False)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -70,26 +70,30 @@
 
     async def add(self, name: str, host: str, port: int) -> str:
         """A process that listens there; returns where the others reach it."""
-        end = self._ends[name] = _End(host, port)
+        process = self._processes[name] = _Process(host, port)
         loop = asyncio.get_running_loop()
-        while end.server is None:  # one port for both: what is free for one may be taken for the other
-            _, door = await loop.create_datagram_endpoint(lambda: _Door(self, name), (DOORS, 0))
-            bound: int = door.transport.get_extra_info("sockname")[1]
+        while process.server is None:  # one port for both: what is free for one may be taken for the other
+            _, datagram_port = await loop.create_datagram_endpoint(
+                lambda: _DatagramPort(self, name), (RELAY_HOST, 0)
+            )
+            bound: int = datagram_port.transport.get_extra_info("sockname")[1]
             try:
-                end.server = await asyncio.start_server(
-                    lambda r, w: self._stream(name, r, w), DOORS, bound, limit=CHUNK
+                process.server = await asyncio.start_server(
+                    lambda r, w: self._stream(name, r, w), RELAY_HOST, bound, limit=CHUNK_BYTES
                 )
-                end.door = door
+                process.datagram_port = datagram_port
             except OSError:
-                door.transport.close()
-        return f"{DOORS}:{bound}"
+                datagram_port.transport.close()
+        return f"{RELAY_HOST}:{bound}"
 
-    def set(self, sender: str, receiver: str, **changed: Any) -> None:
+    def set_fault(self, sender: str, receiver: str, **changed: Any) -> None:
         """Change one direction; `*` stands for all."""
-        for one in self._ends if sender == "*" else [sender]:
-            for other in self._ends if receiver == "*" else [receiver]:
+        for one in self._processes if sender == "*" else [sender]:
+            for other in self._processes if receiver == "*" else [receiver]:
                 if one != other:
-                    self._faults[one, other] = replace(self._faults.get((one, other), self.usual), **changed)
+                    self._faults[one, other] = replace(
+                        self._faults.get((one, other), self.default), **changed
+                    )
 
     def heal(self) -> None:
         """Every way is as usual again."""
@@ -100,41 +104,45 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for end in self._ends.values():
-            if end.door is not None:
-                end.door.transport.close()
-            if end.server is not None:
-                end.server.close()
+        for process in self._processes.values():
+            if process.datagram_port is not None:
+                process.datagram_port.transport.close()
+            if process.server is not None:
+                process.server.close()
 
     def _fault(self, sender: str, receiver: str) -> Fault:
-        return self._faults.get((sender, receiver), self.usual)
+        return self._faults.get((sender, receiver), self.default)
 
-    def _named(self, host: str) -> str | None:
-        return next((name for name, end in self._ends.items() if end.host == host), None)
+    def _name_of(self, host: str) -> str | None:
+        return next((name for name, process in self._processes.items() if process.host == host), None)
 
     # ---- Datagrams ----
 
-    def pass_on(self, receiver: str, data: bytes, source: tuple[str, int]) -> None:
+    def forward(self, receiver: str, data: bytes, source: tuple[str, int]) -> None:
         """A datagram came to the receiver's door."""
-        sender = self._named(source[0])
+        sender = self._name_of(source[0])
         if sender is None:
             self.counts["from nobody"] += 1
             return
         fault = self._fault(sender, receiver)
-        for _ in range(1 + (self._random.random() < fault.doubled)):
-            if fault.cut or self._random.random() < fault.loss:
+        for _ in range(1 + (self._random.random() < fault.duplication)):
+            if fault.is_cut or self._random.random() < fault.loss:
                 self.counts["lost"] += 1
                 continue
             self.counts["passed"] += 1
             self.counts["bytes"] += len(data)
             asyncio.get_running_loop().call_later(
-                self._random.uniform(fault.least, fault.most), self._deliver, sender, receiver, data
+                self._random.uniform(fault.min_delay_s, fault.max_delay_s),
+                self._deliver,
+                sender,
+                receiver,
+                data,
             )
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        door, end = self._ends[sender].door, self._ends[receiver]
-        if door is not None and not door.transport.is_closing():
-            door.transport.sendto(data, (end.host, end.port))
+        datagram_port, process = self._processes[sender].datagram_port, self._processes[receiver]
+        if datagram_port is not None and not datagram_port.transport.is_closing():
+            datagram_port.transport.sendto(data, (process.host, process.port))
 
     # ---- Streams ----
 
@@ -145,33 +153,35 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        sender = self._named(writer.get_extra_info("peername")[0])
-        onward: asyncio.StreamWriter | None = None
+        sender = self._name_of(writer.get_extra_info("peername")[0])
+        upstream_writer: asyncio.StreamWriter | None = None
         try:
             if sender is None:
                 self.counts["from nobody"] += 1
                 return
-            end = self._ends[receiver]
-            back, onward = await asyncio.open_connection(end.host, end.port, limit=CHUNK)
+            process = self._processes[receiver]
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                process.host, process.port, limit=CHUNK_BYTES
+            )
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._copy(sender, receiver, reader, onward))
-                group.create_task(self._copy(receiver, sender, back, writer))
+                group.create_task(self._copy(sender, receiver, reader, upstream_writer))
+                group.create_task(self._copy(receiver, sender, upstream_reader, writer))
         except (OSError, ExceptionGroup, asyncio.CancelledError):  # the last one: the relay closes
             self.counts["streams broken"] += 1
         finally:
             writer.transport.abort()
-            if onward is not None:
-                onward.transport.abort()
+            if upstream_writer is not None:
+                upstream_writer.transport.abort()
 
     async def _copy(
         self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(CHUNK):
-            fault, again = self._fault(sender, receiver), RETRANSMIT
-            await asyncio.sleep(self._random.uniform(fault.least, fault.most))
-            while (fault := self._fault(sender, receiver)).cut or self._random.random() < fault.loss:
-                await asyncio.sleep(again)
-                again *= 1 if fault.cut else 2
+        while data := await reader.read(CHUNK_BYTES):
+            fault, retransmit_after_s = self._fault(sender, receiver), FIRST_RETRANSMIT_S
+            await asyncio.sleep(self._random.uniform(fault.min_delay_s, fault.max_delay_s))
+            while (fault := self._fault(sender, receiver)).is_cut or self._random.random() < fault.loss:
+                await asyncio.sleep(retransmit_after_s)
+                retransmit_after_s *= 1 if fault.is_cut else 2
             self.counts["bytes"] += len(data)
             writer.write(data)
             await writer.drain()
@@ -179,7 +189,7 @@
             writer.write_eof()
 
 
-class Thread:
+class RelayThread:
     """A relay on a thread of its own."""
 
     def __init__(self, seed: int = 1) -> None:
@@ -190,9 +200,9 @@
         """See Relay.add."""
         return self._loop.run(self.relay.add(name, host, port))
 
-    def set(self, sender: str = "*", receiver: str = "*", **changed: Any) -> None:
+    def set_fault(self, sender: str = "*", receiver: str = "*", **changed: Any) -> None:
         """See Relay.set."""
-        self._loop.call(lambda: self.relay.set(sender, receiver, **changed))
+        self._loop.call(lambda: self.relay.set_fault(sender, receiver, **changed))
 
     def heal(self) -> None:
         """See Relay.heal."""
--- a/benchmarks/faults/service.py
+++ b/benchmarks/faults/service.py
@@ -14,17 +14,17 @@
 
 
 @dataclass
-class Service:
+class ListService:
     """The list, what it costs to tell it, and what was asked."""
 
     targets: list[dict[str, Any]]
-    rev: int = 10
-    whole_s: float = 0.1  # the service's time for a whole list
-    newer_s: float = 0.05
-    most_wait_s: float = 2.0
-    down: bool = False  # connections are closed unheard
-    slow: float = 1.0  # times the cost
-    cut_short: bool = False  # half of its answer, then it closes
+    revision: int = 10
+    full_list_cost_s: float = 0.1  # the service's time for a whole list
+    changes_cost_s: float = 0.05
+    max_wait_s: float = 2.0
+    is_down: bool = False  # connections are closed unheard
+    slowdown: float = 1.0  # times the cost
+    truncates_answers: bool = False  # half of its answer, then it closes
     calls: list[tuple[float, str]] = field(default_factory=list)  # when, and which: whole, newer, refused
     _free_at: float = 0.0
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -33,7 +33,7 @@
         """How many such calls there were."""
         return sum(what == kind for _, what in self.calls)
 
-    def longest_overload(self) -> float:
+    def longest_overload_s(self) -> float:
         """Seconds for which calls were turned down without a pause of a second."""
         refused = [when for when, what in self.calls if what == "refused"]
         longest = begin = 0.0
@@ -42,11 +42,11 @@
             longest = max(longest, when - begin)
         return longest
 
-    def tell(self, **changed: Any) -> None:
+    def publish(self, **changed: Any) -> None:
         """Another version of the list."""
         for name, value in changed.items():
             setattr(self, name, value)
-        self.rev += 1
+        self.revision += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -54,22 +54,22 @@
         """One connection's calls."""
         loop = asyncio.get_running_loop()
         try:
-            while not self.down:
+            while not self.is_down:
                 head = await reader.readuntil(HEAD_END)
-                if self.down:
+                if self.is_down:
                     break
                 after = re.search(rb"after=(\d+)", head)
                 wait = re.search(rb"wait_ms=(\d+)", head)
-                cost = (self.newer_s if after else self.whole_s) * self.slow
+                cost = (self.changes_cost_s if after else self.full_list_cost_s) * self.slowdown
                 now = loop.time()
-                if max(self._free_at - now, 0.0) + cost > self.most_wait_s:
+                if max(self._free_at - now, 0.0) + cost > self.max_wait_s:
                     self.calls.append((now, "refused"))
                     writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
                     continue
                 self.calls.append((now, "newer" if after else "whole"))
                 self._free_at = max(self._free_at, now) + cost
                 await asyncio.sleep(self._free_at - now)
-                if after and int(after[1]) >= self.rev and wait:
+                if after and int(after[1]) >= self.revision and wait:
                     try:
                         async with asyncio.timeout(int(wait[1]) / 1000):
                             await self._changed.wait()
@@ -82,28 +82,28 @@
             writer.close()
 
     def _answer(self, writer: asyncio.StreamWriter, after: int | None) -> None:
-        known = after is not None and after == self.rev
-        document = {"rev": self.rev, "all": not known, "targets": [] if known else self.targets}
+        known = after is not None and after == self.revision
+        document = {"rev": self.revision, "all": not known, "targets": [] if known else self.targets}
         body = json.dumps(document).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-        writer.write(body[: len(body) // 2] if self.cut_short else body)
-        if self.cut_short:
+        writer.write(body[: len(body) // 2] if self.truncates_answers else body)
+        if self.truncates_answers:
             writer.close()
 
 
-class ServiceThread:
+class ListServiceThread:
     """A service on a thread of its own."""
 
-    def __init__(self, service: Service) -> None:
+    def __init__(self, service: ListService) -> None:
         self.service = service
         self._loop = LoopThread()
         listen = asyncio.start_server(service.serve, "127.79.0.2", 0, backlog=1000)
         self._server = self._loop.run(listen)
         self.address = f"127.79.0.2:{self._server.sockets[0].getsockname()[1]}"
 
-    def tell(self, **changed: Any) -> None:
+    def publish(self, **changed: Any) -> None:
         """See Service.tell."""
-        self._loop.call(lambda: self.service.tell(**changed))
+        self._loop.call(lambda: self.service.publish(**changed))
 
     def close(self) -> None:
         """End it."""
@@ -111,7 +111,7 @@
         self._loop.close()
 
 
-def workers(count: int, host: str = "127.0.0.1", state: str = "ready") -> list[dict[str, Any]]:
+def worker_entries(count: int, host: str = "127.0.0.1", state: str = "ready") -> list[dict[str, Any]]:
     """Entries of a list; nobody need listen there."""
     return [
         {"uid": f"w{i}", "endpoint": f"{host}:{20000 + i}", "state": state, "az": "a", "model": "m",
--- a/benchmarks/faults/virtual_group.py
+++ b/benchmarks/faults/virtual_group.py
@@ -33,9 +33,9 @@
     """What may happen to a datagram."""
 
     loss: float = 0.0
-    doubled: float = 0.0
-    least: float = 0.0005  # seconds on the way
-    most: float = 0.003
+    duplication: float = 0.0
+    min_delay_s: float = 0.0005  # seconds on the way
+    max_delay_s: float = 0.003
 
 
 @dataclass(slots=True)
@@ -44,9 +44,9 @@
 
     name: str
     protocol: MembershipProtocol
-    runs: bool = True
-    stopped_until: float = 0.0
-    held: list[tuple[Message, str, bool]] = field(default_factory=list)  # came while it was stopped
+    is_running: bool = True
+    paused_until: float = 0.0
+    backlog: list[tuple[Message, str, bool]] = field(default_factory=list)  # came while it was stopped
     events: list[tuple[float, NotifyMemberEvent]] = field(default_factory=list)
     delivered: list[tuple[float, DeliverEntry]] = field(default_factory=list)
     timer: int = 0  # the latest one that was set; earlier ones are passed over
@@ -66,13 +66,13 @@
         self.link = Link()
         self.cuts: set[tuple[str, str]] = set()  # datagrams and streams from the first to the second are lost
         self.nodes: dict[str, Node] = {}
-        self.measure_bytes = False
-        self.reads_first = True
+        self.counts_bytes = False
+        self.reads_sockets_first = True
         self._by_address: dict[str, Node] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._timers = count(1)
-        self.watch: Callable[[Node, NotifyMemberEvent], None] = lambda node, event: None
+        self.on_event: Callable[[Node, NotifyMemberEvent], None] = lambda node, event: None
         for i in range(size):
             self.add(f"m{i}", f"10.0.{i >> 8}.{i & 255}:1", f"z{i % zones}", ("10.0.0.0:1", "10.0.0.1:1"))
 
@@ -82,10 +82,10 @@
         random = Random(self.random.getrandbits(48))
         protocol = MembershipProtocol(name, run, address, zone, self.settings, random)
         node = self.nodes[name] = self._by_address[address] = Node(name, protocol)
-        self.hand(node, Started(seeds))
+        self.dispatch(node, Started(seeds))
         return node
 
-    def introduce(self) -> None:
+    def introduce_all(self) -> None:
         """Let everybody know everybody, as after a long time: for groups too large to be met here."""
         records = [node.protocol.me for node in self.nodes.values()]
         for node in self.nodes.values():
@@ -97,43 +97,43 @@
     def kill(self, name: str) -> Node:
         """End a member without a word."""
         node = self.nodes.pop(name)
-        node.runs = False
+        node.is_running = False
         return node
 
     def leave(self, name: str) -> None:
         """End a member that says so."""
         node = self.nodes[name]
-        self.hand(node, LeaveRequested())
+        self.dispatch(node, LeaveRequested())
         self.kill(name)
 
     def write(self, name: str, entry: EntryWritten) -> None:
         """Let a member share an entry."""
-        self.hand(self.nodes[name], entry)
+        self.dispatch(self.nodes[name], entry)
 
-    def hand(self, node: Node, event: Event) -> None:
+    def dispatch(self, node: Node, event: Event) -> None:
         """Hand an event to a member and carry out what follows."""
-        self._carry_out(node, node.protocol.handle(self.now, event))
+        self._execute(node, node.protocol.handle(self.now, event))
 
-    def stop(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Stop a member as a stop signal does: what comes meanwhile waits."""
         node = self.nodes[name]
-        node.stopped_until = self.now + seconds
-        self.at(node.stopped_until, lambda: self._continue(node))
+        node.paused_until = self.now + seconds
+        self.schedule(node.paused_until, lambda: self._resume(node))
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
+    def cut(self, source: str, target: str, both: bool = True) -> None:
         """Lose all that goes from the first to the second."""
-        self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
+        self.cuts |= {(source, target), (target, source)} if both else {(source, target)}
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
         """Do something at a time."""
-        heapq.heappush(self._events, (when, next(self._order), do))
+        heapq.heappush(self._events, (when, next(self._order), callback))
 
     def run(self, until: float) -> None:
         """Let time pass."""
         while self._events and self._events[0][0] <= until:
-            when, _, do = heapq.heappop(self._events)
+            when, _, callback = heapq.heappop(self._events)
             self.now = max(self.now, when)
-            do()
+            callback()
         self.now = until
 
     def events(self, kind: MemberEventKind) -> Iterator[tuple[float, str, NotifyMemberEvent]]:
@@ -141,58 +141,60 @@
         for node in self.nodes.values():
             yield from ((when, node.name, event) for when, event in node.events if event.kind is kind)
 
-    def _continue(self, node: Node) -> None:
-        held, node.held = node.held, []
-        if not self.reads_first:  # asyncio's loop reads its sockets before it runs its timers
-            self._tick(node, node.timer)
-        for message, source, stream in held:
+    def _resume(self, node: Node) -> None:
+        backlog, node.backlog = node.backlog, []
+        if not self.reads_sockets_first:  # asyncio's loop reads its sockets before it runs its timers
+            self._fire_timer(node, node.timer)
+        for message, source, stream in backlog:
             self._deliver(node, message, source, stream)
-        self._tick(node, node.timer)
+        self._fire_timer(node, node.timer)
 
-    def _carry_out(self, node: Node, instructions: list[Instruction]) -> None:
+    def _execute(self, node: Node, instructions: list[Instruction]) -> None:
         for instruction in instructions:
             if isinstance(instruction, NotifyMemberEvent):
                 node.events.append((self.now, instruction))
-                self.watch(node, instruction)
+                self.on_event(node, instruction)
             elif isinstance(instruction, DeliverEntry):
                 node.delivered.append((self.now, instruction))
             else:
                 self._send(node, instruction)
         timer = node.timer = next(self._timers)
-        self.at(max(node.protocol.due_at, self.now), lambda: self._tick(node, timer))
+        self.schedule(max(node.protocol.due_at, self.now), lambda: self._fire_timer(node, timer))
 
     def _send(self, node: Node, send: SendMessage) -> None:
         node.sent += 1
-        if self.measure_bytes:
+        if self.counts_bytes:
             node.sent_bytes += len(encode(send.message))
-        other = self._by_address.get(send.address)
-        if other is None or (node.name, other.name) in self.cuts:
+        target = self._by_address.get(send.address)
+        if target is None or (node.name, target.name) in self.cuts:
             return
         link, source = self.link, node.protocol.me.address
         if send.by_stream:
-            self._send_by_stream(node, other, send.message)
+            self._send_by_stream(node, target, send.message)
             return
-        for _ in range(1 + (self.random.random() < link.doubled)):
+        for _ in range(1 + (self.random.random() < link.duplication)):
             if self.random.random() >= link.loss:
-                when = self.now + self.random.uniform(link.least, link.most)
-                self.at(when, lambda: self._deliver(other, send.message, source))
+                when = self.now + self.random.uniform(link.min_delay_s, link.max_delay_s)
+                self.schedule(when, lambda: self._deliver(target, send.message, source))
 
-    def _send_by_stream(self, node: Node, other: Node, message: Message) -> None:
+    def _send_by_stream(self, node: Node, target: Node, message: Message) -> None:
         """What is lost is sent again after 0.2 s, then twice as long; over 3 s it is given up."""
-        way, again = 3 * self.random.uniform(self.link.least, self.link.most), 0.2
+        delay, retransmit_after = 3 * self.random.uniform(self.link.min_delay_s, self.link.max_delay_s), 0.2
         while self.random.random() < 1 - (1 - self.link.loss) ** 2:
-            way, again = way + again, again * 2
-        if way < 3.0:
-            self.at(self.now + way, lambda: self._deliver(other, message, node.protocol.me.address, True))
+            delay, retransmit_after = delay + retransmit_after, retransmit_after * 2
+        if delay < 3.0:
+            self.schedule(
+                self.now + delay, lambda: self._deliver(target, message, node.protocol.me.address, True)
+            )
 
     def _deliver(self, node: Node, message: Message, source: str, stream: bool = False) -> None:
-        if not node.runs:
+        if not node.is_running:
             return
-        if self.now < node.stopped_until:
-            node.held.append((message, source, stream))
+        if self.now < node.paused_until:
+            node.backlog.append((message, source, stream))
             return
-        self.hand(node, MessageReceived(message, source, stream))
+        self.dispatch(node, MessageReceived(message, source, stream))
 
-    def _tick(self, node: Node, timer: int) -> None:
-        if node.runs and timer == node.timer and self.now >= node.stopped_until:
-            self.hand(node, TimerFired())
+    def _fire_timer(self, node: Node, timer: int) -> None:
+        if node.is_running and timer == node.timer and self.now >= node.paused_until:
+            self.dispatch(node, TimerFired())
--- a/benchmarks/gear_queue.py
+++ b/benchmarks/gearman_queue.py
@@ -1,7 +1,7 @@
 """The case that asked for queueing: 200 jobs of the `gear` client library at once, four workers, 20 runs.
 
     pip install -r benchmarks/requirements-gear.txt
-    python -m benchmarks.gear_queue [--runs 20] [--plain]
+    python -m benchmarks.gearman_queue [--runs 20] [--plain]
 
 `--plain` runs it without deferred jobs. The workers answer at once, as gear's own workers do.
 """
@@ -16,7 +16,7 @@
 
 import gear  # type: ignore[import-not-found,import-untyped,unused-ignore]  # not among CI's
 
-from .started import ROOT, Daemon, daemon
+from .daemon_process import ROOT, DaemonProcess, run_daemon
 
 JOBS, WORKERS = 200, 4
 RUN_WITHIN = 120.0  # seconds
@@ -60,9 +60,9 @@
             return
 
 
-def run(started: Daemon) -> tuple[Counter[str], float]:
+def run(process: DaemonProcess) -> tuple[Counter[str], float]:
     """One run: how the jobs ended, and the seconds that they took."""
-    host, port = started.address("gearman")
+    host, port = process.address("gearman")
     workers = []
     for i in range(WORKERS):
         worker = gear.Worker(f"w{i}")
@@ -99,8 +99,8 @@
         text = "[gearman]" + "\n".join(x for x in lines if "patience" not in x and "queueing" not in x)
     whole, rates = 0, []
     for number in range(options.runs):
-        with daemon(text) as started:
-            ends, taken = run(started)
+        with run_daemon(text) as process:
+            ends, taken = run(process)
         whole += ends["served"] == JOBS
         rates.append(sum(ends.values()) / taken)
         print(f"run {number + 1}: {dict(ends)} in {taken:.2f} s, {rates[-1]:.0f} jobs/s", flush=True)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -50,7 +50,7 @@
     group = VirtualGroup(size, seed, settings)
     group.run(SETTLE)
     group.link.loss = loss
-    group.measure_bytes = True
+    group.counts_bytes = True
     random = Random(seed)
     troubled = set(random.sample(sorted(group.nodes), int(size * PAUSED))) if paused else set()
     end = SETTLE + minutes * 60
@@ -58,7 +58,7 @@
         at = SETTLE + random.uniform(0, 5)
         while at < end:
             pause = random.uniform(0.5, 5.0)
-            group.at(at, partial(group.stop, name, pause))
+            group.schedule(at, partial(group.pause, name, pause))
             at += pause + random.uniform(0.5, 5.0)
     group.run(end)
     events = episodes(
@@ -87,11 +87,11 @@
     """Seconds until a killed one is known dead to one and to 99%; CPU and bytes a member-second."""
     group = VirtualGroup(size, seed, settings)
     if size >= LARGE:
-        group.introduce()
+        group.introduce_all()
         group.run(2.0)
     else:
         group.run(SETTLE)
-    group.measure_bytes = True
+    group.counts_bytes = True
     before = sum(node.sent_bytes for node in group.nodes.values())
     began = time.process_time()
     name = sorted(group.nodes)[size // 2]
--- a/benchmarks/membership_processes.py
+++ b/benchmarks/membership_processes.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from random import Random
 
-from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, until
+from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, wait_until
 
 CONFIG = json.loads((ROOT / "examples/config.json").read_text()) | {"discovery": "127.0.0.1:1"}
 TICK = os.sysconf("SC_CLK_TCK")
@@ -40,10 +40,10 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096 / (1 << 20)
 
 
-def deaths(made: Fleet, name: str, since: float) -> list[float]:
+def deaths(group: Fleet, name: str, since: float) -> list[float]:
     """Seconds from then until each of the others took it for dead."""
     found = []
-    for member in made:
+    for member in group:
         for line in member.log().splitlines():
             if (m := DIED.match(line)) and m[2] == name:
                 after = datetime.strptime(m[1], "%Y-%m-%d %H:%M:%S,%f").timestamp() - since
@@ -53,36 +53,36 @@
     return sorted(found)
 
 
-def group(size: int, minutes: float, idle: float) -> None:
+def measure_group(size: int, minutes: float, idle: float) -> None:
     """One group's figures, printed."""
-    with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), CONFIG) as made:
-        members = made.add(size, 3)
+    with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), CONFIG) as group:
+        members = group.add(size, 3)
         began = time.monotonic()
         for member in members:
             member.start()
-        until(made.met, "all have met", 120)
+        wait_until(group.has_converged, "all have met", 120)
         met = time.monotonic() - began
         time.sleep(5.0)
         pids = [m.process.pid for m in members if m.process]
-        before, bytes_before = [cpu(pid) for pid in pids], made.relay.relay.counts["bytes"]
+        before, bytes_before = [cpu(pid) for pid in pids], group.relay.relay.counts["bytes"]
         time.sleep(CALM)
         spent = sum(cpu(pid) - b for pid, b in zip(pids, before, strict=True)) / size / CALM
-        sent = (made.relay.relay.counts["bytes"] - bytes_before) / size / CALM
+        sent = (group.relay.relay.counts["bytes"] - bytes_before) / size / CALM
         memory = rss(pids[0])
         times = []
         for victim in members[-3:]:
             at = time.time()
             victim.kill()
             needed = int(0.99 * (size - 1))
-            found: list[float] = until(
+            found: list[float] = wait_until(
                 lambda name=victim.name, at=at, needed=needed: (  # type: ignore[misc]
-                    known if len(known := deaths(made, name, at)) >= needed else None
+                    known if len(known := deaths(group, name, at)) >= needed else None
                 ),
                 "the death is known", 60,
             )  # fmt: skip
             times.append((found[0], found[needed - 1]))
             victim.start()
-            until(made.met, "it is back", 120)
+            wait_until(group.has_converged, "it is back", 120)
         told = "; ".join(f"first {a:.1f} s, 99% {b:.1f} s" for a, b in times)
         print(
             f"{size} processes: met after {met:.1f} s; {(spent - idle) * 100:.2f}% of a core and {sent:.0f} "
@@ -90,31 +90,31 @@
             flush=True,
         )
         if minutes:
-            print(f"{size} processes: {troubled(made, minutes)}", flush=True)
+            print(f"{size} processes: {troubled(group, minutes)}", flush=True)
 
 
-def troubled(made: Fleet, minutes: float) -> str:
+def troubled(group: Fleet, minutes: float) -> str:
     """Wrongful deaths at 30% loss, a tenth of the members paused for up to 5 s again and again."""
-    members, random = made.running(), Random(1)
+    members, random = group.running(), Random(1)
     marks = {m.name: len(m.log()) for m in members}
     paused = random.sample(members, max(len(members) // 10, 1))
     names = {m.name for m in paused}
-    made.relay.set(loss=0.3)
+    group.relay.set_fault(loss=0.3)
     end = time.monotonic() + minutes * 60
 
     def play(member: Member, chance: Random) -> None:
         while time.monotonic() < end:
             time.sleep(chance.uniform(0.5, 5.0))
-            member.stop()
+            member.pause()
             time.sleep(chance.uniform(0.5, 5.0))
-            member.go_on()
+            member.resume()
 
     threads = [threading.Thread(target=play, args=(m, Random(i))) for i, m in enumerate(paused)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    made.relay.heal()
+    group.relay.heal()
     wrong = {
         found[2] for m in members for line in m.log()[marks[m.name] :].splitlines()
         if (found := DIED.match(line)) and found[2] not in names
@@ -155,7 +155,7 @@
     args = parser.parse_args()
     idle = at_rest()
     for size in args.sizes:
-        group(size, args.minutes if size == 32 else 0.0, idle)
+        measure_group(size, args.minutes if size == 32 else 0.0, idle)
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -13,7 +13,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from .plan import draw
+from .plan import draw_plan
 from .run import Verdict, play
 
 COMMAND = "python -m benchmarks.soak --seed"
@@ -21,13 +21,13 @@
 
 def verdict_line(verdict: Verdict) -> str:
     """One line on a seed that kept all rules, more on one that did not."""
-    plan, seen = verdict.plan, verdict.seen
-    answered = sum(exchange.answered_at is not None for exchange in seen.exchanges)
+    plan, observation = verdict.plan, verdict.observation
+    answered = sum(exchange.answered_at is not None for exchange in observation.exchanges)
     tables = [name for name in ("crowd", "durable", "membership", "gearman") if getattr(plan, name)]
     line = (
         f"seed {plan.seed}: {'FAILED' if verdict.violations else 'ok'}; {plan.ending.value}; "
-        f"{len(seen.exchanges)} requests, {answered} answered, {len(seen.arrivals)} attempts"
-        f"{''.join(f', {name}' for name in tables)}; lag {seen.max_lag_s:.3f} s"
+        f"{len(observation.exchanges)} requests, {answered} answered, {len(observation.arrivals)} attempts"
+        f"{''.join(f', {name}' for name in tables)}; lag {observation.max_lag_s:.3f} s"
     )
     if not verdict.violations:
         return line
@@ -38,7 +38,7 @@
 def play_seed(seed: int) -> tuple[bool, str]:
     """Whether a seed kept all rules, and what to print of it."""
     try:
-        verdict = play(draw(seed))
+        verdict = play(draw_plan(seed))
     except Exception as error:  # the other seeds go on
         return (
             False,
@@ -49,10 +49,10 @@
 
 def replay(seed: int) -> bool:
     """One seed with all that is known of it."""
-    plan = draw(seed)
+    plan = draw_plan(seed)
     print(plan)
     verdict = play(plan)
-    for process in verdict.seen.processes:
+    for process in verdict.observation.processes:
         print(process.log)
     print(verdict_line(verdict))
     return not verdict.violations
@@ -63,9 +63,9 @@
     begun_at = time.monotonic()
     failed = 0
     with ProcessPoolExecutor(parallel) as pool:
-        for kept, text in pool.map(play_seed, range(first, first + count)):
+        for has_passed, text in pool.map(play_seed, range(first, first + count)):
             print(text, flush=True)
-            failed += not kept
+            failed += not has_passed
     print(f"{count} seeds, {failed} failed, {time.monotonic() - begun_at:.0f} s")
     return not failed
 
@@ -79,10 +79,10 @@
     parser.add_argument("--parallel", type=int, default=1)
     arguments = parser.parse_args()
     if arguments.seed is not None:
-        kept = replay(arguments.seed)
+        has_passed = replay(arguments.seed)
     else:
-        kept = play_seeds(arguments.first, arguments.seeds, arguments.parallel)
-    sys.exit(0 if kept else 1)
+        has_passed = play_seeds(arguments.first, arguments.seeds, arguments.parallel)
+    sys.exit(0 if has_passed else 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -38,27 +38,27 @@
         return f"{self.rule}: {self.text}"
 
 
-def audit(plan: Plan, seen: Observation) -> list[Violation]:
+def audit(plan: Plan, observation: Observation) -> list[Violation]:
     """Every rule that was broken in a run."""
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
-    for arrival in sorted(seen.arrivals, key=lambda arrival: arrival.first_byte_at):
+    for arrival in sorted(observation.arrivals, key=lambda arrival: arrival.first_byte_at):
         arrivals[arrival.id].append(arrival)
     return [
-        *_answers(seen, arrivals),
-        *_contents(seen, arrivals),
-        *_runs(plan, seen, arrivals),
+        *_answers(observation, arrivals),
+        *_contents(observation, arrivals),
+        *_runs(plan, observation, arrivals),
         *_copies(arrivals),
-        *_starts_after_leaving(seen, arrivals),
-        *_sends_to_draining(seen),
-        *_processes(plan, seen),
-        *(Violation("forgotten job", job) for job in seen.forgotten_jobs),
-        *_bad_clients(seen),
+        *_starts_after_leaving(observation, arrivals),
+        *_sends_to_draining(observation),
+        *_processes(plan, observation),
+        *(Violation("forgotten job", job) for job in observation.forgotten_jobs),
+        *_bad_clients(observation),
     ]
 
 
-def _answers(seen: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
+def _answers(observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
     """Every request that was read gets exactly one final answer, in its time."""
-    for exchange in seen.exchanges:
+    for exchange in observation.exchanges:
         if exchange.answers > 1:
             yield Violation("two answers", exchange.id)
         if exchange.sent_at is None or exchange.left_at is not None:
@@ -67,7 +67,7 @@
         if exchange.answered_at is not None:
             if exchange.answered_at > latest:
                 yield Violation("late answer", f"{exchange.id} by {exchange.answered_at - latest:.3f} s")
-        elif not _may_be_unanswered(seen, exchange, bool(arrivals.get(exchange.id))):
+        elif not _may_be_unanswered(observation, exchange, bool(arrivals.get(exchange.id))):
             yield Violation("lost request", f"{exchange.id} sent on a {_kind(exchange)} connection")
 
 
@@ -75,16 +75,16 @@
     return "new" if exchange.is_first else "kept"
 
 
-def _may_be_unanswered(seen: Observation, exchange: Exchange, was_forwarded: bool) -> bool:
+def _may_be_unanswered(observation: Observation, exchange: Exchange, was_forwarded: bool) -> bool:
     """A killed process owes nothing; else a request that was not read, where a close may cross it."""
     closed_at = exchange.closed_at
     if closed_at is None:
         return False
-    if any(_was_killed_at(process, closed_at) for process in seen.processes):
+    if any(_was_killed_at(process, closed_at) for process in observation.processes):
         return True
     if was_forwarded:
         return False
-    return not exchange.is_first or any(begin <= closed_at <= end for begin, end in seen.crowded)
+    return not exchange.is_first or any(begin <= closed_at <= end for begin, end in observation.crowded)
 
 
 def _was_killed_at(process: Process, closed_at: float) -> bool:
@@ -93,34 +93,34 @@
     return killed_at is not None and -SOCKET_SLACK_S <= closed_at - killed_at <= KILL_SEEN_WITHIN_S
 
 
-def _contents(seen: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
+def _contents(observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
     """A served request has the result that a worker gave for it."""
-    for exchange in seen.exchanges:
+    for exchange in observation.exchanges:
         if exchange.status != SERVED or exchange.answered_at is None:
             continue
         if exchange.body not in {arrival.result for arrival in arrivals.get(exchange.id, ())}:
             yield Violation("foreign answer", f"{exchange.id}: {exchange.body!r}")
 
 
-def _semantics(plan: Plan, seen: Observation, exchange: Exchange) -> Semantics:
+def _semantics(plan: Plan, observation: Observation, exchange: Exchange) -> Semantics:
     """The rule of a request's class as it was when the request was sent."""
-    loosened_at = seen.loosened_at if exchange.follows_reloads else None
+    loosened_at = observation.loosened_at if exchange.follows_reloads else None
     if loosened_at is not None and exchange.begun_at >= loosened_at + NEW_SETTINGS_BIND_S:
         return Semantics.FREE
     return plan.class_named(exchange.job_class).semantics
 
 
-def _runs(plan: Plan, seen: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
+def _runs(plan: Plan, observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
     """What must not run twice never does, and what was refused may be sent again."""
-    for exchange in seen.exchanges:
+    for exchange in observation.exchanges:
         ran = [arrival for arrival in arrivals.get(exchange.id, ()) if arrival.ran]
-        semantics = _semantics(plan, seen, exchange)
+        semantics = _semantics(plan, observation, exchange)
         if semantics is Semantics.SINGLE_SHOT and len(ran) > 1:
             yield Violation("ran twice", f"{exchange.id} at {', '.join(a.worker for a in ran)}")
         if semantics is Semantics.SINGLE_SHOT and ran and exchange.status in REFUSALS:
             yield Violation("refused though it ran", exchange.id)
         if semantics is Semantics.GUARDED and len(ran) > 1:
-            first, last = ran[0].whole_at, ran[-1].whole_at
+            first, last = ran[0].received_at, ran[-1].received_at
             assert first is not None and last is not None
             window_s = plan.class_named(exchange.job_class).window_s
             if last - first > window_s + SOCKET_SLACK_S:
@@ -131,19 +131,21 @@
 
 def _copies(arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
     """No second copy is sent while an earlier attempt is out on an open connection."""
-    for id_, of_request in arrivals.items():
-        whole = [arrival for arrival in of_request if arrival.whole_at is not None]
+    for id_, attempts in arrivals.items():
+        whole = [arrival for arrival in attempts if arrival.received_at is not None]
         for earlier, later in pairwise(whole):
-            assert later.whole_at is not None
-            over_at = min(
+            assert later.received_at is not None
+            finished_at = min(
                 (at for at in (earlier.ended_at, earlier.closed_at) if at is not None), default=float("inf")
             )
-            if over_at > later.whole_at + SOCKET_SLACK_S:
+            if finished_at > later.received_at + SOCKET_SLACK_S:
                 yield Violation("second copy", f"{id_} at {earlier.worker} and {later.worker}")
 
 
-def _starts_after_leaving(seen: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
-    for exchange in seen.exchanges:
+def _starts_after_leaving(
+    observation: Observation, arrivals: dict[str, list[Arrival]]
+) -> Iterator[Violation]:
+    for exchange in observation.exchanges:
         if exchange.left_at is None:
             continue
         for arrival in arrivals.get(exchange.id, ()):
@@ -152,16 +154,16 @@
                 yield Violation("sent after its client left", f"{exchange.id} by {late_s:.3f} s")
 
 
-def _sends_to_draining(seen: Observation) -> Iterator[Violation]:
-    for drain in seen.drains:
-        for arrival in seen.arrivals:
-            if arrival.worker == drain.worker and drain.binds_at < arrival.first_byte_at < drain.until:
-                late_s = arrival.first_byte_at - drain.binds_at
+def _sends_to_draining(observation: Observation) -> Iterator[Violation]:
+    for drain in observation.drains:
+        for arrival in observation.arrivals:
+            if arrival.worker == drain.worker and drain.enforced_from < arrival.first_byte_at < drain.until:
+                late_s = arrival.first_byte_at - drain.enforced_from
                 yield Violation("sent to a draining worker", f"{arrival.id} {late_s:.3f} s past the grace")
 
 
-def _processes(plan: Plan, seen: Observation) -> Iterator[Violation]:
-    for number, process in enumerate(seen.processes):
+def _processes(plan: Plan, observation: Observation) -> Iterator[Violation]:
+    for number, process in enumerate(observation.processes):
         yield from _one_process(plan, process, number)
 
 
@@ -187,7 +189,7 @@
         yield Violation("descriptors", f"{name}: {process.peak_descriptors}")
 
 
-def _bad_clients(seen: Observation) -> Iterator[Violation]:
-    for waited_s in seen.bad_client_waits_s:
+def _bad_clients(observation: Observation) -> Iterator[Violation]:
+    for waited_s in observation.bad_client_waits_s:
         if waited_s > BAD_CLIENT_WITHIN_S + SOCKET_SLACK_S:
             yield Violation("bad client kept", f"{waited_s:.3f} s")
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -34,11 +34,16 @@
     """One client that sends one request after the other until it is told to stop."""
 
     def __init__(
-        self, number: int, plan: Plan, seen: Observation, address: Callable[[], Address], stop: asyncio.Event
+        self,
+        number: int,
+        plan: Plan,
+        observation: Observation,
+        address: Callable[[], Address],
+        stop: asyncio.Event,
     ) -> None:
         """`address` is asked for each new connection; after `stop` is set no request begins."""
         self._plan = plan
-        self._seen = seen
+        self._observation = observation
         self._address = address
         self._stop = stop
         self._random = Random(plan.seed * 1000 + number)
@@ -72,7 +77,7 @@
                 connection.requests == 0,
                 self._now(),
             )
-            self._seen.exchanges.append(exchange)
+            self._observation.exchanges.append(exchange)
             connection.requests += 1
             try:
                 await self._send_and_read(connection, exchange)
@@ -117,7 +122,7 @@
         exchange.answered_at, exchange.status, exchange.body = self._now(), status, body
         exchange.answers += 1
         if closes:
-            exchange.answers += bool(await _rest(connection.reader))
+            exchange.answers += bool(await _read_rest(connection.reader))
             self._drop()
 
     async def _send(self, writer: asyncio.StreamWriter, exchange: Exchange) -> None:
@@ -162,7 +167,7 @@
     return status, body, headers.get("connection") == "close"
 
 
-async def _rest(reader: asyncio.StreamReader) -> bytes:
+async def _read_rest(reader: asyncio.StreamReader) -> bytes:
     """What comes after the last answer, where there should be nothing."""
     try:
         async with asyncio.timeout(LAST_WAIT_S):
@@ -171,7 +176,7 @@
         return b""
 
 
-async def bad_client(address: Address, seen: Observation, random: Random) -> None:
+async def bad_client(address: Address, observation: Observation, random: Random) -> None:
     """Half a request, and then nothing: it gets an error or a close."""
     data = b"POST /peek HTTP/1.1\r\nReq-Id: bad\r\n"
     loop = asyncio.get_running_loop()
@@ -187,11 +192,11 @@
                 pass
     except (OSError, TimeoutError):
         pass
-    seen.bad_client_waits_s.append(loop.time() - begun_at)
+    observation.bad_client_waits_s.append(loop.time() - begun_at)
     writer.close()
 
 
-async def hand_in(address: Address, id_: str, job_class: str) -> bool:
+async def submit_deferred_job(address: Address, id_: str, job_class: str) -> bool:
     """Hand a deferred job in; whether it was acknowledged."""
     answer = await call(address, "POST", f"/jobs/{job_class}", f"Req-Id: {id_}\r\n", BODY)
     return answer == 202
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -20,11 +20,11 @@
 class Discovery:
     """The list of workers, and the calls for it."""
 
-    def __init__(self, workers: Sequence[Worker], seen: Observation) -> None:
+    def __init__(self, workers: Sequence[Worker], observation: Observation) -> None:
         self.address = ""
         self.fault: DiscoveryFault | None = None
         self._workers = workers
-        self._seen = seen
+        self._observation = observation
         self._revision = 1
         self._changed: dict[str, int] = {}  # revision of the last change, by worker
         self._draining: dict[str, Drain] = {}
@@ -43,7 +43,7 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def change(self, worker: Worker) -> None:
+    def notify_change(self, worker: Worker) -> None:
         """An entry is another: its start is."""
         self._revision += 1
         self._changed[worker.name] = self._revision
@@ -53,17 +53,17 @@
         if worker.name in self._draining:
             return
         now = asyncio.get_running_loop().time()
-        binds_at = now + NOTIFIED_WITHIN_S + DRAIN_GRACE_S + SOCKET_SLACK_S
-        drain = self._draining[worker.name] = Drain(worker.name, binds_at)
-        self._seen.drains.append(drain)
-        self.change(worker)
+        enforced_from = now + NOTIFIED_WITHIN_S + DRAIN_GRACE_S + SOCKET_SLACK_S
+        drain = self._draining[worker.name] = Drain(worker.name, enforced_from)
+        self._observation.drains.append(drain)
+        self.notify_change(worker)
 
-    def take_back(self, worker: Worker) -> None:
+    def end_drain(self, worker: Worker) -> None:
         """The worker is ready again."""
         drain = self._draining.pop(worker.name, None)
         if drain is not None:
             drain.until = asyncio.get_running_loop().time()
-            self.change(worker)
+            self.notify_change(worker)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -112,9 +112,9 @@
 
     def _note_notified(self) -> None:
         """What has been written counts as told."""
-        binds_at = asyncio.get_running_loop().time() + DRAIN_GRACE_S + SOCKET_SLACK_S
+        enforced_from = asyncio.get_running_loop().time() + DRAIN_GRACE_S + SOCKET_SLACK_S
         for drain in self._draining.values():
-            drain.binds_at = min(drain.binds_at, binds_at)
+            drain.enforced_from = min(drain.enforced_from, enforced_from)
 
 
 def _number(head: bytes, pattern: bytes) -> int | None:
--- a/benchmarks/soak/gearman.py
+++ b/benchmarks/soak/gearman.py
@@ -38,11 +38,11 @@
     """Submits one job after the other on one connection."""
 
     def __init__(
-        self, number: int, plan: Plan, seen: Observation, address: Address, stop: asyncio.Event
+        self, number: int, plan: Plan, observation: Observation, address: Address, stop: asyncio.Event
     ) -> None:
         self._name = f"g{number}"
         self._plan = plan
-        self._seen = seen
+        self._observation = observation
         self._address = address
         self._stop = stop
         self._random = Random(plan.seed * 2000 + number)
@@ -80,7 +80,7 @@
         if packet_type != PacketType.JOB_CREATED:
             return False
         exchange.sent_at = self._now()
-        self._seen.exchanges.append(exchange)
+        self._observation.exchanges.append(exchange)
         status = FAILED
         try:
             async with asyncio.timeout(exchange.deadline_s + LAST_WAIT_S):
@@ -104,10 +104,10 @@
 class GearmanWorker:
     """Grabs jobs; now and then one fails, or the connection is lost with it."""
 
-    def __init__(self, number: int, plan: Plan, seen: Observation, address: Address) -> None:
+    def __init__(self, number: int, plan: Plan, observation: Observation, address: Address) -> None:
         self._name = f"gearman{number}"
         self._functions = [job_class.name.encode() for job_class in plan.classes]
-        self._seen = seen
+        self._observation = observation
         self._address = address
         self._random = Random(plan.seed * 3000 + number)
 
@@ -140,7 +140,7 @@
     async def _run_job(self, writer: asyncio.StreamWriter, handle: bytes, _: bytes, workload: bytes) -> bool:
         loop = asyncio.get_running_loop()
         arrival = Arrival(workload.decode(), self._name, loop.time(), loop.time(), ran=True)
-        self._seen.arrivals.append(arrival)
+        self._observation.arrivals.append(arrival)
         await asyncio.sleep(self._random.expovariate(1 / MEAN_RUN_S))
         arrival.ended_at = loop.time()
         chance = self._random.random()
@@ -154,7 +154,7 @@
         return True
 
 
-def functions(classes: tuple[JobClass, ...]) -> str:
+def function_tables(classes: tuple[JobClass, ...]) -> str:
     """The functions' tables of the operator's file: one for each class, under its name."""
     return "".join(
         f'[gearman.functions.{job_class.name}]\nclass = "{job_class.name}"\n'
@@ -164,8 +164,8 @@
 
 
 def stand_ins(
-    plan: Plan, seen: Observation, address: Address, stop: asyncio.Event
+    plan: Plan, observation: Observation, address: Address, stop: asyncio.Event
 ) -> list[Coroutine[Any, Any, None]]:
     """What the clients and workers do, until stopped or disconnected."""
-    workers = [GearmanWorker(number, plan, seen, address).run() for number in range(WORKERS)]
-    return [*workers, *(GearmanClient(n, plan, seen, address, stop).run() for n in range(CLIENTS))]
+    workers = [GearmanWorker(number, plan, observation, address).run() for number in range(WORKERS)]
+    return [*workers, *(GearmanClient(n, plan, observation, address, stop).run() for n in range(CLIENTS))]
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -161,7 +161,7 @@
         }  # fmt: skip
 
 
-def draw(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     """The plan of a seed."""
     random = Random(seed)
     workers = random.randint(2, 6)
--- a/benchmarks/soak/program.py
+++ b/benchmarks/soak/program.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from ..started import ROOT
+from ..daemon_process import ROOT
 from .clients import Address, call
 from .records import Process
 
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -31,7 +31,7 @@
     id: str
     worker: str
     first_byte_at: float
-    whole_at: float | None = None
+    received_at: float | None = None
     ended_at: float | None = None  # the worker gave its last line, or it died
     closed_at: float | None = None  # the scheduler closed the connection
     ran: bool = False  # the worker began it
@@ -43,7 +43,7 @@
     """A worker that drains: when the grace after the notification is over, and when it no longer drains."""
 
     worker: str
-    binds_at: float
+    enforced_from: float
     until: float = float("inf")
 
 
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from .audit import Violation, audit
-from .clients import NEW_CONNECTIONS_AFTER_TERM_S, Address, Client, bad_client, call, hand_in
+from .clients import NEW_CONNECTIONS_AFTER_TERM_S, Address, Client, bad_client, call, submit_deferred_job
 from .discovery import Discovery
-from .gearman import functions, stand_ins
+from .gearman import function_tables, stand_ins
 from .plan import (
     CROWD_CONNECTIONS,
     LOAD_S,
@@ -40,7 +40,7 @@
 CROWD_TAIL_S = 0.5  # in which connections that the crowd left behind are still many
 SUCCESSOR_LIVES_S = 0.6
 LAG_CHECK_S = 0.02
-HAND_IN_PAUSE_S = 0.08
+SUBMISSION_PAUSE_S = 0.08
 RESULT_WAIT_S = 6.0  # for what is under way when the load ends
 BAD_CLIENTS = 2
 
@@ -50,19 +50,21 @@
     """What came of one seed."""
 
     plan: Plan
-    seen: Observation
+    observation: Observation
     violations: list[Violation]
 
 
-class Run:
+class SoakRun:
     """One seed's run."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self._plan = plan
         self._folder = folder
-        self._seen = Observation()
-        self._workers = [Worker(f"w{i}", plan.slots, self._seen, plan.seed + i) for i in range(plan.workers)]
-        self._discovery = Discovery(self._workers, self._seen)
+        self._observation = Observation()
+        self._workers = [
+            Worker(f"w{i}", plan.slots, self._observation, plan.seed + i) for i in range(plan.workers)
+        ]
+        self._discovery = Discovery(self._workers, self._observation)
         self._stop = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._programs: list[Program] = []  # those whose end is audited
@@ -87,7 +89,7 @@
         program = await self._start("first")
         await program.wait_ready(self._http, "/up")
         clients = [
-            Client(n, self._plan, self._seen, lambda: self._http, self._stop)
+            Client(n, self._plan, self._observation, lambda: self._http, self._stop)
             for n in range(self._plan.clients)
         ]
         client_tasks = [self._spawn(client.run()) for client in clients]
@@ -95,7 +97,7 @@
         if self._plan.gearman:
             address = await program.address("gearman")
             client_tasks += [
-                self._spawn(work) for work in stand_ins(self._plan, self._seen, address, self._stop)
+                self._spawn(work) for work in stand_ins(self._plan, self._observation, address, self._stop)
             ]
         await asyncio.sleep(LOAD_S)
         await self._end(program, clients)
@@ -105,12 +107,12 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._discovery.fault = None
         if self._plan.durable:
-            await self._look_for_jobs()
+            await self._check_acknowledged_jobs()
         self._discovery.close()
         for worker in self._workers:
             worker.die()
-        self._seen.processes = [program.record for program in self._programs]
-        return self._seen
+        self._observation.processes = [program.record for program in self._programs]
+        return self._observation
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -142,7 +144,7 @@
                 f'path = "{self._folder / "jobs.db"}"\nmax_store_bytes = {self._plan.max_store_bytes}\n'
             )
         if self._plan.gearman:
-            tables += f'[gearman]\nlisten = "{HOST}:0"\n{functions(self._plan.classes)}'
+            tables += f'[gearman]\nlisten = "{HOST}:0"\n{function_tables(self._plan.classes)}'
         if self._plan.membership:
             tables += f'[membership]\nlisten = "{HOST}:{_free_port()}"\n'
         return tables
@@ -151,18 +153,18 @@
 
     def _schedule(self) -> list[asyncio.Task[None]]:
         plan = self._plan
-        tasks = [self._spawn(self._strike_worker(fault)) for fault in plan.worker_faults]
-        tasks += [self._spawn(self._strike_discovery(fault)) for fault in plan.discovery_faults]
+        tasks = [self._spawn(self._inject_worker_fault(fault)) for fault in plan.worker_faults]
+        tasks += [self._spawn(self._inject_discovery_fault(fault)) for fault in plan.discovery_faults]
         tasks += [self._spawn(self._reload_at(item.at_s, item.reload)) for item in plan.reloads]
         for number in range(BAD_CLIENTS):
-            self._spawn(bad_client(self._http, self._seen, random.Random(plan.seed + number)))
+            self._spawn(bad_client(self._http, self._observation, random.Random(plan.seed + number)))
         if plan.crowd:
             tasks.append(self._spawn(self._crowd()))
         if plan.durable:
-            tasks.append(self._spawn(self._hand_in()))
+            tasks.append(self._spawn(self._submit_deferred_jobs()))
         return tasks
 
-    async def _strike_worker(self, item: FaultAt) -> None:
+    async def _inject_worker_fault(self, item: FaultAt) -> None:
         await asyncio.sleep(item.at_s)
         worker = self._workers[item.worker]
         if worker.fault is not None:
@@ -170,7 +172,7 @@
         if item.fault is WorkerFault.DRAIN:
             self._discovery.drain(worker)
             await asyncio.sleep(item.length_s)
-            self._discovery.take_back(worker)
+            self._discovery.end_drain(worker)
             return
         worker.fault = item.fault
         if item.fault is WorkerFault.DIE:
@@ -179,10 +181,10 @@
         if item.fault is WorkerFault.DIE:
             worker.boot_unix_s = time.time()
             await worker.start()
-            self._discovery.change(worker)
+            self._discovery.notify_change(worker)
         worker.fault = None
 
-    async def _strike_discovery(self, item: DiscoveryFaultAt) -> None:
+    async def _inject_discovery_fault(self, item: DiscoveryFaultAt) -> None:
         await asyncio.sleep(item.at_s)
         self._discovery.fault = item.fault
         await asyncio.sleep(item.length_s)
@@ -199,7 +201,7 @@
             self._attempts = self._attempts % 4 + 1
         elif reload is Reload.LOOSENED and not self._plan.durable and not self._loosened:
             self._loosened = True
-            self._seen.loosened_at = asyncio.get_running_loop().time()
+            self._observation.loosened_at = asyncio.get_running_loop().time()
         text = json.dumps(self._config())
         program.write_config(text[: len(text) // 2] if reload is Reload.BROKEN else text)
         program.send(signal.SIGHUP)
@@ -216,16 +218,16 @@
         for connection in opened:
             if not isinstance(connection, BaseException):
                 connection[1].close()
-        self._seen.crowded.append((begin, loop.time() + CROWD_TAIL_S))
+        self._observation.crowded.append((begin, loop.time() + CROWD_TAIL_S))
 
-    async def _hand_in(self) -> None:
+    async def _submit_deferred_jobs(self) -> None:
         """Deferred jobs, one after the other."""
         loop = asyncio.get_running_loop()
         for number in range(1_000):
             id_, job_class = f"d{number}", random.Random(number).choice(("peek", "file"))
-            if await hand_in(self._http, id_, job_class):
-                self._seen.acknowledged_jobs[id_] = loop.time()
-            await asyncio.sleep(HAND_IN_PAUSE_S)
+            if await submit_deferred_job(self._http, id_, job_class):
+                self._observation.acknowledged_jobs[id_] = loop.time()
+            await asyncio.sleep(SUBMISSION_PAUSE_S)
 
     async def _watch_lag(self) -> None:
         """How late this process's own loop is: where it is late, so are its records."""
@@ -233,7 +235,7 @@
         while True:
             due = loop.time() + LAG_CHECK_S
             await asyncio.sleep(LAG_CHECK_S)
-            self._seen.max_lag_s = max(self._seen.max_lag_s, loop.time() - due)
+            self._observation.max_lag_s = max(self._observation.max_lag_s, loop.time() - due)
 
     # ---- The end ----
 
@@ -278,18 +280,18 @@
         old.send(signal.SIGTERM)
         await old.wait_exit(self._kill_after_s())
         # Connections may be shut unread while the two share the address (DAYS).
-        self._seen.crowded.append((begin, loop.time()))
+        self._observation.crowded.append((begin, loop.time()))
         await self._terminate(new, clients, Ending.TERM)
 
-    async def _look_for_jobs(self) -> None:
+    async def _check_acknowledged_jobs(self) -> None:
         """Start the program again on its store: it has to know every job that was acknowledged."""
-        if not self._seen.acknowledged_jobs:
+        if not self._observation.acknowledged_jobs:
             return
         program = await self._start("after")
         await program.wait_ready(self._http, "/up")
-        for id_ in self._seen.acknowledged_jobs:
+        for id_ in self._observation.acknowledged_jobs:
             if await call(self._http, "GET", f"/jobs/{id_}") != 200:
-                self._seen.forgotten_jobs.append(id_)
+                self._observation.forgotten_jobs.append(id_)
         program.send(signal.SIGTERM)
         await program.wait_exit(RESULT_WAIT_S)
 
@@ -309,8 +311,8 @@
     """Play a plan and audit it."""
     with tempfile.TemporaryDirectory() as folder:
 
-        async def scene() -> Observation:
-            return await Run(plan, Path(folder)).play()
+        async def run_plan() -> Observation:
+            return await SoakRun(plan, Path(folder)).play()
 
-        seen = asyncio.run(scene())
-    return Verdict(plan, seen, audit(plan, seen))
+        observation = asyncio.run(run_plan())
+    return Verdict(plan, observation, audit(plan, observation))
--- a/benchmarks/soak/workers.py
+++ b/benchmarks/soak/workers.py
@@ -20,13 +20,13 @@
 class Worker:
     """One worker; `address` stays the same when it dies and comes back."""
 
-    def __init__(self, name: str, slots: int, seen: Observation, seed: int) -> None:
+    def __init__(self, name: str, slots: int, observation: Observation, seed: int) -> None:
         self.name = name
         self.address = ""
         self.boot_unix_s = 0.0
         self.fault: WorkerFault | None = None
         self._slots = asyncio.Semaphore(slots)
-        self._seen = seen
+        self._observation = observation
         self._random = Random(seed)
         self._port = 0
         self._server: asyncio.Server | None = None
@@ -70,15 +70,15 @@
         arrival = Arrival("", self.name, loop.time())
         head = (received + await reader.readuntil(HEAD_END)).decode("latin-1")
         arrival.id = _header(head, "Req-Id")
-        self._seen.arrivals.append(arrival)
+        self._observation.arrivals.append(arrival)
         closed = None
         try:
             await reader.readexactly(int(_header(head, "Content-Length") or 0))
-            arrival.whole_at = loop.time()
+            arrival.received_at = loop.time()
             closed = asyncio.ensure_future(self._watch(reader, arrival))
             await self._answer(arrival, writer)
         finally:
-            if arrival.whole_at is None or self.fault is WorkerFault.DIE:
+            if arrival.received_at is None or self.fault is WorkerFault.DIE:
                 arrival.ended_at = loop.time()
             if closed is not None:
                 await asyncio.wait({closed}, timeout=None if arrival.ended_at is None else 0)
--- a/benchmarks/standin.py
+++ b/benchmarks/stand_in_fleet.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class JobRun:
     """One job at a worker."""
 
     id: str
@@ -20,7 +20,9 @@
     ended: float
 
 
-async def discover(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ports: list[int]) -> None:
+async def serve_discovery(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ports: list[int]
+) -> None:
     """Discovery's side of a connection: workers on these ports, and nothing ever changes."""
     entry = {"az": "a", "model": "m", "state": "ready", "boot_ms": 0}
     targets = [{"uid": f"w{i}", "endpoint": f"127.0.0.1:{p}", **entry} for i, p in enumerate(ports)]
@@ -36,13 +38,13 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class StandInFleet:
     """Workers with slots, first come first served, and the list that names them."""
 
     workers: int
     slots: int
-    seconds: dict[str, float]  # how long a job of a class runs
-    runs: list[Run] = field(default_factory=list)
+    run_time_s: dict[str, float]  # how long a job of a class runs
+    runs: list[JobRun] = field(default_factory=list)
     most_waiting: int = 0
     _ports: list[int] = field(default_factory=list)
     _servers: list[asyncio.Server] = field(default_factory=list)
@@ -50,8 +52,10 @@
     async def start(self) -> str:
         """Begin to listen; returns discovery's address."""
         for _ in range(self.workers):
-            free = asyncio.Semaphore(self.slots)
-            self._ports.append(await self._listen(lambda r, w, free=free: self._work(r, w, free)))
+            slots_free = asyncio.Semaphore(self.slots)
+            self._ports.append(
+                await self._listen(lambda r, w, slots_free=slots_free: self._work(r, w, slots_free))
+            )
         return f"127.0.0.1:{await self._listen(self._discover)}"
 
     async def _listen(self, handler: object) -> int:
@@ -65,10 +69,10 @@
             server.close()
 
     async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await discover(reader, writer, self._ports)
+        await serve_discovery(reader, writer, self._ports)
 
     async def _work(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, free: asyncio.Semaphore
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, slots_free: asyncio.Semaphore
     ) -> None:
         try:
             head = (await reader.readuntil(HEAD_END)).decode("latin-1")
@@ -77,7 +81,7 @@
             id_ = (re.search(r"(?i)req-id: (\S+)", head) or ["", ""])[1]
             kind = (re.search(r"(?i)req-kind: (\S+)", head) or ["", ""])[1]
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n")
-            async with free:
+            async with slots_free:
                 if not writer.is_closing():
                     await self._run(id_, kind, writer)
         except (asyncio.IncompleteReadError, OSError):
@@ -88,14 +92,14 @@
     async def _run(self, id_: str, kind: str, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        _line(writer, {"id": id_, "state": "started"})
-        await asyncio.sleep(self.seconds[kind])
-        self.runs.append(Run(id_, kind, began, loop.time()))
-        _line(writer, {"id": id_, "state": "done", "result": "made"})
+        _write_line(writer, {"id": id_, "state": "started"})
+        await asyncio.sleep(self.run_time_s[kind])
+        self.runs.append(JobRun(id_, kind, began, loop.time()))
+        _write_line(writer, {"id": id_, "state": "done", "result": "made"})
         writer.write(b"0\r\n\r\n")
         await writer.drain()
 
 
-def _line(writer: asyncio.StreamWriter, event: dict[str, str]) -> None:
+def _write_line(writer: asyncio.StreamWriter, event: dict[str, str]) -> None:
     data = json.dumps(event).encode() + b"\n"
     writer.write(b"%x\r\n%s\r\n" % (len(data), data))
--- a/benchmarks/waiting_flood.py
+++ b/benchmarks/waiting_flood.py
@@ -21,8 +21,8 @@
 
 from oxbowyard.waiting.settings import WaitingSettings
 
-from .standin import Fleet
-from .started import daemon
+from .daemon_process import run_daemon
+from .stand_in_fleet import StandInFleet
 
 WORKERS, SLOTS = 4, 4
 SECONDS = {"label-check": 0.1, "accession": 0.4, "preview": 0.2}
@@ -112,13 +112,13 @@
         await asyncio.sleep(PAIRS_EVERY)
 
 
-async def run(aged: bool, seconds: float) -> tuple[Tally, Fleet, float, str]:
+async def run(aged: bool, seconds: float) -> tuple[Tally, StandInFleet, float, str]:
     """One flood; the fleet's clock is that of the waits."""
-    fleet, tally = Fleet(WORKERS, SLOTS, SECONDS), Tally()
+    fleet, tally = StandInFleet(WORKERS, SLOTS, SECONDS), Tally()
     discovery = await fleet.start()
-    with daemon(operator(aged), discovery) as started:
-        url = "http://{}:{}".format(*started.address("http"))
-        await asyncio.to_thread(started.wait_for, "-> serving")
+    with run_daemon(operator(aged), discovery) as process:
+        url = "http://{}:{}".format(*process.address("http"))
+        await asyncio.to_thread(process.wait_for, "-> serving")
         connector = aiohttp.TCPConnector(limit=350)  # the daemon's share of descriptors for requests
         async with aiohttp.ClientSession(connector=connector) as session:
             loop = asyncio.get_running_loop()
@@ -130,12 +130,14 @@
                 previews(session, url, seconds / 3, tally),
                 pairs(session, url, until, tally),
             )
-        last = await asyncio.to_thread(started.last)
+        last = await asyncio.to_thread(process.stop_and_read_summary)
     fleet.close()
     return tally, fleet, start, last
 
 
-def report(aged: bool, tally: Tally, fleet: Fleet, seconds: float, start: float) -> list[tuple[float, float]]:
+def report(
+    aged: bool, tally: Tally, fleet: StandInFleet, seconds: float, start: float
+) -> list[tuple[float, float]]:
     """Print the figures; returns each preview's hand-in time and wait."""
     began: dict[str, float] = {}
     ended: dict[str, float] = {}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -81,7 +81,7 @@
         group, random = settled(8, seed), Random(seed)
         incarnations: dict[tuple[str, str, int], int] = {}
         troubled: set[str] = set()
-        group.reads_first = random.random() < 0.5
+        group.reads_sockets_first = random.random() < 0.5
 
         def check(
             node: Node, event: NotifyMemberEvent, seed: int = seed, troubled: set[str] = troubled
@@ -89,16 +89,19 @@
             if event.kind is MemberEventKind.DIED:
                 assert event.name in troubled, f"seed {seed}: {event.name} was thought dead at {node.name}"
 
-        group.watch = check
+        group.on_event = check
         for _ in range(4):
-            group.link.loss, group.link.doubled = random.choice((0.0, 0.1, 0.2)), random.choice((0.0, 0.3))
+            group.link.loss, group.link.duplication = (
+                random.choice((0.0, 0.1, 0.2)),
+                random.choice((0.0, 0.3)),
+            )
             name, kind = random.choice(sorted(group.nodes)), random.choice(("kill", "stop", "cut", "restart"))
             if kind == "cut":
                 other = random.choice(sorted(set(group.nodes) - {name}))
                 group.cut(name, other, both=False)
             elif kind == "stop":
                 troubled.add(name)
-                group.stop(name, random.choice((0.5, 5.0, 12.0)))
+                group.pause(name, random.choice((0.5, 5.0, 12.0)))
             elif len(group.nodes) > 4:
                 troubled.add(name)
                 gone = group.kill(name)
@@ -112,7 +115,7 @@
                     key = node.name, member.record.name, member.record.run_id
                     assert member.record.incarnation >= incarnations.get(key, 0), f"seed {seed}: {key}"
                     incarnations[key] = member.record.incarnation
-        group.link.loss = group.link.doubled = 0.0
+        group.link.loss = group.link.duplication = 0.0
         group.cuts.clear()
         group.run(group.now + 90)
         assert met(group), f"seed {seed}: not met 90 s after the last fault"
@@ -128,8 +131,8 @@
 ) -> None:
     """Half a second is a loop held up as well; it may read its sockets before its timers, or after."""
     group = settled()
-    group.reads_first = reads_first
-    group.stop("m3", seconds)
+    group.reads_sockets_first = reads_first
+    group.pause("m3", seconds)
     group.run(SETTLE + seconds - 0.1)
     if dies is not None:
         assert (deaths(group) == {"m3"}) is dies
@@ -253,7 +256,7 @@
 def test_other_facts_reach_everybody() -> None:
     group = settled()
     node = group.nodes["m1"]
-    group.hand(node, FactsChanged({"open_jobs": 7.0}))
+    group.dispatch(node, FactsChanged({"open_jobs": 7.0}))
     group.run(SETTLE + 10)
     views = [n.protocol.members.by_name["m1"].record.facts for n in group.nodes.values() if n.name != "m1"]
     assert views == [{"open_jobs": 7.0}] * 7
--- a/tests/test_membership_histories.py
+++ b/tests/test_membership_histories.py
@@ -60,10 +60,10 @@
         self.steps = 0
         super().__init__(size, seed, settings)
 
-    def _carry_out(self, node: Node, instructions: list[Instruction]) -> None:
+    def _execute(self, node: Node, instructions: list[Instruction]) -> None:
         for instruction in instructions:
             self._record(f"{self.now!r} {node.name} {_line(instruction)}")
-        super()._carry_out(node, instructions)
+        super()._execute(node, instructions)
         protocol = node.protocol
         self._record(f"{node.name} due {protocol.due_at!r} health {protocol.health_score}")
 
@@ -95,15 +95,15 @@
     group, random = RecordedGroup(size, seed, settings), Random(seed)
     group.run(15.0)
     for turn in range(8):
-        group.reads_first = random.random() < 0.5
-        group.link.loss, group.link.doubled = random.choice((0.0, 0.1, 0.3)), random.choice((0.0, 0.3))
+        group.reads_sockets_first = random.random() < 0.5
+        group.link.loss, group.link.duplication = random.choice((0.0, 0.1, 0.3)), random.choice((0.0, 0.3))
         name, other = random.sample(sorted(group.nodes), 2)
-        group.hand(group.nodes[name], FactsChanged({"state": 1.0, "held": float(turn)}))
+        group.dispatch(group.nodes[name], FactsChanged({"state": 1.0, "held": float(turn)}))
         group.write(name, EntryWritten(f"bar:w{turn}", 0.0, 6.0, is_urgent=True))
         group.write(other, EntryWritten("out:w1", float(turn % 2), 1e6, True, is_urgent=turn % 3 > 0))
         match turn % 6:
             case 0:
-                group.stop(name, random.choice((0.5, 5.0, 12.0)))
+                group.pause(name, random.choice((0.5, 5.0, 12.0)))
             case 1:
                 group.cut(name, other, both=False)
             case 2:
@@ -122,7 +122,7 @@
                 group.cuts.clear()
                 group.leave(name)
         group.run(group.now + random.uniform(3.0, 12.0))
-    group.link.loss = group.link.doubled = 0.0
+    group.link.loss = group.link.duplication = 0.0
     group.cuts.clear()
     group.run(group.now + 30.0)
     events = {code: len(list(group.events(kind))) for kind, code in EVENT_CODES.items()}
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -17,8 +17,8 @@
 import pytest
 
 from benchmarks.faults.loops import LoopThread
-from benchmarks.faults.processes import DOORS, ROOT, Fleet, Member, fleet, free_port, until
-from benchmarks.standin import Fleet as Workers
+from benchmarks.faults.processes import ADMIN_HOST, ROOT, Fleet, Member, fleet, free_port, wait_until
+from benchmarks.stand_in_fleet import StandInFleet
 from oxbowyard.membership.messages import Ack, Header, MemberRecord, MemberState, Ping, decode, encode
 from oxbowyard.membership.tcp_transport import FRAME_LENGTH
 
@@ -31,44 +31,44 @@
 def workers() -> Iterator[str]:
     """Discovery's address; its workers serve at once."""
     loop = LoopThread()
-    made = Workers(4, 8, {"preview": 0.01, "label-check": 0.01, "accession": 0.01})
-    discovery = loop.run(made.start())
-    made._ports.append(free_port("127.0.0.1"))  # w4: nobody listens there
+    stand_ins = StandInFleet(4, 8, {"preview": 0.01, "label-check": 0.01, "accession": 0.01})
+    discovery = loop.run(stand_ins.start())
+    stand_ins._ports.append(free_port("127.0.0.1"))  # w4: nobody listens there
     yield discovery
-    loop.call(made.close)
+    loop.call(stand_ins.close)
     loop.close()
 
 
-def started(made: Fleet, size: int, zones: int = 1) -> list[Member]:
-    members = made.add(size, zones)
+def started(group: Fleet, size: int, zones: int = 1) -> list[Member]:
+    members = group.add(size, zones)
     for member in members:
         member.start()
-    until(made.met, "all have met")
+    wait_until(group.has_converged, "all have met")
     return members
 
 
 def all_see(members: list[Member], state: str, name: str) -> bool:
-    return all(name in m.sees(state) for m in members if m.name != name)
+    return all(name in m.names_in_state(state) for m in members if m.name != name)
 
 
-def logs(made: Fleet) -> str:
-    return "\n".join(f"--- {m.name}\n{m.log()}" for m in made)
+def logs(group: Fleet) -> str:
+    return "\n".join(f"--- {m.name}\n{m.log()}" for m in group)
 
 
 def test_a_death_a_return_and_a_leave_are_seen_by_all(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        first, *rest = started(made, 5, zones=2)
+    with fleet(tmp_path, NOWHERE) as group:
+        first, *rest = started(group, 5, zones=2)
         first.kill()
-        until(lambda: all_see(rest, "dead", "m0"), "the death is known")
+        wait_until(lambda: all_see(rest, "dead", "m0"), "the death is known")
         assert rest[0].view()["count"] == {"reckoned": 5, "live": 4, "in_doubt": 1, "configured": 1}
         first.start()
-        until(made.met, "it is back under its name")
+        wait_until(group.has_converged, "it is back under its name")
         assert rest[0].view()["count"]["in_doubt"] == 0
-        assert first.leave() == 0
-        until(lambda: all_see(rest, "left", "m0"), "the leave is known")
+        assert first.terminate() == 0
+        wait_until(lambda: all_see(rest, "left", "m0"), "the leave is known")
         assert "member died: name=m0" not in rest[0].log().rpartition("member returned: name=m0")[2]
-        until(lambda: all(m.view()["count"]["reckoned"] == 4 for m in rest), "who left does not count")
-        shown = command("--door", f"{DOORS}:{rest[0].door}")
+        wait_until(lambda: all(m.view()["count"]["reckoned"] == 4 for m in rest), "who left does not count")
+        shown = command("--door", f"{ADMIN_HOST}:{rest[0].admin_port}")
         assert "reckons with 4 schedulers, 4 live, 0 in doubt" in shown.stdout
         table = shown.stdout.partition("\n\n")[2]  # before it there may be more, as of a datagram dropped
         rows = {line.split()[0]: line.split() for line in table.splitlines()}
@@ -76,120 +76,120 @@
         assert rows["m0"][3] == "left" and list(rows) == ["NAME", "m1", "m0", "m2", "m3", "m4"]
         by_file = command("--config", str(rest[0].folder / "config.json"), "--json")
         assert json.loads(by_file.stdout)["me"]["name"] == "m1"
-        none = command("--door", f"{DOORS}:{first.door}")
+        none = command("--door", f"{ADMIN_HOST}:{first.admin_port}")
         assert none.returncode == 1 and "does not answer" in none.stderr
         assert command("--door", "here").returncode == 1
 
 
 def test_one_that_was_stopped_says_so_refutes_and_thinks_nobody_dead(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        stopped, *rest = started(made, 5)
-        stopped.stop()
-        until(lambda: all_see(rest, "dead", "m0"), "it is taken for dead")
-        stopped.go_on()
-        until(made.met, "it is back")
+    with fleet(tmp_path, NOWHERE) as group:
+        stopped, *rest = started(group, 5)
+        stopped.pause()
+        wait_until(lambda: all_see(rest, "dead", "m0"), "it is taken for dead")
+        stopped.resume()
+        wait_until(group.has_converged, "it is back")
         assert "member refuted: name=m0" in stopped.log() and "member stalled: name=m0" in stopped.log()
-        assert "died" not in stopped.log(), logs(made)
+        assert "died" not in stopped.log(), logs(group)
 
 
 def test_one_that_gets_a_tenth_of_its_time_thinks_nobody_dead(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        slow, *rest = started(made, 5)
+    with fleet(tmp_path, NOWHERE) as group:
+        slow, *rest = started(group, 5)
         end = time.monotonic() + 6.0
         while time.monotonic() < end:
-            slow.stop()
+            slow.pause()
             time.sleep(0.18)
-            slow.go_on()
+            slow.resume()
             time.sleep(0.02)
-        until(made.met, "all is as before")
-        assert "died" not in slow.log(), logs(made)
-        assert all(f"member died: name=m{i}" not in m.log() for m in rest for i in range(1, 5)), logs(made)
+        wait_until(group.has_converged, "all is as before")
+        assert "died" not in slow.log(), logs(group)
+        assert all(f"member died: name=m{i}" not in m.log() for m in rest for i in range(1, 5)), logs(group)
 
 
 def test_with_a_third_lost_doubled_and_out_of_order_nobody_dies(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        members = started(made, 6)
-        made.relay.set(loss=0.3, doubled=0.3, least=0.0, most=0.08)
+    with fleet(tmp_path, NOWHERE) as group:
+        members = started(group, 6)
+        group.relay.set_fault(loss=0.3, duplication=0.3, min_delay_s=0.0, max_delay_s=0.08)
         time.sleep(8.0)
-        assert made.relay.relay.counts["lost"] > 100, "the relay does what it is told"
-        made.relay.heal()
-        until(made.met, "all is as before")
-        assert not any("died" in m.log() for m in members), logs(made)
+        assert group.relay.relay.counts["lost"] > 100, "the relay does what it is told"
+        group.relay.heal()
+        wait_until(group.has_converged, "all is as before")
+        assert not any("died" in m.log() for m in members), logs(group)
 
 
 def test_a_cut_in_one_direction_kills_nobody_whom_others_reach(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        members = started(made, 5)
-        made.relay.set("m0", "m1", cut=True)
-        made.relay.set("m2", "m3", cut=True)
+    with fleet(tmp_path, NOWHERE) as group:
+        members = started(group, 5)
+        group.relay.set_fault("m0", "m1", is_cut=True)
+        group.relay.set_fault("m2", "m3", is_cut=True)
         time.sleep(6.0)
-        assert made.met() and not any("died" in m.log() for m in members), logs(made)
-        made.relay.heal()
-        made.relay.set("m4", "*", cut=True)  # all hear nothing of it, and it hears all
-        until(lambda: all_see(members[:4], "dead", "m4"), "one that nobody hears is taken for dead")
-        made.relay.heal()
-        until(made.met, "it is back")
+        assert group.has_converged() and not any("died" in m.log() for m in members), logs(group)
+        group.relay.heal()
+        group.relay.set_fault("m4", "*", is_cut=True)  # all hear nothing of it, and it hears all
+        wait_until(lambda: all_see(members[:4], "dead", "m4"), "one that nobody hears is taken for dead")
+        group.relay.heal()
+        wait_until(group.has_converged, "it is back")
 
 
 def test_a_cut_between_zones_keeps_the_count_and_heals(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE, doubt_s=3.0, forget_s=1.0) as made:
-        members = started(made, 6, zones=2)
+    with fleet(tmp_path, NOWHERE, doubt_s=3.0, forget_s=1.0) as group:
+        members = started(group, 6, zones=2)
         sides = [[m for m in members if m.zone == zone] for zone in ("z0", "z1")]
         for one in sides[0]:
             for other in sides[1]:
-                made.relay.set(one.name, other.name, cut=True)
-                made.relay.set(other.name, one.name, cut=True)
+                group.relay.set_fault(one.name, other.name, is_cut=True)
+                group.relay.set_fault(other.name, one.name, is_cut=True)
 
         def apart() -> bool:
             return all(m.view()["count"]["live"] == 3 for m in members)
 
-        until(apart, "each side is by itself")
+        wait_until(apart, "each side is by itself")
         time.sleep(8.5)  # longer than the dead are kept, and than one that died alone counts (7.5 s)
         for member in members:
             count = member.view()["count"]
             assert count["reckoned"] == 6 and count["live"] == 3, "in doubt the larger number"
-        made.relay.heal()
-        until(made.met, "the sides have met again", 90)
-        until(lambda: all(m.view()["count"]["in_doubt"] == 0 for m in members), "no doubt is left")
+        group.relay.heal()
+        wait_until(group.has_converged, "the sides have met again", 90)
+        wait_until(lambda: all(m.view()["count"]["in_doubt"] == 0 for m in members), "no doubt is left")
 
 
 def test_a_drain_told_to_one_stops_new_work_at_all_and_the_later_word_holds(
     tmp_path: Path, workers: str
 ) -> None:
-    with fleet(tmp_path, CONFIG | {"discovery": workers}) as made:
-        members = started(made, 5)
-        until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
-        made.relay.set(loss=0.3)
+    with fleet(tmp_path, CONFIG | {"discovery": workers}) as group:
+        members = started(group, 5)
+        wait_until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
+        group.relay.set_fault(loss=0.3)
 
         def outs() -> list[int]:
             told = [json.loads(m.call("GET", "/control/counters")[1]) for m in members]
             return [figures["out_of_rotation"] for figures in told]
 
         assert members[2].call("PUT", "/control/scan-workers/w1/offline")[0] == 200
-        until(lambda: outs() == [1] * 5, "all have drained it")
+        wait_until(lambda: outs() == [1] * 5, "all have drained it")
         times = [re.search(r"(\S+ \S+) .*endpoint cordoned: uid=w1\b", m.log()) for m in members]
         stamps = [datetime.strptime(m[1], "%Y-%m-%d %H:%M:%S,%f") for m in times if m]
         assert len(stamps) == 5 and (max(stamps) - min(stamps)).total_seconds() < 1.0
         members[3].kill()
         members[3].start()
-        until(lambda: members[3].call("GET", "/control/ready")[0] == 200, "it is back")
-        until(lambda: outs() == [1] * 5, "one that begins later drains it too")
+        wait_until(lambda: members[3].call("GET", "/control/ready")[0] == 200, "it is back")
+        wait_until(lambda: outs() == [1] * 5, "one that begins later drains it too")
         members[3].kill()  # its file says that w1 is out
         assert members[4].call("PUT", "/control/scan-workers/w1/online")[0] == 200
         members[3].start()
-        until(lambda: members[3].call("GET", "/control/ready")[0] == 200, "it is back")
-        until(lambda: outs() == [0] * 5, "all have it back, one that missed the word too")
+        wait_until(lambda: members[3].call("GET", "/control/ready")[0] == 200, "it is back")
+        wait_until(lambda: outs() == [0] * 5, "all have it back, one that missed the word too")
 
 
 def test_two_of_one_name_both_say_so_and_a_taken_address_is_waited_for(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE) as made:
-        first, *rest = started(made, 4)
-        (second,) = made.add(1)
+    with fleet(tmp_path, NOWHERE) as group:
+        first, *rest = started(group, 4)
+        (second,) = group.add(1)
         second.name = "m0"
-        made.write(second, advertise=f"{second.host}:{second.port}")
+        group.write_config_files(second, advertise=f"{second.host}:{second.port}")
         second.start()
         said = "member name_conflict: name=m0"
-        until(lambda: said in first.log() and said in second.log(), "both say so")
+        wait_until(lambda: said in first.log() and said in second.log(), "both say so")
         assert all(m.states()["m0"] == "alive" for m in rest)
         address = first.view()["me"]["address"]
         for member in rest:
@@ -201,14 +201,14 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind((rest[0].host, rest[0].port))
             rest[0].start()
-            until(lambda: "membership address in use" in rest[0].log(), "it says so")
-            until(lambda: rest[0].view().get("me", {}).get("bound") is False, "and serves without")
-        until(lambda: {"m0", "m2", "m3"} <= rest[0].sees("alive"), "it has joined")
+            wait_until(lambda: "membership address in use" in rest[0].log(), "it says so")
+            wait_until(lambda: rest[0].view().get("me", {}).get("bound") is False, "and serves without")
+        wait_until(lambda: {"m0", "m2", "m3"} <= rest[0].names_in_state("alive"), "it has joined")
 
 
 def test_a_flood_and_nonsense_are_dropped_and_bounded_and_the_others_stay(tmp_path: Path) -> None:
-    with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as made:
-        first, *_ = started(made, 4)
+    with fleet(tmp_path, NOWHERE, max_datagrams_s=400) as group:
+        first, *_ = started(group, 4)
         header = Header(1, GROUP, "x", 1, "127.0.0.1:9")
         junk = [
             b"", b"\xc1" * 100, b"x" * 1500, encode(Ping(Header(1, "other", "x", 1, "a:1"), 1, "m0"))[:-3],
@@ -232,20 +232,20 @@
                 for data in junk * 20:
                     flood.sendto(data, (first.host, first.port))
                 time.sleep(0.002)
-        until(made.met, "all is as before")
+        wait_until(group.has_converged, "all is as before")
         dropped = first.view()["dropped"]
         assert dropped["datagram unreadable"] > 10 and dropped["datagram foreign"] > 10
         assert dropped["stream unreadable"] == 1 and dropped["stream foreign"] == 1
         assert dropped["datagram absurd claim"] > 10 and dropped["rests for a flood"] > 10
         assert rss(first) - before < 8 << 20
-        assert not any("died" in m.log() for m in made if m is not first), logs(made)
+        assert not any("died" in m.log() for m in group if m is not first), logs(group)
 
 
 def test_a_worker_that_one_finds_barred_is_spared_by_the_others(tmp_path: Path, workers: str) -> None:
     """Nobody listens where w4 is: the first fetch finds it out at one scheduler, the others hear of it."""
-    with fleet(tmp_path, CONFIG | {"discovery": workers}) as made:
-        members = started(made, 3)
-        until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
+    with fleet(tmp_path, CONFIG | {"discovery": workers}) as group:
+        members = started(group, 3)
+        wait_until(lambda: all(m.call("GET", "/control/ready")[0] == 200 for m in members), "all serve")
         listens = re.search(r"http listens on 127.0.0.1:(\d+)", members[0].log())
         assert listens
         for number in range(300):
@@ -253,7 +253,7 @@
             spared = {w for m in members[1:] for w in m.view()["spared"]}
             if spared:
                 break
-        assert spared == {"w4"}, logs(made)
+        assert spared == {"w4"}, logs(group)
 
 
 # ---- Helpers ----
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,12 +11,12 @@
 from benchmarks.soak.__main__ import verdict_line
 from benchmarks.soak.audit import audit
 from benchmarks.soak.clients import Client
-from benchmarks.soak.plan import Plan, Semantics, draw
+from benchmarks.soak.plan import Plan, Semantics, draw_plan
 from benchmarks.soak.records import Arrival, Drain, Exchange, Observation, Process
 from benchmarks.soak.run import Verdict, play
 
 SEEDS = (1, 2, 3, 4)
-PLAN = draw(1)
+PLAN = draw_plan(1)
 
 
 def named(semantics: Semantics) -> str:
@@ -49,14 +49,14 @@
 def second_run(semantics: Semantics, after_s: float) -> Callable[[Observation], None]:
     def plant(seen: Observation) -> None:
         _, arrival = of(seen, semantics)
-        assert arrival.whole_at is not None
+        assert arrival.received_at is not None
         seen.arrivals.append(
             replace(
                 arrival,
                 worker="w2",
                 first_byte_at=arrival.first_byte_at + after_s,
-                whole_at=arrival.whole_at + after_s,
-                ended_at=arrival.whole_at + after_s + 0.1,
+                received_at=arrival.received_at + after_s,
+                ended_at=arrival.received_at + after_s + 0.1,
                 closed_at=None,
             )
         )
@@ -109,7 +109,7 @@
 
 
 def sends_to_a_draining_worker(seen: Observation) -> None:
-    seen.drains.append(Drain("w1", binds_at=99.0, until=105.0))
+    seen.drains.append(Drain("w1", enforced_from=99.0, until=105.0))
 
 
 def crashes(seen: Observation) -> None:
@@ -245,8 +245,8 @@
 
 
 def test_a_seed_draws_one_plan_and_others_draw_others() -> None:
-    assert draw(7) == draw(7)
-    plans = [draw(seed) for seed in range(40)]
+    assert draw_plan(7) == draw_plan(7)
+    plans = [draw_plan(seed) for seed in range(40)]
     assert len({plan.ending for plan in plans}) == 6
     assert any(plan.durable for plan in plans) and any(plan.membership for plan in plans)
     assert any(plan.crowd for plan in plans) and any(len(plan.reloads) == 3 for plan in plans)
@@ -262,6 +262,6 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_seed_keeps_all_rules(seed: int) -> None:
-    verdict = play(draw(seed))
-    assert verdict.violations == [], "\n".join(process.log for process in verdict.seen.processes)
-    assert len(verdict.seen.exchanges) > 50
+    verdict = play(draw_plan(seed))
+    assert verdict.violations == [], "\n".join(process.log for process in verdict.observation.processes)
+    assert len(verdict.observation.exchanges) > 50
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, until
-from benchmarks.faults.service import Service, ServiceThread, workers
+from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, wait_until
+from benchmarks.faults.service import ListService, ListServiceThread, worker_entries
 from oxbowyard.start.component import StartComponent
 from oxbowyard.start.dependencies import ServiceList, StartDependencies
 from oxbowyard.start.fetch_admission import FetchAdmission, rank, round_start_s
@@ -38,7 +38,7 @@
 
 
 def one(source: Source, age: float) -> Snapshot:
-    return parse_snapshot(source, age, {"rev": 1, "targets": workers(2)}, 10)
+    return parse_snapshot(source, age, {"rev": 1, "targets": worker_entries(2)}, 10)
 
 
 # ---- Lists ----
@@ -61,11 +61,12 @@
 
 @pytest.mark.parametrize(("document", "why"), [
     (None, "no list"), ([], "no list"), ({"rev": "1", "targets": []}, "absurd version"),
-    ({"rev": -1, "targets": workers(1)}, "absurd version"), ({"rev": True, "targets": []}, "absurd version"),
-    ({"rev": 1 << 70, "targets": workers(1)}, "absurd version"),
+    ({"rev": -1, "targets": worker_entries(1)}, "absurd version"),
+    ({"rev": True, "targets": []}, "absurd version"),
+    ({"rev": 1 << 70, "targets": worker_entries(1)}, "absurd version"),
     ({"rev": 1, "targets": "x"}, "no list of targets"), ({"rev": 1, "targets": [1]}, "no list of targets"),
-    ({"rev": 1, "targets": []}, "empty"), ({"rev": 1, "targets": workers(11)}, "11 entries, over 10"),
-    ({"rev": 1, "targets": workers(2) + workers(1)}, "named twice"),
+    ({"rev": 1, "targets": []}, "empty"), ({"rev": 1, "targets": worker_entries(11)}, "11 entries, over 10"),
+    ({"rev": 1, "targets": worker_entries(2) + worker_entries(1)}, "named twice"),
     ({"rev": 1, "targets": [{}]}, "not at all"),
 ])  # fmt: skip
 def test_what_is_no_list_is_told_in_a_few_words(document: object, why: str) -> None:
@@ -82,16 +83,16 @@
 
 def test_what_is_written_is_read_with_its_age(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(3))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(3))
     found = kept(path)
     assert (found.age_s, found.revision, len(found.targets), found.source) == (100.0, 7, 3, Source.DISK)
-    write_snapshot(path, "a", 990.0, 8, workers(2))
+    write_snapshot(path, "a", 990.0, 8, worker_entries(2))
     assert kept(path).revision == 8 and os.listdir(tmp_path) == ["list"]
 
 
 def test_every_single_byte_that_is_wrong_or_missing_is_noticed(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(2))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(2))
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
@@ -108,7 +109,7 @@
         (900.0, "b", 2, "another site"), (1100.0, "a", 2, "from the future"), (900.0, "a", 0, "empty"),
         (900.0 - DAY, "a", 2, "86500 s old"), (900.0, "a", 11, "over 10"), (math.nan, "a", 2, "damaged"),
     ):  # fmt: skip
-        write_snapshot(path, site, told_at, 7, workers(count))
+        write_snapshot(path, site, told_at, 7, worker_entries(count))
         with pytest.raises(UnusableSnapshot, match=why):
             kept(path)
     with pytest.raises(UnusableSnapshot, match="not there"):
@@ -122,14 +123,14 @@
 
 def test_a_write_that_fails_leaves_the_one_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(2))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(2))
 
     def full(number: int) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
-        write_snapshot(path, "a", 950.0, 8, workers(2))
+        write_snapshot(path, "a", 950.0, 8, worker_entries(2))
     assert kept(path).revision == 7 and os.listdir(tmp_path) == ["list"]
 
 
@@ -170,21 +171,21 @@
 
 
 @pytest.fixture
-def service() -> Iterator[ServiceThread]:
-    made = ServiceThread(Service(workers(12)))
-    yield made
-    made.close()
+def service() -> Iterator[ListServiceThread]:
+    thread = ListServiceThread(ListService(worker_entries(12)))
+    yield thread
+    thread.close()
 
 
 @contextmanager
-def group(tmp_path: Path, service: ServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
+def group(tmp_path: Path, service: ListServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
     """Processes with [start] and [membership], not started yet."""
     config = CONFIG | {"discovery": service.address, "settings": ASKED | {"siblings": size}}
-    with fleet(tmp_path, config) as made:
-        made.tables["start"] = {"keep_every_s": 0.3, **start}
-        made.kept = True
-        made.add(size)
-        yield made
+    with fleet(tmp_path, config) as processes:
+        processes.other_tables["start"] = {"keep_every_s": 0.3, **start}
+        processes.stores_snapshots = True
+        processes.add(size)
+        yield processes
 
 
 def kept_rev(member: Member) -> int:
@@ -208,58 +209,58 @@
     return all("list service answered" in m.log() for m in members)
 
 
-def test_many_at_once_ask_for_few_whole_lists(tmp_path: Path, service: ServiceThread) -> None:
-    with group(tmp_path, service, 14) as made:
-        members = list(made)
+def test_many_at_once_ask_for_few_whole_lists(tmp_path: Path, service: ListServiceThread) -> None:
+    with group(tmp_path, service, 14) as processes:
+        members = list(processes)
         for member in members:
             member.start()
-        until(lambda: members[0].call("PUT", "/control/scan-workers/w1/offline")[0] == 200, "it is told")
-        until(lambda: told(members) and ready(members), "all have the service's list")
-        until(lambda: figures(members, "out_of_rotation") == {1}, "a drain told meanwhile holds at all")
+        wait_until(lambda: members[0].call("PUT", "/control/scan-workers/w1/offline")[0] == 200, "it is told")
+        wait_until(lambda: told(members) and ready(members), "all have the service's list")
+        wait_until(lambda: figures(members, "out_of_rotation") == {1}, "a drain told meanwhile holds at all")
         assert service.service.count("whole") <= 4
         assert service.service.count("refused") == 0
         assert any("serving a cached list: source=peer" in m.log() for m in members)
 
 
 def test_with_the_service_down_all_serve_from_their_disks_until_it_speaks(
-    tmp_path: Path, service: ServiceThread
+    tmp_path: Path, service: ListServiceThread
 ) -> None:
-    with group(tmp_path, service, 6) as made:
-        members = list(made)
-        service.service.down = True
+    with group(tmp_path, service, 6) as processes:
+        members = list(processes)
+        service.service.is_down = True
         for number, member in enumerate(members):
             site = "other" if number == 5 else "default"
-            write_snapshot(member.folder / "list", site, time.time() - 300.0, 3, workers(9))
+            write_snapshot(member.folder / "list", site, time.time() - 300.0, 3, worker_entries(9))
             member.start()
-        until(lambda: ready(members[:5]), "those with a list of their site serve")
+        wait_until(lambda: ready(members[:5]), "those with a list of their site serve")
         said = r"serving a cached list: source=disk origin=list age_s=3\d\d workers=9 all_cold=yes"
         assert re.search(said, members[0].log()), members[0].log()
-        until(lambda: "of another site" in members[5].log(), "the one with another site's list says so")
-        answered = until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
+        wait_until(lambda: "of another site" in members[5].log(), "the one with another site's list says so")
+        answered = wait_until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
         assert answered == 503, "it has no list to serve from"
-        service.service.down = False
-        until(lambda: told(members) and ready(members), "the service's list is everywhere", 60)
+        service.service.is_down = False
+        wait_until(lambda: told(members) and ready(members), "the service's list is everywhere", 60)
         assert figures(members, "registry_entries") == {12}, "it replaced the old ones"
-        until(lambda: all(kept_rev(m) == 10 for m in members), "and is kept")
+        wait_until(lambda: all(kept_rev(m) == 10 for m in members), "and is kept")
 
 
 def test_answers_cut_short_and_a_disk_that_takes_nothing_do_no_harm(
-    tmp_path: Path, service: ServiceThread
+    tmp_path: Path, service: ListServiceThread
 ) -> None:
-    service.service.cut_short = True
-    with group(tmp_path, service, 3) as made:
-        members = list(made)
-        made.tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
+    service.service.truncates_answers = True
+    with group(tmp_path, service, 3) as processes:
+        members = list(processes)
+        processes.other_tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
         for member in members:
-            made.write(member)
+            processes.write_config_files(member)
             member.start()
-        until(lambda: any("discovery unavailable" in m.log() for m in members), "it was asked")
+        wait_until(lambda: any("discovery unavailable" in m.log() for m in members), "it was asked")
         assert not any(ready([m]) for m in members)
-        service.service.cut_short = False
-        until(lambda: told(members) and ready(members), "all serve")
-        until(lambda: all("cached list cannot be written" in m.log() for m in members), "it is said")
-        service.tell(targets=workers(13))
-        until(lambda: figures(members, "registry_entries") == {13}, "a change is taken")
+        service.service.truncates_answers = False
+        wait_until(lambda: told(members) and ready(members), "all serve")
+        wait_until(lambda: all("cached list cannot be written" in m.log() for m in members), "it is said")
+        service.publish(targets=worker_entries(13))
+        wait_until(lambda: figures(members, "registry_entries") == {13}, "a change is taken")
         assert all(m.log().count("cached list cannot be written") == 1 for m in members)
 
 
@@ -290,12 +291,12 @@
 
 
 def body(rev: int, age: object, count: int = 2, site: str = "default") -> bytes:
-    return json.dumps({"rev": rev, "targets": workers(count), "age": age, "site": site}).encode()
+    return json.dumps({"rev": rev, "targets": worker_entries(count), "age": age, "site": site}).encode()
 
 
 def test_a_peers_list_is_an_aged_one_and_a_young_one_admits() -> None:
     async def play() -> None:
-        desk = Desk({"rev": 2, "targets": workers(2)}, fresh_s=60.0, same_service_s=600.0)
+        desk = Desk({"rev": 2, "targets": worker_entries(2)}, fresh_s=60.0, same_service_s=600.0)
         desk.component._served.adopt_best()
         assert desk.adopted == [(2, True, False)], "of unknown age: cold, and nothing newer is asked for"
         desk.component._receive("m1", body(5, 5000.0))
@@ -333,12 +334,12 @@
 def test_only_what_the_service_told_is_given_to_peers_with_its_age() -> None:
     async def play() -> None:
         desk = Desk()
-        desk.list = ServiceList(7, workers(3))
+        desk.list = ServiceList(7, worker_entries(3))
         assert desk.component._answer_peer() is None, "an aged list is not handed on: its age would get lost"
         desk.component.service_answered()
         given = json.loads(desk.component._answer_peer() or b"")
         assert given["rev"] == 7 and 0 <= given["age"] < 1.0 and len(given["targets"]) == 3
-        desk.list = ServiceList(8, workers(99999))
+        desk.list = ServiceList(8, worker_entries(99999))
         assert desk.component._answer_peer() is None
 
     asyncio.run(play())
