--- a/benchmarks/faults/__init__.py
+++ b/benchmarks/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between members, for tests and benchmarks: a network in virtual time."""
+"""Fault injection for tests and benchmarks: networks with loss, delay and partitions, and a list service."""
--- a/benchmarks/faults/loops.py
+++ b/benchmarks/faults/loops.py
@@ -1,4 +1,4 @@
-"""An event loop on a thread of its own, beside tests and benchmarks that wait."""
+"""Runs an event loop on a background thread, for tests and benchmarks that are synchronous."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-CALL_TIMEOUT_S = 10.0  # seconds for what is done there at once
+CALL_TIMEOUT_S = 10.0  # for one call into the loop
 
 
 class LoopThread:
-    """Runs until it is closed; nothing that it began is left then."""
+    """An event loop on a daemon thread. `close` cancels the tasks that still run and stops the loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -20,11 +20,11 @@
         self._thread.start()
 
     def run(self, coroutine: Coroutine[Any, Any, T]) -> T:
-        """Let it do something, and wait for the end."""
+        """Run a coroutine on the loop and return its result."""
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(CALL_TIMEOUT_S)
 
     def call(self, function: Callable[[], T]) -> T:
-        """The same of a plain function."""
+        """Call a plain function on the loop and return its result."""
 
         async def coroutine() -> T:
             return function()
@@ -32,7 +32,7 @@
         return self.run(coroutine())
 
     def close(self) -> None:
-        """End all that runs there, and the loop."""
+        """Cancel all tasks, then stop and close the loop."""
 
         async def end() -> None:
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
--- a/benchmarks/faults/processes.py
+++ b/benchmarks/faults/processes.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program, each with a loopback address of its own, behind a relay."""
+"""Runs groups of real daemon processes, each on its own loopback address, connected through a relay."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from .relay import RelayThread
 
 ROOT = Path(__file__).parent.parent.parent
-TIMEOUT_S = 30.0  # seconds for anything that is to come; it is there long before
+TIMEOUT_S = 30.0  # generous: a healthy group needs far less
 POLL_INTERVAL_S = 0.05
-ADMIN_HOST = "127.79.0.1"  # of the operators; others' connections take no ports there
+ADMIN_HOST = "127.79.0.1"  # for the admin APIs alone: no outgoing connection takes a port there
 
 
 def free_port(host: str) -> int:
-    """A port that is free for both UDP and TCP at this moment."""
+    """Return a port that is free for both UDP and TCP at this moment."""
     while True:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp, socket.socket() as tcp:
             udp.bind((host, 0))
@@ -37,10 +37,10 @@
             return port
 
 
-def wait_until(found: Callable[[], Any], what: str, timeout_s: float = TIMEOUT_S) -> Any:
-    """Wait for something that is true, and return it."""
+def wait_until(condition: Callable[[], Any], what: str, timeout_s: float = TIMEOUT_S) -> Any:
+    """Poll until the condition returns a true value, and return that value."""
     end = time.monotonic() + timeout_s
-    while not (value := found()):
+    while not (value := condition()):
         if time.monotonic() > end:
             raise AssertionError(f"not within {timeout_s:g} s: {what}")
         time.sleep(POLL_INTERVAL_S)
@@ -49,7 +49,7 @@
 
 @dataclass
 class Member:
-    """One process and what is needed to start it again."""
+    """One daemon process, with its files and ports, so that it can be started again."""
 
     name: str
     folder: Path
@@ -60,7 +60,7 @@
     process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, with its own folder for all that it leaves."""
+        """Start the process; its log and temporary files go to its own folder."""
         env = os.environ | {
             "LB_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder),
             "PYTHONUNBUFFERED": "1",
@@ -70,36 +70,36 @@
             self.process = subprocess.Popen(command, cwd=ROOT, env=env, stderr=log)
 
     def log(self) -> str:
-        """All that it has said."""
+        """Return the log of all its runs so far."""
         return (self.folder / "log").read_text()
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process that was started here."""
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def pause(self) -> None:
-        """It stands still."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """It runs again."""
+        """Resume the process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """It ends without a word."""
+        """Kill the process, so that it cannot announce that it leaves."""
         assert self.process is not None
         self.process.kill()
         self.process.wait(TIMEOUT_S)
 
     def terminate(self) -> int:
-        """It ends as the operators end it; its exit code."""
+        """Send SIGTERM, so that the member leaves the group; return its exit code."""
         assert self.process is not None
         self.process.terminate()
         return self.process.wait(TIMEOUT_S)
 
     def call(self, method: str, path: str) -> tuple[int, bytes]:
-        """Ask at its door; status 0 if nobody answers."""
+        """Call its admin API; return status 0 if it does not answer."""
         connection = http.client.HTTPConnection(ADMIN_HOST, self.admin_port, timeout=2)
         try:
             connection.request(method, path)
@@ -111,35 +111,37 @@
             connection.close()
 
     def view(self) -> dict[str, Any]:
-        """Its view of the group; empty if nobody answers."""
+        """Return its view of the group; empty if it does not answer."""
         status, body = self.call("GET", "/control/members")
-        found: dict[str, Any] = json.loads(body) if status == 200 else {}
-        return found
+        view: dict[str, Any] = json.loads(body) if status == 200 else {}
+        return view
 
     def states(self) -> dict[str, str]:
-        """What it takes each of the others for."""
+        """Return the state that it assigns to each other member, by name."""
         return {m["name"]: m["state"] for m in self.view().get("members", [])}
 
     def names_in_state(self, state: str) -> set[str]:
-        """The others that it takes to be so."""
-        return {name for name, held in self.states().items() if held == state}
+        """Return the names of the members that it considers to be in this state."""
+        return {name for name, seen in self.states().items() if seen == state}
 
 
 @dataclass
 class Fleet:
-    """All processes and the relay between them."""
+    """A group of processes and the relay between them."""
 
     folder: Path
     config: dict[str, Any]
     relay: RelayThread
     membership_table: dict[str, Any] = field(default_factory=dict)
-    other_tables: dict[str, dict[str, Any]] = field(default_factory=dict)  # others of the operator's file
-    stores_snapshots: bool = False  # [start] keeps its list in each member's own folder
+    other_tables: dict[str, dict[str, Any]] = field(
+        default_factory=dict
+    )  # further tables of the operator's file
+    stores_snapshots: bool = False  # [start] caches the list in each member's own folder
     members: dict[str, Member] = field(default_factory=dict)
     _addresses: dict[str, str] = field(default_factory=dict)
 
     def add(self, size: int, zones: int = 1) -> list[Member]:
-        """Make so many more, not started yet; the first two of all are everybody's seeds."""
+        """Add members without starting them. The first two members are the seeds of every member."""
         added = []
         for number in range(len(self.members), len(self.members) + size):
             name, host = f"m{number}", f"127.77.{number >> 8}.{(number & 255) + 1}"
@@ -155,7 +157,7 @@
         return added
 
     def write_config_files(self, member: Member, **changed: Any) -> None:
-        """Write a member's files; `changed` keys of the table [membership] take the place of the usual."""
+        """Write a member's config files; `changed` overrides keys of its table [membership]."""
         seeds = list(self._addresses.values())[:2]
         membership_table = {
             "listen": f"{member.host}:{member.port}", "advertise": self._addresses[member.name],
@@ -178,16 +180,16 @@
         return iter(self.members.values())
 
     def running(self) -> list[Member]:
-        """Those that have been started and have not ended."""
+        """Return the members whose process is running."""
         return [m for m in self if m.process is not None and m.process.poll() is None]
 
     def has_converged(self) -> bool:
-        """Every running one takes all running ones, and nobody else, to be alive."""
+        """Return whether every running member considers all running members, and no other, alive."""
         names = {m.name for m in self.running()}
         return all(m.names_in_state("alive") | {m.name} == names for m in self.running())
 
     def close(self) -> None:
-        """End every process that was started here, by its id."""
+        """Kill every process that was started here, and close the relay."""
         for member in self.running():
             member.signal(signal.SIGKILL)
         for member in self:
@@ -198,7 +200,7 @@
 
 @contextmanager
 def fleet(folder: Path, config: dict[str, Any], seed: int = 1, **membership_table: Any) -> Iterator[Fleet]:
-    """Processes that end with the block, whatever happens in it."""
+    """Provide a group whose processes are killed at the end of the block, also after an error."""
     group = Fleet(folder, config, RelayThread(seed), membership_table)
     try:
         yield group
--- a/benchmarks/faults/relay.py
+++ b/benchmarks/faults/relay.py
@@ -1,8 +1,10 @@
-"""Stands between processes: what one sends to another passes here, and may be lost, late, doubled or out of
-order, each direction by itself. One seed, one sequence of chances.
+"""A UDP and TCP relay between processes, which loses, delays, duplicates and reorders what they send.
 
-Every process has a loopback address of its own and is known by it; the others reach it at its door here. A
-datagram leaves by the door of its sender, so that it seems to come from where the sender can be reached.
+Faults are set for each direction separately. The seed determines the sequence of random draws.
+
+Each process has its own loopback address, by which the relay recognises it, and a port of the relay at which
+the others reach it. A datagram is forwarded from the sender's port at the relay, so that the receiver can
+reply to its source address.
 """
 
 from __future__ import annotations
@@ -16,20 +18,20 @@
 from .loops import LoopThread
 
 Pair = tuple[str, str]
-FIRST_RETRANSMIT_S = 0.2  # seconds: what a stream loses comes so much later, then twice as late
+FIRST_RETRANSMIT_S = 0.2  # delay of a lost chunk of a stream; doubles with each further loss
 CHUNK_BYTES = 1 << 16
-RELAY_HOST = "127.78.0.1"  # no process has this address
+RELAY_HOST = "127.78.0.1"  # differs from the address of every process
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What happens on the way from one to another."""
+    """The faults in one direction between two processes."""
 
     loss: float = 0.0
     duplication: float = 0.0
-    min_delay_s: float = 0.0  # seconds on the way; where most is larger, datagrams overtake each other
+    min_delay_s: float = 0.0  # where max_delay_s is larger, datagrams overtake each other
     max_delay_s: float = 0.0
-    is_cut: bool = False  # all is lost, and streams stand still
+    is_cut: bool = False  # every datagram is lost, and streams stall
 
 
 class _DatagramPort(asyncio.DatagramProtocol):
@@ -54,7 +56,7 @@
 
 @dataclass(slots=True)
 class Relay:
-    """All ways between the processes. To be used on its own loop: see `RelayThread`."""
+    """The relay and its faults. Use it only on its own event loop: see `RelayThread`."""
 
     seed: int
     default: Fault = field(default_factory=Fault)
@@ -65,14 +67,14 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        """Its chances."""
+        """Seed the generator."""
         self._random = Random(self.seed)
 
     async def add(self, name: str, host: str, port: int) -> str:
-        """A process that listens there; returns where the others reach it."""
+        """Add a process that listens there; return the address at which the others reach it."""
         process = self._processes[name] = _Process(host, port)
         loop = asyncio.get_running_loop()
-        while process.server is None:  # one port for both: what is free for one may be taken for the other
+        while process.server is None:  # a port that is free for UDP may be taken for TCP
             _, datagram_port = await loop.create_datagram_endpoint(
                 lambda: _DatagramPort(self, name), (RELAY_HOST, 0)
             )
@@ -87,7 +89,7 @@
         return f"{RELAY_HOST}:{bound}"
 
     def set_fault(self, sender: str, receiver: str, **changed: Any) -> None:
-        """Change one direction; `*` stands for all."""
+        """Change the faults from sender to receiver; `*` stands for every process."""
         for one in self._processes if sender == "*" else [sender]:
             for other in self._processes if receiver == "*" else [receiver]:
                 if one != other:
@@ -96,11 +98,11 @@
                     )
 
     def heal(self) -> None:
-        """Every way is as usual again."""
+        """Restore the default fault in every direction."""
         self._faults.clear()
 
     async def close(self) -> None:
-        """Let go of all sockets."""
+        """Cancel the streams and close all sockets."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -119,7 +121,7 @@
     # ---- Datagrams ----
 
     def forward(self, receiver: str, data: bytes, source: tuple[str, int]) -> None:
-        """A datagram came to the receiver's door."""
+        """Forward a datagram that arrived at the receiver's port."""
         sender = self._name_of(source[0])
         if sender is None:
             self.counts["from nobody"] += 1
@@ -166,7 +168,7 @@
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._copy(sender, receiver, reader, upstream_writer))
                 group.create_task(self._copy(receiver, sender, upstream_reader, writer))
-        except (OSError, ExceptionGroup, asyncio.CancelledError):  # the last one: the relay closes
+        except (OSError, ExceptionGroup, asyncio.CancelledError):  # CancelledError: the relay closes
             self.counts["streams broken"] += 1
         finally:
             writer.transport.abort()
@@ -190,7 +192,7 @@
 
 
 class RelayThread:
-    """A relay on a thread of its own."""
+    """A relay on a background thread."""
 
     def __init__(self, seed: int = 1) -> None:
         self._loop = LoopThread()
@@ -201,7 +203,7 @@
         return self._loop.run(self.relay.add(name, host, port))
 
     def set_fault(self, sender: str = "*", receiver: str = "*", **changed: Any) -> None:
-        """See Relay.set."""
+        """See Relay.set_fault."""
         self._loop.call(lambda: self.relay.set_fault(sender, receiver, **changed))
 
     def heal(self) -> None:
@@ -209,6 +211,6 @@
         self._loop.call(self.relay.heal)
 
     def close(self) -> None:
-        """End it."""
+        """Close the relay and its thread."""
         self._loop.run(self.relay.close())
         self._loop.close()
--- a/benchmarks/faults/service.py
+++ b/benchmarks/faults/service.py
@@ -1,4 +1,4 @@
-"""A list service of fixed capacity: calls in turn, each at a cost, turned down if they had to wait long."""
+"""A list service of fixed capacity, which serves calls in turn and rejects those that would wait too long."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 @dataclass
 class ListService:
-    """The list, what it costs to tell it, and what was asked."""
+    """The list of workers, the cost of a call, the injected faults, and a record of the calls."""
 
     targets: list[dict[str, Any]]
     revision: int = 10
-    full_list_cost_s: float = 0.1  # the service's time for a whole list
-    changes_cost_s: float = 0.05
+    full_list_cost_s: float = 0.1  # processing time of a call for the complete list
+    changes_cost_s: float = 0.05  # of a call for the changes after a revision
     max_wait_s: float = 2.0
-    is_down: bool = False  # connections are closed unheard
-    slowdown: float = 1.0  # times the cost
-    truncates_answers: bool = False  # half of its answer, then it closes
-    calls: list[tuple[float, str]] = field(default_factory=list)  # when, and which: whole, newer, refused
+    is_down: bool = False  # connections are closed without an answer
+    slowdown: float = 1.0  # factor on both costs
+    truncates_answers: bool = False  # sends half of each answer, then closes the connection
+    calls: list[tuple[float, str]] = field(default_factory=list)  # time, and kind: whole, newer or refused
     _free_at: float = 0.0
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def count(self, kind: str) -> int:
-        """How many such calls there were."""
+        """Return the number of calls of a kind."""
         return sum(what == kind for _, what in self.calls)
 
     def longest_overload_s(self) -> float:
-        """Seconds for which calls were turned down without a pause of a second."""
+        """Return the longest time over which calls were rejected with no gap of more than a second."""
         refused = [when for when, what in self.calls if what == "refused"]
         longest = begin = 0.0
         for before, when in zip([-10.0, *refused], refused, strict=False):
@@ -43,7 +43,7 @@
         return longest
 
     def publish(self, **changed: Any) -> None:
-        """Another version of the list."""
+        """Change attributes, such as the targets, and publish the list as a new revision."""
         for name, value in changed.items():
             setattr(self, name, value)
         self.revision += 1
@@ -51,7 +51,7 @@
         self._changed = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection's calls."""
+        """Serve the calls of one connection."""
         loop = asyncio.get_running_loop()
         try:
             while not self.is_down:
@@ -76,7 +76,11 @@
                     except TimeoutError:
                         pass
                 self._answer(writer, int(after[1]) if after else None)
-        except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):  # the last one: we close
+        except (
+            asyncio.IncompleteReadError,
+            OSError,
+            asyncio.CancelledError,
+        ):  # CancelledError: the service closes
             pass
         finally:
             writer.close()
@@ -92,7 +96,7 @@
 
 
 class ListServiceThread:
-    """A service on a thread of its own."""
+    """A list service on a background thread."""
 
     def __init__(self, service: ListService) -> None:
         self.service = service
@@ -102,17 +106,17 @@
         self.address = f"127.79.0.2:{self._server.sockets[0].getsockname()[1]}"
 
     def publish(self, **changed: Any) -> None:
-        """See Service.tell."""
+        """See ListService.publish."""
         self._loop.call(lambda: self.service.publish(**changed))
 
     def close(self) -> None:
-        """End it."""
+        """Close the service and its thread."""
         self._loop.call(self._server.close)
         self._loop.close()
 
 
 def worker_entries(count: int, host: str = "127.0.0.1", state: str = "ready") -> list[dict[str, Any]]:
-    """Entries of a list; nobody need listen there."""
+    """Return entries of a list; no worker has to listen at their endpoints."""
     return [
         {"uid": f"w{i}", "endpoint": f"{host}:{20000 + i}", "state": state, "az": "a", "model": "m",
          "pod_group": 0, "capacity_hint": 1.0, "boot_ms": 0}
--- a/benchmarks/faults/virtual_group.py
+++ b/benchmarks/faults/virtual_group.py
@@ -1,4 +1,7 @@
-"""A group in virtual time: loss, delay, doubling, cuts in one direction, pauses. One seed, one history."""
+"""A membership group in virtual time, with loss, delay, duplication, partitions and pauses.
+
+The seed determines the complete history.
+"""
 
 from __future__ import annotations
 
@@ -30,26 +33,28 @@
 
 @dataclass(slots=True)
 class Link:
-    """What may happen to a datagram."""
+    """The faults of every link."""
 
     loss: float = 0.0
     duplication: float = 0.0
-    min_delay_s: float = 0.0005  # seconds on the way
+    min_delay_s: float = 0.0005
     max_delay_s: float = 0.003
 
 
 @dataclass(slots=True)
 class Node:
-    """One member and what was done to it."""
+    """One member, its faults, and what it received and reported."""
 
     name: str
     protocol: MembershipProtocol
     is_running: bool = True
     paused_until: float = 0.0
-    backlog: list[tuple[Message, str, bool]] = field(default_factory=list)  # came while it was stopped
+    backlog: list[tuple[Message, str, bool]] = field(
+        default_factory=list
+    )  # messages received while it was paused
     events: list[tuple[float, NotifyMemberEvent]] = field(default_factory=list)
     delivered: list[tuple[float, DeliverEntry]] = field(default_factory=list)
-    timer: int = 0  # the latest one that was set; earlier ones are passed over
+    timer: int = 0  # number of the latest timer; earlier ones are ignored
     sent: int = 0
     sent_bytes: int = 0
 
@@ -86,7 +91,7 @@
         return node
 
     def introduce_all(self) -> None:
-        """Let everybody know everybody, as after a long time: for groups too large to be met here."""
+        """Make every member known to every other: for groups too large to converge within a simulation."""
         records = [node.protocol.me for node in self.nodes.values()]
         for node in self.nodes.values():
             for record in records:
@@ -95,41 +100,41 @@
             node.protocol.assume_converged()
 
     def kill(self, name: str) -> Node:
-        """End a member without a word."""
+        """Stop a member without a leave message."""
         node = self.nodes.pop(name)
         node.is_running = False
         return node
 
     def leave(self, name: str) -> None:
-        """End a member that says so."""
+        """Stop a member after it has announced that it leaves."""
         node = self.nodes[name]
         self.dispatch(node, LeaveRequested())
         self.kill(name)
 
     def write(self, name: str, entry: EntryWritten) -> None:
-        """Let a member share an entry."""
+        """Have a member write an entry, which it then gossips."""
         self.dispatch(self.nodes[name], entry)
 
     def dispatch(self, node: Node, event: Event) -> None:
-        """Hand an event to a member and carry out what follows."""
+        """Pass an event to a member and execute the instructions that it returns."""
         self._execute(node, node.protocol.handle(self.now, event))
 
     def pause(self, name: str, seconds: float) -> None:
-        """Stop a member as a stop signal does: what comes meanwhile waits."""
+        """Pause a member as SIGSTOP does: messages received meanwhile wait in its backlog."""
         node = self.nodes[name]
         node.paused_until = self.now + seconds
         self.schedule(node.paused_until, lambda: self._resume(node))
 
     def cut(self, source: str, target: str, both: bool = True) -> None:
-        """Lose all that goes from the first to the second."""
+        """Lose all messages from the source to the target, and by default also in the other direction."""
         self.cuts |= {(source, target), (target, source)} if both else {(source, target)}
 
     def schedule(self, when: float, callback: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Call the callback at a time."""
         heapq.heappush(self._events, (when, next(self._order), callback))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the clock to a time and run the callbacks that are due by then."""
         while self._events and self._events[0][0] <= until:
             when, _, callback = heapq.heappop(self._events)
             self.now = max(self.now, when)
@@ -137,7 +142,7 @@
         self.now = until
 
     def events(self, kind: MemberEventKind) -> Iterator[tuple[float, str, NotifyMemberEvent]]:
-        """All events of a kind, with when and at whom."""
+        """Yield all events of a kind, each with its time and the member that reported it."""
         for node in self.nodes.values():
             yield from ((when, node.name, event) for when, event in node.events if event.kind is kind)
 
@@ -178,7 +183,7 @@
                 self.schedule(when, lambda: self._deliver(target, send.message, source))
 
     def _send_by_stream(self, node: Node, target: Node, message: Message) -> None:
-        """What is lost is sent again after 0.2 s, then twice as long; over 3 s it is given up."""
+        """Deliver by stream: a loss adds 0.2 s, doubled each time; a message over 3 s late is dropped."""
         delay, retransmit_after = 3 * self.random.uniform(self.link.min_delay_s, self.link.max_delay_s), 0.2
         while self.random.random() < 1 - (1 - self.link.loss) ** 2:
             delay, retransmit_after = delay + retransmit_after, retransmit_after * 2
