--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each module is a command, `python -m benchmarks.NAME`. They stay out of CI."""
+"""Benchmarks and fault-injection harnesses. Commands are run as `python -m benchmarks.NAME`, not in CI."""
--- a/benchmarks/daemon_process.py
+++ b/benchmarks/daemon_process.py
@@ -1,4 +1,4 @@
-"""Starts the daemon for a measurement, on loopback, with files of its own."""
+"""Starts the daemon for a benchmark, on loopback and with its own temporary files."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-LOG_TIMEOUT_S = 15.0  # seconds for a line of its log
+LOG_TIMEOUT_S = 15.0  # for a line of the log to appear
 
 
 class DaemonProcess:
-    """A started program."""
+    """A running daemon."""
 
     def __init__(self, folder: Path, config: dict[str, Any], operator: str | None) -> None:
         path, self._log = folder / "config.json", folder / "log"
@@ -35,21 +35,21 @@
             )  # fmt: skip
 
     def wait_for(self, pattern: str) -> re.Match[str]:
-        """The first line of its log that fits."""
+        """Wait until the log matches the pattern; return the first match."""
         end = time.monotonic() + LOG_TIMEOUT_S
         while time.monotonic() < end and self.process.poll() is None:
             if found := re.search(pattern, self._log.read_text()):
                 return found
             time.sleep(0.02)
-        raise RuntimeError(f"no {pattern!r} in:\n{self._log.read_text()}")
+        raise RuntimeError(f"no match of {pattern!r} in the daemon's log:\n{self._log.read_text()}")
 
     def address(self, front: str) -> tuple[str, int]:
-        """Where a front listens."""
+        """Return the host and port on which a front listens."""
         found = self.wait_for(rf"{front} listens on ([\d.]+):(\d+)")
         return found[1], int(found[2])
 
     def stop_and_read_summary(self) -> str:
-        """Stop it and give the last lines of its log."""
+        """Stop the daemon and return the summary lines that it logs at its end."""
         self.process.terminate()
         self.process.wait(60)
         return "\n".join(line for line in self._log.read_text().splitlines() if " last: " in line)
@@ -59,7 +59,7 @@
 def run_daemon(
     operator: str | None, discovery: str = "127.0.0.1:1", **changes: Any
 ) -> Iterator[DaemonProcess]:
-    """A daemon with the example's settings; it is gone at the end. Changes replace keys of the file."""
+    """Run a daemon with the example's settings for the length of the block; `changes` replace config keys."""
     config = json.loads((ROOT / "examples/config.json").read_text())
     config |= {"listen": "127.0.0.1:0", "discovery": discovery} | changes
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak: one real process of the program between stand-ins, under faults that a seed draws."""
+"""A seeded soak test: a real daemon between stand-in clients and workers, under faults drawn from a seed."""
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,9 +1,9 @@
-"""Plays seeds, each a real process under faults, and says which broke a rule.
+"""Runs the soak test for some seeds and reports which of them broke a rule.
 
     python -m benchmarks.soak --seeds 50 [--first N] [--parallel P]
-    python -m benchmarks.soak --seed N      # one seed again, with its plan and the program's log
+    python -m benchmarks.soak --seed N      # repeat one seed; prints its plan and the daemon's logs
 
-Exit code 1 if a seed failed. A run takes some 10 seconds; several at once need as many free cores.
+The exit code is 1 if a seed failed. A run takes about 10 seconds; parallel runs need one free core each.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def verdict_line(verdict: Verdict) -> str:
-    """One line on a seed that kept all rules, more on one that did not."""
+    """Return a line on a seed; if it failed, also its violations and the command that repeats it."""
     plan, observation = verdict.plan, verdict.observation
     answered = sum(exchange.answered_at is not None for exchange in observation.exchanges)
     tables = [name for name in ("crowd", "durable", "membership", "gearman") if getattr(plan, name)]
@@ -36,10 +36,10 @@
 
 
 def play_seed(seed: int) -> tuple[bool, str]:
-    """Whether a seed kept all rules, and what to print of it."""
+    """Run a seed; return whether it kept all rules, and the text to print."""
     try:
         verdict = play(draw_plan(seed))
-    except Exception as error:  # the other seeds go on
+    except Exception as error:  # the other seeds still run
         return (
             False,
             f"seed {seed}: FAILED\n    it could not be played: {error!r}\n    again: {COMMAND} {seed}",
@@ -48,7 +48,7 @@
 
 
 def replay(seed: int) -> bool:
-    """One seed with all that is known of it."""
+    """Run one seed, print its plan and logs, and return whether it kept all rules."""
     plan = draw_plan(seed)
     print(plan)
     verdict = play(plan)
@@ -59,7 +59,7 @@
 
 
 def play_seeds(first: int, count: int, parallel: int) -> bool:
-    """Several seeds; prints each as it ends."""
+    """Run several seeds and print each result; return whether all kept the rules."""
     begun_at = time.monotonic()
     failed = 0
     with ProcessPoolExecutor(parallel) as pool:
@@ -71,11 +71,11 @@
 
 
 def main() -> None:
-    """The command."""
-    parser = argparse.ArgumentParser(description="Seeded soak of real processes.")
+    """Run the command and exit."""
+    parser = argparse.ArgumentParser(description="Seeded soak test of real daemon processes.")
     parser.add_argument("--seeds", type=int, default=50, help="how many seeds")
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--seed", type=int, help="one seed again")
+    parser.add_argument("--seed", type=int, help="repeat one seed, with its plan and logs")
     parser.add_argument("--parallel", type=int, default=1)
     arguments = parser.parse_args()
     if arguments.seed is not None:
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -1,4 +1,4 @@
-"""Holds what the stand-ins saw against the rules of the platform's pages. No I/O; every rule has its page."""
+"""Checks the observations of a run against the platform's rules. No I/O. Comments name each rule's page."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .plan import MEMORY_MB, SOCKETS, Plan, Semantics
 from .records import Arrival, Exchange, Observation, Process
 
-LATE_ANSWER_S = 0.5  # after its time a request only earns nothing for so long; later it is lost (STANDING)
-SOCKET_SLACK_S = 0.05  # every time limit is so much longer on sockets (PROTOCOL)
-START_AFTER_LEAVE_S = 0.1  # an attempt that begins later is a break (STANDING)
+LATE_ANSWER_S = 0.5  # up to this much after the deadline an answer is worthless, later it is lost (STANDING)
+SOCKET_SLACK_S = 0.05  # added to every time limit on sockets (PROTOCOL)
+START_AFTER_LEAVE_S = 0.1  # an attempt that begins later is a violation (STANDING)
 NEW_SETTINGS_BIND_S = 1.2  # after SIGHUP (DAYS)
 READY_WITHIN_S = 10.0  # STANDING
-KILL_SEEN_WITHIN_S = 0.25  # by a client, whose loop may be late
+KILL_SEEN_WITHIN_S = 0.25  # by a client, whose event loop may lag
 REPLACEMENT_READY_WITHIN_S = 6.0  # DAYS
 BAD_CLIENT_WITHIN_S = 3.0  # STANDING
 REFUSALS = (429, 503)
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """A rule that was broken."""
+    """A broken rule."""
 
     rule: str
     text: str
@@ -39,7 +39,7 @@
 
 
 def audit(plan: Plan, observation: Observation) -> list[Violation]:
-    """Every rule that was broken in a run."""
+    """Return all violations of a run."""
     arrivals: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in sorted(observation.arrivals, key=lambda arrival: arrival.first_byte_at):
         arrivals[arrival.id].append(arrival)
@@ -57,7 +57,7 @@
 
 
 def _answers(observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
-    """Every request that was read gets exactly one final answer, in its time."""
+    """Yield requests without exactly one final answer in time, unless they may stay unanswered."""
     for exchange in observation.exchanges:
         if exchange.answers > 1:
             yield Violation("two answers", exchange.id)
@@ -72,11 +72,11 @@
 
 
 def _kind(exchange: Exchange) -> str:
-    return "new" if exchange.is_first else "kept"
+    return "new" if exchange.is_first else "reused"
 
 
 def _may_be_unanswered(observation: Observation, exchange: Exchange, was_forwarded: bool) -> bool:
-    """A killed process owes nothing; else a request that was not read, where a close may cross it."""
+    """Return whether an answer may be missing: the process was killed, or closed before it read the request."""
     closed_at = exchange.closed_at
     if closed_at is None:
         return False
@@ -88,13 +88,13 @@
 
 
 def _was_killed_at(process: Process, closed_at: float) -> bool:
-    """Whether a connection ended with the process: its system resets all of them at once."""
+    """Return whether a connection ended because its process was killed, which resets all at once."""
     killed_at = process.killed_at
     return killed_at is not None and -SOCKET_SLACK_S <= closed_at - killed_at <= KILL_SEEN_WITHIN_S
 
 
 def _contents(observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
-    """A served request has the result that a worker gave for it."""
+    """Yield served requests whose body is not a result that a worker gave for them."""
     for exchange in observation.exchanges:
         if exchange.status != SERVED or exchange.answered_at is None:
             continue
@@ -103,7 +103,7 @@
 
 
 def _semantics(plan: Plan, observation: Observation, exchange: Exchange) -> Semantics:
-    """The rule of a request's class as it was when the request was sent."""
+    """Return the semantics of a request's class at the time when the request was sent."""
     loosened_at = observation.loosened_at if exchange.follows_reloads else None
     if loosened_at is not None and exchange.begun_at >= loosened_at + NEW_SETTINGS_BIND_S:
         return Semantics.FREE
@@ -111,7 +111,7 @@
 
 
 def _runs(plan: Plan, observation: Observation, arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
-    """What must not run twice never does, and what was refused may be sent again."""
+    """Yield requests that ran twice against their class's semantics, or were refused although they ran."""
     for exchange in observation.exchanges:
         ran = [arrival for arrival in arrivals.get(exchange.id, ()) if arrival.ran]
         semantics = _semantics(plan, observation, exchange)
@@ -130,10 +130,10 @@
 
 
 def _copies(arrivals: dict[str, list[Arrival]]) -> Iterator[Violation]:
-    """No second copy is sent while an earlier attempt is out on an open connection."""
+    """Yield requests of which a second copy was sent while an earlier attempt was still open."""
     for id_, attempts in arrivals.items():
-        whole = [arrival for arrival in attempts if arrival.received_at is not None]
-        for earlier, later in pairwise(whole):
+        received = [arrival for arrival in attempts if arrival.received_at is not None]
+        for earlier, later in pairwise(received):
             assert later.received_at is not None
             finished_at = min(
                 (at for at in (earlier.ended_at, earlier.closed_at) if at is not None), default=float("inf")
@@ -179,9 +179,9 @@
             limit_s = max(plan.longest_deadline_s, 3.0) + 0.7
             if process.exited_at - process.terminated_at > limit_s + SOCKET_SLACK_S:
                 yield Violation("still there when SIGKILL comes", name)
-    for word in FAULT_WORDS:
-        if word in process.log:
-            line = next(line for line in process.log.splitlines() if word in line)
+    for text in FAULT_WORDS:
+        if text in process.log:
+            line = next(line for line in process.log.splitlines() if text in line)
             yield Violation("fault in the log", f"{name}: {line}")
     if process.peak_memory_mb > MEMORY_MB:
         yield Violation("memory", f"{name}: {process.peak_memory_mb:.0f} MB")
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients over HTTP: they keep connections, leave, write slowly, and record what they see."""
+"""Stand-in HTTP clients, which reuse connections, disconnect early, write slowly, and record observations."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 Address = tuple[str, int]
 
-LAST_WAIT_S = 1.5  # past a request's time until its client gives up
+LAST_WAIT_S = 1.5  # after a request's deadline, until its client gives up
 MAX_PAUSE_S = 0.25  # between two requests of a client
 MAX_LEAVE_AFTER_S = 0.4
 SLOW_PIECES = 4
 SLOW_PAUSE_S = 0.1
 BODY = b"sheet"
-NEW_CONNECTIONS_AFTER_TERM_S = 0.3  # PROTOCOL: for 0.2 to 0.4 s
+NEW_CONNECTIONS_AFTER_TERM_S = 0.3  # PROTOCOL: clients do so for 0.2 to 0.4 s
 
 
 class Connection:
-    """One connection and how many requests it has carried."""
+    """A connection and the number of requests sent on it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -31,7 +31,7 @@
 
 
 class Client:
-    """One client that sends one request after the other until it is told to stop."""
+    """A client that sends one request after another until it is stopped."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         address: Callable[[], Address],
         stop: asyncio.Event,
     ) -> None:
-        """`address` is asked for each new connection; after `stop` is set no request begins."""
+        """`address` is called for each new connection; no request begins once `stop` is set."""
         self._plan = plan
         self._observation = observation
         self._address = address
@@ -53,7 +53,7 @@
         self.may_connect = True
 
     async def run(self) -> None:
-        """Send until stopped, or until there is nobody to connect to."""
+        """Send requests until stopped, or until no connection can be opened."""
         while not self._stop.is_set():
             await asyncio.sleep(self._random.uniform(0.0, MAX_PAUSE_S))
             if self._stop.is_set() or not await self._exchange(self._draw_class()):
@@ -65,7 +65,7 @@
         return self._random.choice(self._plan.classes)
 
     async def _exchange(self, job_class: JobClass) -> bool:
-        """One request; sent once more where a kept connection was closed as it came. False: no connection."""
+        """Send a request, once more if a reused connection was closed; return False without a connection."""
         for _ in range(2):
             connection = await self._connected()
             if connection is None:
@@ -81,7 +81,7 @@
             connection.requests += 1
             try:
                 await self._send_and_read(connection, exchange)
-            except TimeoutError:  # an OSError too, but the connection was not closed: the request is lost
+            except TimeoutError:  # a subclass of OSError; the connection is open, so the request is lost
                 self._drop()
                 return True
             except (OSError, asyncio.IncompleteReadError, ValueError):
@@ -141,7 +141,7 @@
             await writer.drain()
 
     async def _leave(self, connection: Connection, exchange: Exchange) -> None:
-        """Go away before the answer, or after it where that was quicker."""
+        """Disconnect after a random time, usually before the answer."""
         reading = asyncio.ensure_future(_read_answer(connection.reader))
         await asyncio.wait({reading}, timeout=self._random.uniform(0.0, MAX_LEAVE_AFTER_S))
         reading.cancel()
@@ -158,7 +158,7 @@
 
 
 async def _read_answer(reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
-    """Status, body, and whether the connection closes after it."""
+    """Return the status, the body, and whether the connection closes after this answer."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     lines = head.lower().split("\r\n")
     status = int(lines[0].split()[1])
@@ -168,7 +168,7 @@
 
 
 async def _read_rest(reader: asyncio.StreamReader) -> bytes:
-    """What comes after the last answer, where there should be nothing."""
+    """Return what follows the last answer; it should be empty."""
     try:
         async with asyncio.timeout(LAST_WAIT_S):
             return await reader.read(1)
@@ -177,7 +177,7 @@
 
 
 async def bad_client(address: Address, observation: Observation, random: Random) -> None:
-    """Half a request, and then nothing: it gets an error or a close."""
+    """Send part of a request, and record how long the error or close takes to come."""
     data = b"POST /peek HTTP/1.1\r\nReq-Id: bad\r\n"
     loop = asyncio.get_running_loop()
     try:
@@ -197,13 +197,13 @@
 
 
 async def submit_deferred_job(address: Address, id_: str, job_class: str) -> bool:
-    """Hand a deferred job in; whether it was acknowledged."""
+    """Submit a deferred job; return whether it was acknowledged."""
     answer = await call(address, "POST", f"/jobs/{job_class}", f"Req-Id: {id_}\r\n", BODY)
     return answer == 202
 
 
 async def call(address: Address, method: str, path: str, headers: str = "", body: bytes = b"") -> int:
-    """The status of one call on a connection of its own; 0 without an answer."""
+    """Make one call on a new connection; return its status, 0 without an answer."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery: the agent on the scheduler's machine, with a list that changes."""
+"""A stand-in for discovery: the agent on the scheduler's machine, with a list that changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from .records import Drain, Observation
 from .workers import HEAD_END, HOST, Worker
 
-NOTIFIED_WITHIN_S = 6.0  # a change counts as told so long after the service has it (PROTOCOL)
+NOTIFIED_WITHIN_S = 6.0  # a change counts as notified this long after the service has it (PROTOCOL)
 SOCKET_SLACK_S = 0.05
 SLOW_S = 0.4
 POLL_S = 0.005
 
 
 class Discovery:
-    """The list of workers, and the calls for it."""
+    """Serves the list of workers and its changes."""
 
     def __init__(self, workers: Sequence[Worker], observation: Observation) -> None:
         self.address = ""
@@ -32,24 +32,24 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
     def notify_change(self, worker: Worker) -> None:
-        """An entry is another: its start is."""
+        """Publish a changed entry, such as a worker that has restarted."""
         self._revision += 1
         self._changed[worker.name] = self._revision
 
     def drain(self, worker: Worker) -> None:
-        """The worker drains; that binds by the notification, and in any case some seconds later."""
+        """Mark the worker as draining. It is enforced a grace after the notification or its time limit."""
         if worker.name in self._draining:
             return
         now = asyncio.get_running_loop().time()
@@ -59,7 +59,7 @@
         self.notify_change(worker)
 
     def end_drain(self, worker: Worker) -> None:
-        """The worker is ready again."""
+        """Mark the worker as ready again."""
         drain = self._draining.pop(worker.name, None)
         if drain is not None:
             drain.until = asyncio.get_running_loop().time()
@@ -111,7 +111,7 @@
         return json.dumps({"rev": self._revision, "all": after is None, "targets": rows}).encode()
 
     def _note_notified(self) -> None:
-        """What has been written counts as told."""
+        """Count all current drains as notified, because the answer has been written."""
         enforced_from = asyncio.get_running_loop().time() + DRAIN_GRACE_S + SOCKET_SLACK_S
         for drain in self._draining.values():
             drain.enforced_from = min(drain.enforced_from, enforced_from)
--- a/benchmarks/soak/gearman.py
+++ b/benchmarks/soak/gearman.py
@@ -1,4 +1,4 @@
-"""Stand-in Gearman clients and workers, which record what they see like those over HTTP."""
+"""Stand-in Gearman clients and workers, which record what they observe, as those over HTTP do."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .plan import JobClass, Plan
 from .records import Arrival, Exchange, Observation
 
-SERVED, REFUSED, FAILED = 200, 503, 500  # as the audit knows them from HTTP
+SERVED, REFUSED, FAILED = 200, 503, 500  # the audit judges by HTTP status
 WORKERS = 2
 CLIENTS = 2
 MEAN_RUN_S = 0.03
-LOSS_SHARE = 0.05  # of jobs with which a worker is gone
+LOSS_SHARE = 0.05  # of jobs during which the worker closes its connection
 FAILURE_SHARE = 0.05
 
 Packet = tuple[int, list[bytes]]
@@ -73,7 +73,7 @@
     async def _submit(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, exchange: Exchange
     ) -> bool:
-        """One job to its end; False if it was not accepted, or there is no end."""
+        """Submit one job and await its end; return False if it was rejected or did not end in time."""
         id_ = exchange.id.encode()
         writer.write(_request(PacketType.SUBMIT_JOB, exchange.job_class.encode(), id_, id_))
         packet_type, _ = await _read(reader)
@@ -102,7 +102,7 @@
 
 
 class GearmanWorker:
-    """Grabs jobs; now and then one fails, or the connection is lost with it."""
+    """Grabs jobs; some fail, and with some the worker closes its connection."""
 
     def __init__(self, number: int, plan: Plan, observation: Observation, address: Address) -> None:
         self._name = f"gearman{number}"
@@ -112,7 +112,7 @@
         self._random = Random(plan.seed * 3000 + number)
 
     async def run(self) -> None:
-        """Work until there is nobody to connect to."""
+        """Work until no connection can be opened."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self._address)
@@ -155,7 +155,7 @@
 
 
 def function_tables(classes: tuple[JobClass, ...]) -> str:
-    """The functions' tables of the operator's file: one for each class, under its name."""
+    """Return the operator file's tables of functions: one for each class, under its name."""
     return "".join(
         f'[gearman.functions.{job_class.name}]\nclass = "{job_class.name}"\n'
         f"deadline_ms = {job_class.deadline_s * 1000:.0f}\n"
@@ -166,6 +166,6 @@
 def stand_ins(
     plan: Plan, observation: Observation, address: Address, stop: asyncio.Event
 ) -> list[Coroutine[Any, Any, None]]:
-    """What the clients and workers do, until stopped or disconnected."""
+    """Return the coroutines of all clients and workers; they run until stopped or disconnected."""
     workers = [GearmanWorker(number, plan, observation, address).run() for number in range(WORKERS)]
     return [*workers, *(GearmanClient(n, plan, observation, address, stop).run() for n in range(CLIENTS))]
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in one seed: settings, fleet, faults and moments. A seed draws one plan. No I/O."""
+"""The plan of one seed: settings, fleet, faults and their times. A seed determines its plan. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-LOAD_S = 5.0  # of requests before the program is told to end
+LOAD_S = 5.0  # length of the load before the ending begins
 FIRST_FAULT_S = 0.5
 DRAIN_GRACE_S = 1.0
 SOCKETS = 256
@@ -16,7 +16,7 @@
 
 
 class Semantics(Enum):
-    """What a second run of a class's requests would do, by the platform's names."""
+    """Whether the requests of a class may run twice, by the platform's names."""
 
     FREE = "free"
     GUARDED = "guarded"
@@ -24,19 +24,19 @@
 
 
 class WorkerFault(Enum):
-    """What a worker does to requests for a while."""
+    """How a worker misbehaves for a while."""
 
-    HANG = "hang"  # it takes them and answers nothing
-    RESET = "reset"  # it resets their connections once they are whole
-    TWICE = "answers twice"  # a second last line, a few milliseconds after the first
+    HANG = "hang"  # accepts requests and never answers
+    RESET = "reset"  # resets the connection once a request is complete
+    TWICE = "answers twice"  # sends a second final line, a few milliseconds after the first
     FAIL = "fail"
-    DECLINE = "decline"  # turned away unstarted
-    DRAIN = "drain"  # the list says so, and takes it back at the end
-    DIE = "die"  # its process ends; it comes back cold
+    DECLINE = "decline"  # rejects requests without starting them
+    DRAIN = "drain"  # the list marks it as draining, and as ready again at the end
+    DIE = "die"  # its process ends; it returns cold
 
 
 class DiscoveryFault(Enum):
-    """What the list service does to calls for a while."""
+    """How the list service misbehaves for a while."""
 
     SILENT = "silent"
     SLOW = "slow"
@@ -44,7 +44,7 @@
 
 
 class Reload(Enum):
-    """What the file says at a SIGHUP."""
+    """What the config file holds at a SIGHUP."""
 
     SAME = "same"
     ATTEMPTS = "other attempts"
@@ -53,7 +53,7 @@
 
 
 class Ending(Enum):
-    """How the program ends."""
+    """How the daemon is stopped."""
 
     TERM = "SIGTERM"
     TERM_TWICE = "SIGTERM twice"
@@ -65,17 +65,17 @@
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """A class of the settings."""
+    """A class of jobs in the settings."""
 
     name: str
     semantics: Semantics
     deadline_s: float
-    window_s: float  # GUARDED: for how long a repeat is dropped
+    window_s: float  # GUARDED: how long workers drop a repeated request
 
 
 @dataclass(slots=True, frozen=True)
 class FaultAt:
-    """A fault of one worker, from `at_s` after the first request on."""
+    """A fault of one worker; `at_s` counts from the start of the load."""
 
     at_s: float
     length_s: float
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One seed's history."""
+    """All that a seed determines."""
 
     seed: int
     classes: tuple[JobClass, ...]
@@ -110,7 +110,7 @@
     slots: int
     max_attempts: int
     clients: int
-    leaving_share: float  # of requests whose clients leave
+    leaving_share: float  # of requests whose clients disconnect early
     slow_share: float  # of requests that are written in pieces
     worker_faults: tuple[FaultAt, ...]
     discovery_faults: tuple[DiscoveryFaultAt, ...]
@@ -124,15 +124,15 @@
 
     @property
     def longest_deadline_s(self) -> float:
-        """Of all classes."""
+        """The longest deadline of all classes."""
         return max(job_class.deadline_s for job_class in self.classes)
 
     def class_named(self, name: str) -> JobClass:
-        """The class of that name."""
+        """Return the class of that name."""
         return next(job_class for job_class in self.classes if job_class.name == name)
 
     def platform_settings(self, attempts: int, loosened: bool) -> dict[str, Any]:
-        """The platform's settings object, as at the start or after a reload."""
+        """Return the platform's settings object, as at the start or after a reload."""
         lanes = [
             {
                 "name": job_class.name,
@@ -162,11 +162,11 @@
 
 
 def draw_plan(seed: int) -> Plan:
-    """The plan of a seed."""
+    """Draw the plan of a seed."""
     random = Random(seed)
     workers = random.randint(2, 6)
     ending = random.choice(tuple(Ending))
-    # Two processes can't have one store open: a durable scheduler is not replaced in this way.
+    # Two processes can't open one store, so a durable scheduler can't be replaced by a second process.
     durable = random.random() < 0.5 and ending not in (Ending.REPLACED, Ending.SUCCESSOR_DIES)
     return Plan(
         seed=seed,
@@ -221,7 +221,7 @@
 
 
 def _reloads(random: Random) -> tuple[ReloadAt, ...]:
-    """Some single ones, or a series in a row."""
+    """Draw up to three reloads, at equal gaps."""
     first = _moment(random)
     count = random.choice((0, 0, 1, 2, 3))
     gap_s = random.choice((0.01, 0.3, 1.5))
--- a/benchmarks/soak/program.py
+++ b/benchmarks/soak/program.py
@@ -1,4 +1,4 @@
-"""Real processes of the program, and what the system says of them."""
+"""Runs daemon processes and samples the resources that they use."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Program:
-    """One process of the program with its log, from start to exit."""
+    """One daemon process, from its start to its exit, with its log."""
 
     def __init__(self, folder: Path, name: str, config: dict[str, object], operator: str) -> None:
         self.record = Process(asyncio.get_running_loop().time())
@@ -47,31 +47,31 @@
         return self._process.poll() is not None
 
     def write_config(self, text: str) -> None:
-        """What the next SIGHUP finds."""
+        """Write the config file, which the next SIGHUP reads."""
         self._config_path.write_text(text)
 
     def log(self) -> str:
-        """What it has logged so far."""
+        """Return its log so far."""
         return self._log_path.read_text(errors="replace")
 
     async def address(self, front: str) -> Address:
-        """Where a front listens."""
+        """Wait until a front listens; return its host and port."""
         async with asyncio.timeout(START_WITHIN_S):
             while not (found := re.search(rf"{front} listens on ([\d.]+):(\d+)", self.log())):
                 if self.has_exited:
-                    raise RuntimeError(f"it ended:\n{self.log()}")
+                    raise RuntimeError(f"the daemon exited before {front} listened:\n{self.log()}")
                 await asyncio.sleep(POLL_S)
         return found[1], int(found[2])
 
     async def wait_ready(self, address: Address, path: str) -> None:
-        """Wait until a call says that it is ready."""
+        """Wait until a GET of the path is answered with 200."""
         async with asyncio.timeout(START_WITHIN_S):
             while await call(address, "GET", path) != 200:
                 await asyncio.sleep(POLL_S)
         self.record.ready_at = asyncio.get_running_loop().time()
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless it has ended."""
+        """Send a signal, unless the process has ended."""
         now = asyncio.get_running_loop().time()
         if number is signal.SIGTERM and self.record.terminated_at is None:
             self.record.terminated_at = now
@@ -81,7 +81,7 @@
             self._process.send_signal(number)
 
     async def wait_exit(self, within_s: float) -> None:
-        """Wait for its end; one that is late is killed, and has no exit code then."""
+        """Wait for the exit; a process that exceeds the time is killed and recorded without an exit code."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within_s
         while not self.has_exited and loop.time() < until:
@@ -95,13 +95,13 @@
         self.record.log = self.log()
 
     def kill(self) -> None:
-        """Leave nothing running, whatever became of the run."""
+        """Kill the process if it still runs, for instance after a failed run."""
         if not self.has_exited:
             self._process.kill()
         self._process.wait()
 
     async def _sample(self) -> None:
-        """Memory and descriptors, as the system counts them."""
+        """Record the peak memory and descriptors, as /proc counts them."""
         folder = Path(f"/proc/{self._process.pid}")
         while True:
             try:
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,4 +1,4 @@
-"""What the stand-ins saw in one run. Times are seconds of one monotonic clock."""
+"""What the stand-ins observed in one run. Times are in seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request, as its client saw it."""
+    """One request, as observed by its client."""
 
     id: str
     job_class: str
     deadline_s: float
     is_first: bool  # on its connection
     begun_at: float
-    sent_at: float | None = None  # its last byte
-    left_at: float | None = None  # the client closed the connection
-    answered_at: float | None = None  # the answer's last byte
+    sent_at: float | None = None  # when its last byte was written
+    left_at: float | None = None  # when the client closed the connection early
+    answered_at: float | None = None  # when the last byte of the answer was read
     status: int = 0
     body: bytes = b""
     answers: int = 0
-    closed_at: float | None = None  # the connection ended without a whole answer
-    follows_reloads: bool = True  # its class changes with a reload; a Gearman function's does not
+    closed_at: float | None = None  # when the connection ended without a complete answer
+    follows_reloads: bool = True  # whether a reload changes its class; it does not for a Gearman function
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One attempt, as its worker saw it."""
+    """One attempt, as observed by its worker."""
 
     id: str
     worker: str
     first_byte_at: float
     received_at: float | None = None
-    ended_at: float | None = None  # the worker gave its last line, or it died
-    closed_at: float | None = None  # the scheduler closed the connection
-    ran: bool = False  # the worker began it
+    ended_at: float | None = None  # when the worker sent its last line or died
+    closed_at: float | None = None  # when the scheduler closed the connection
+    ran: bool = False  # whether the worker started it
     result: bytes = b""
 
 
 @dataclass(slots=True)
 class Drain:
-    """A worker that drains: when the grace after the notification is over, and when it no longer drains."""
+    """A drain of a worker: from when no attempt may begin (notification and grace), and until when."""
 
     worker: str
     enforced_from: float
@@ -49,12 +49,12 @@
 
 @dataclass(slots=True)
 class Process:
-    """One process of the program."""
+    """One daemon process."""
 
     started_at: float
     ready_at: float | None = None
     terminated_at: float | None = None  # the first SIGTERM
-    killed_at: float | None = None  # SIGKILL by plan, not for being late
+    killed_at: float | None = None  # SIGKILL by plan, not for exceeding the time limit
     exited_at: float | None = None
     exit_code: int | None = None
     peak_memory_mb: float = 0.0
@@ -64,15 +64,15 @@
 
 @dataclass(slots=True)
 class Observation:
-    """All of one run."""
+    """All observations of one run."""
 
     exchanges: list[Exchange] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
-    loosened_at: float | None = None  # the SIGHUP after which every class may run twice
-    crowded: list[tuple[float, float]] = field(default_factory=list)  # when connections may be shut unread
-    acknowledged_jobs: dict[str, float] = field(default_factory=dict)  # deferred jobs, and when
-    forgotten_jobs: list[str] = field(default_factory=list)  # of these, after a restart
-    bad_client_waits_s: list[float] = field(default_factory=list)  # until their error or close
-    max_lag_s: float = 0.0  # of the stand-ins' own event loop
+    loosened_at: float | None = None  # when a SIGHUP allowed every class to run twice
+    crowded: list[tuple[float, float]] = field(default_factory=list)  # when connections may close unread
+    acknowledged_jobs: dict[str, float] = field(default_factory=dict)  # time by job id, of deferred jobs
+    forgotten_jobs: list[str] = field(default_factory=list)  # acknowledged, but unknown after a restart
+    bad_client_waits_s: list[float] = field(default_factory=list)  # until they got an error or a close
+    max_lag_s: float = 0.0  # of the event loop that runs the stand-ins
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan: starts the stand-ins and the program, lets the faults strike, ends the program, audits."""
+"""Runs one plan: starts the stand-ins and the daemon, injects the faults, stops the daemon, audits."""
 
 from __future__ import annotations
 
@@ -34,20 +34,20 @@
 from .records import Observation
 from .workers import HOST, Worker
 
-SHORTEST_STOP_S = 3.0  # PROTOCOL: SIGKILL comes after the longest deadline, this if it is longer,
-KILL_MARGIN_S = 0.7  # and so much more
+SHORTEST_STOP_S = 3.0  # PROTOCOL: SIGKILL follows SIGTERM after the longest deadline, at least this,
+KILL_MARGIN_S = 0.7  # plus this margin
 CROWD_S = 1.5
-CROWD_TAIL_S = 0.5  # in which connections that the crowd left behind are still many
+CROWD_TAIL_S = 0.5  # how long the crowd's closed connections still count
 SUCCESSOR_LIVES_S = 0.6
 LAG_CHECK_S = 0.02
 SUBMISSION_PAUSE_S = 0.08
-RESULT_WAIT_S = 6.0  # for what is under way when the load ends
+RESULT_WAIT_S = 6.0  # for jobs that run when the load ends
 BAD_CLIENTS = 2
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What came of one seed."""
+    """The result of one seed."""
 
     plan: Plan
     observation: Observation
@@ -55,7 +55,7 @@
 
 
 class SoakRun:
-    """One seed's run."""
+    """One run of a plan."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self._plan = plan
@@ -67,14 +67,14 @@
         self._discovery = Discovery(self._workers, self._observation)
         self._stop = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self._programs: list[Program] = []  # those whose end is audited
+        self._programs: list[Program] = []  # the processes that are audited
         self._started: list[Program] = []
         self._http: Address = (HOST, _free_port())
         self._attempts = plan.max_attempts
         self._loosened = False
 
     async def play(self) -> Observation:
-        """Play it; returns what was seen."""
+        """Run the plan; return the observations."""
         try:
             return await self._play()
         finally:
@@ -119,7 +119,7 @@
         self._tasks.append(task)
         return task
 
-    # ---- The program ----
+    # ---- The daemon ----
 
     async def _start(self, name: str) -> Program:
         program = Program(self._folder, name, self._config(), self._operator(name))
@@ -195,7 +195,7 @@
         self._reload(reload)
 
     def _reload(self, reload: Reload) -> None:
-        """Write the file and send SIGHUP. With deferred jobs the classes stay, so no class is loosened."""
+        """Write the config and send SIGHUP. With deferred jobs the classes stay, so none is loosened."""
         program = self._programs[0]
         if reload is Reload.ATTEMPTS:
             self._attempts = self._attempts % 4 + 1
@@ -207,7 +207,7 @@
         program.send(signal.SIGHUP)
 
     async def _crowd(self) -> None:
-        """Idle connections that fill the descriptors."""
+        """Open idle connections until the descriptors run out."""
         await asyncio.sleep(LOAD_S / 2)
         loop = asyncio.get_running_loop()
         begin = loop.time()
@@ -221,7 +221,7 @@
         self._observation.crowded.append((begin, loop.time() + CROWD_TAIL_S))
 
     async def _submit_deferred_jobs(self) -> None:
-        """Deferred jobs, one after the other."""
+        """Submit deferred jobs, one after another."""
         loop = asyncio.get_running_loop()
         for number in range(1_000):
             id_, job_class = f"d{number}", random.Random(number).choice(("peek", "file"))
@@ -230,7 +230,7 @@
             await asyncio.sleep(SUBMISSION_PAUSE_S)
 
     async def _watch_lag(self) -> None:
-        """How late this process's own loop is: where it is late, so are its records."""
+        """Record the largest lag of this process's event loop, because its records are late by as much."""
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + LAG_CHECK_S
@@ -258,7 +258,7 @@
                 await self._terminate(program, clients, ending)
 
     async def _terminate(self, program: Program, clients: list[Client], ending: Ending) -> None:
-        """SIGTERM. Clients use their connections on, until SIGKILL would come."""
+        """Send SIGTERM. Clients go on using their connections until the time of SIGKILL."""
         if ending is Ending.HUP_TERM:
             self._reload(Reload.ATTEMPTS)
         program.send(signal.SIGTERM)
@@ -279,12 +279,12 @@
         await new.wait_ready(await new.address("control"), "/control/ready")
         old.send(signal.SIGTERM)
         await old.wait_exit(self._kill_after_s())
-        # Connections may be shut unread while the two share the address (DAYS).
+        # Connections may be closed unread while both processes share the address (DAYS).
         self._observation.crowded.append((begin, loop.time()))
         await self._terminate(new, clients, Ending.TERM)
 
     async def _check_acknowledged_jobs(self) -> None:
-        """Start the program again on its store: it has to know every job that was acknowledged."""
+        """Restart the daemon on its store and check that it knows every acknowledged job."""
         if not self._observation.acknowledged_jobs:
             return
         program = await self._start("after")
@@ -308,7 +308,7 @@
 
 
 def play(plan: Plan) -> Verdict:
-    """Play a plan and audit it."""
+    """Run a plan and audit it."""
     with tempfile.TemporaryDirectory() as folder:
 
         async def run_plan() -> Observation:
--- a/benchmarks/soak/workers.py
+++ b/benchmarks/soak/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in workers: each records what it is sent, and misbehaves as it is told."""
+"""Stand-in workers, which record the attempts that reach them and inject faults on request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Worker:
-    """One worker; `address` stays the same when it dies and comes back."""
+    """A worker whose address stays the same when it dies and returns."""
 
     def __init__(self, name: str, slots: int, observation: Observation, seed: int) -> None:
         self.name = name
@@ -34,13 +34,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, at the address that it had before."""
+        """Start listening, after a restart on the same port as before."""
         self._server = await asyncio.start_server(self._serve, HOST, self._port, reuse_address=True)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"{HOST}:{self._port}"
 
     def die(self) -> None:
-        """Reset all connections and listen no more."""
+        """Reset all connections and stop listening."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -85,7 +85,7 @@
                 closed.cancel()
 
     async def _watch(self, reader: asyncio.StreamReader, arrival: Arrival) -> None:
-        """Note when the scheduler gives the attempt up."""
+        """Record when the scheduler closes the connection."""
         try:
             while await reader.read(1 << 16):
                 pass
--- a/benchmarks/stand_in_fleet.py
+++ b/benchmarks/stand_in_fleet.py
@@ -1,4 +1,4 @@
-"""Stand-in workers and discovery for measurements, on loopback: the platform's protocol, as far as needed."""
+"""Stand-in workers and discovery for benchmarks, on loopback. They implement only part of the protocol."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class JobRun:
-    """One job at a worker."""
+    """One run of a job at a worker."""
 
     id: str
     job_class: str
@@ -23,34 +23,34 @@
 async def serve_discovery(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ports: list[int]
 ) -> None:
-    """Discovery's side of a connection: workers on these ports, and nothing ever changes."""
+    """Serve discovery on one connection: workers on these ports, in a list that never changes."""
     entry = {"az": "a", "model": "m", "state": "ready", "boot_ms": 0}
-    targets = [{"uid": f"w{i}", "endpoint": f"127.0.0.1:{p}", **entry} for i, p in enumerate(ports)]
+    targets = [{"uid": f"w{i}", "endpoint": f"127.0.0.1:{port}", **entry} for i, port in enumerate(ports)]
     try:
         while head := await reader.readuntil(HEAD_END):
-            whole = b"after=" not in head
-            if not whole:  # a watch
+            is_full = b"after=" not in head
+            if not is_full:  # a watch
                 await asyncio.sleep(int((re.search(rb"wait_ms=(\d+)", head) or [b"", b"0"])[1]) / 1000)
-            body = json.dumps({"rev": 1, "all": whole, "targets": targets if whole else []}).encode()
+            body = json.dumps({"rev": 1, "all": is_full, "targets": targets if is_full else []}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):  # the last one: we close
+    except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):  # CancelledError: the fleet closes
         writer.close()
 
 
 @dataclass(slots=True)
 class StandInFleet:
-    """Workers with slots, first come first served, and the list that names them."""
+    """Workers with slots, which serve jobs in order of arrival, and their discovery service."""
 
     workers: int
     slots: int
-    run_time_s: dict[str, float]  # how long a job of a class runs
+    run_time_s: dict[str, float]  # by class of jobs
     runs: list[JobRun] = field(default_factory=list)
     most_waiting: int = 0
     _ports: list[int] = field(default_factory=list)
     _servers: list[asyncio.Server] = field(default_factory=list)
 
     async def start(self) -> str:
-        """Begin to listen; returns discovery's address."""
+        """Start the workers and discovery; return discovery's address."""
         for _ in range(self.workers):
             slots_free = asyncio.Semaphore(self.slots)
             self._ports.append(
@@ -64,7 +64,7 @@
         return int(server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
