--- a/examples/app.py
+++ b/examples/app.py
@@ -1,4 +1,4 @@
-"""An aiohttp application that schedules POST /preview and the like, beside handlers of its own.
+"""An aiohttp application that schedules requests such as POST /preview, and has handlers of its own.
 
 LB_CONFIG=examples/config.json python examples/app.py --port 18081
 """
@@ -17,21 +17,21 @@
 
 
 async def hello(request: web.Request) -> web.Response:
-    """One of the application's own pages."""
+    """Serve a page of the application itself, which is not scheduled."""
     return web.Response(text="an application of its own\n")
 
 
 async def make_app() -> web.Application:
-    """The application, with a scheduler that lives as long as it does."""
+    """Create the application. Its scheduler starts and stops with it."""
     subsystems = compose(load(os.environ))
 
-    async def scheduler_lives(app: web.Application) -> AsyncIterator[None]:
+    async def run_scheduler(app: web.Application) -> AsyncIterator[None]:
         subsystems.start()
         yield
         await subsystems.close()
 
     app = web.Application(middlewares=[scheduling(subsystems.scheduler, subsystems.classes)])
-    app.cleanup_ctx.append(scheduler_lives)
+    app.cleanup_ctx.append(run_scheduler)
     app.add_routes([web.get("/", hello)])
     return app
 
--- a/examples/one_job.py
+++ b/examples/one_job.py
@@ -1,4 +1,4 @@
-"""The whole in one command: a toy worker with its list, the scheduler, and one job served through it.
+"""Runs a toy worker with its discovery service and the scheduler, and sends one job through them.
 
 python examples/one_job.py
 """
@@ -18,8 +18,8 @@
 ENV = {**os.environ, "PYTHONPATH": str(HERE.parent), "PYTHONUNBUFFERED": "1"}
 
 
-def started(ready: str, pattern: str, *command: str, **env: str) -> tuple[subprocess.Popen[str], str]:
-    """A program once it has said that it is ready, and what it has said by the pattern until then."""
+def start_program(ready: str, pattern: str, *command: str, **env: str) -> tuple[subprocess.Popen[str], str]:
+    """Start a program, wait for its line that holds `ready`; return it and the last match of the pattern."""
     process = subprocess.Popen(
         [sys.executable, *command], env=ENV | env, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
     )
@@ -31,17 +31,17 @@
             found = match[1]
         if found and ready in line:
             return process, found
-    raise SystemExit("it ended without a word")
+    raise SystemExit(f"{command} exited before it printed {ready!r}")
 
 
 def main() -> None:
-    """Serve one job."""
-    toy, worker = started("toy server", r"on ([\d.]+:\d+)", str(HERE / "toy_server.py"), "--port", "0")
+    """Send one job and print its result."""
+    toy, worker = start_program("toy server", r"on ([\d.]+:\d+)", str(HERE / "toy_server.py"), "--port", "0")
     with tempfile.TemporaryDirectory() as folder:
         config = json.loads((HERE / "config.json").read_text())
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(config | {"listen": "127.0.0.1:0", "discovery": worker}))
-        scheduler, address = started(
+        scheduler, address = start_program(
             "-> serving", r"http listens on (\S+)", "-m", "oxbowyard", LB_CONFIG=str(path)
         )
         try:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy scan worker and the list that names it, on one port, to try the scheduler with.
+"""A toy scan worker and its discovery service, on one port, to try the scheduler with.
 
 python examples/toy_server.py --port 18500
 """
@@ -12,11 +12,11 @@
 
 from aiohttp import web
 
-RUN_SECONDS = 0.2
+RUN_TIME_S = 0.2
 
 
 async def hosts(request: web.Request) -> web.Response:
-    """The list: one worker, which is this program. A watch waits in vain, since nothing ever changes."""
+    """Serve discovery: this program is the only worker. A watch times out, as the list never changes."""
     if "after" in request.query:
         await asyncio.sleep(int(request.query.get("wait_ms", "0")) / 1000)
         return web.json_response({"rev": 1, "all": False, "targets": []})
@@ -28,15 +28,15 @@
 
 
 async def events(job: str, body: bytes) -> AsyncIterator[dict[str, object]]:
-    """What happens to one job."""
+    """Run one job and yield its events."""
     yield {"id": job, "from": "toy", "state": "started"}
-    await asyncio.sleep(RUN_SECONDS)
+    await asyncio.sleep(RUN_TIME_S)
     result = f"{len(body)} bytes processed"
     yield {"id": job, "from": "toy", "state": "done", "result": result, "load": {"x0": 4, "waiting": 0}}
 
 
 async def run_job(request: web.Request) -> web.StreamResponse:
-    """Take a job and tell of it line by line."""
+    """Run a job and stream its events as JSON lines."""
     body = await request.read()
     response = web.StreamResponse()
     response.enable_chunked_encoding()
