--- a/benchmarks/decision_replay.py
+++ b/benchmarks/decision_replay.py
@@ -101,7 +101,7 @@
 ORDERED_FREE = _lane("ordered-free", "free", 1000.0, 6000.0, worth=1.0, inOrder=True)
 STREAM = _lane("stream", "free", 1000.0, 6000.0, worth=1.0, streaming=True)
 
-DRAWS = (
+SCENARIOS = (
     Draw("keyed", (PREVIEW, CHECK, ONCE), keys=25, rate=45.0, leaves=0.02),
     Draw(
         "cold", (PREVIEW, ONCE), workers=16, rate=40.0, restarts=0.6, resets=0.02, reports=True, by_work=True
@@ -615,16 +615,16 @@
 
 def play(index: int) -> Result:
     """Play one draw."""
-    world = World(DRAWS[index], seed=1)
+    world = World(SCENARIOS[index], seed=1)
     world.run()
     events = sum(n for name, n in world.count.items() if not name.startswith("->") and name != "inventory")
-    return Result(DRAWS[index].name, world.digest.hexdigest(), events, dict(sorted(world.count.items())))
+    return Result(SCENARIOS[index].name, world.digest.hexdigest(), events, dict(sorted(world.count.items())))
 
 
 def play_all(jobs: int) -> list[Result]:
     """Play all draws, some at once."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(play, range(len(DRAWS))))
+        return list(pool.map(play, range(len(SCENARIOS))))
 
 
 def main() -> int:
--- a/tests/test_decision_replay.py
+++ b/tests/test_decision_replay.py
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("name", ["ordered", "replaced", "private"])
 def test_a_history_is_the_same_each_time(name: str) -> None:
-    draw = replace(next(d for d in decision_replay.DRAWS if d.name == name), seconds=10.0)
+    draw = replace(next(d for d in decision_replay.SCENARIOS if d.name == name), seconds=10.0)
     first, second = decision_replay.World(draw, 3), decision_replay.World(draw, 3)
     first.run()
     second.run()
@@ -21,7 +21,7 @@
 
 
 def test_another_seed_is_another_history() -> None:
-    draw = replace(decision_replay.DRAWS[0], seconds=5.0)
+    draw = replace(decision_replay.SCENARIOS[0], seconds=5.0)
     digests = set()
     for seed in (1, 2):
         world = decision_replay.World(draw, seed)
@@ -32,7 +32,7 @@
 
 def test_the_recorded_histories_cover_what_the_decisions_know() -> None:
     recorded = orjson.loads(RECORDED.read_bytes())
-    assert set(recorded) == {draw.name for draw in decision_replay.DRAWS}
+    assert set(recorded) == {draw.name for draw in decision_replay.SCENARIOS}
     assert sum(history["events"] for history in recorded.values()) >= 100_000
     seen = {name for history in recorded.values() for name in history["counts"]}
     wanted = {"passOn", "decline", "giveUp", "abandon", "defer", "follow", "close"}
