--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,8 +1,8 @@
-"""Cold workers under the sum of all schedulers, in virtual time: `python -m benchmarks.cold_fleet`.
+"""Cold workers under the load of several schedulers, in virtual time: `python -m benchmarks.cold_fleet`.
 
-Schedulers that share nothing, each a decision module of its own, send to one fleet of workers; some workers
-start cold as a burst begins. A cold worker falls when more than N + 2 x root of N + 2 requests of mean work
-reach it within the time that the settings name, N being what the settings allow it then. One seed is one
+Independent schedulers, each with its own dispatcher, send to one fleet of workers. Some workers start cold as
+a burst begins. A cold worker fails when more than N + 2 * sqrt(N) + 2 requests of mean work reach it within
+the overload window, where N is what the settings allow it at its current warmth. The seed determines the
 history.
 """
 
@@ -50,11 +50,8 @@
     objective_stretch=2.0,
 )
 RAMP_MS, TIP_MULTIPLE, TIP_AFTER_MS, COLD_FROM = 22_000.0, 2.5, 3000.0, 0.15
-WARM_UP_MS, COLD_MS = (
-    12_000.0,
-    10_000.0,
-)  # traffic before the cold workers come; the time looked at after that
-BURST, HOT_SHARE = 1.5, 5.0  # times the usual traffic; of one scheduler, times the mean
+WARM_UP_MS, COLD_MS = (12_000.0, 10_000.0)  # load before the cold workers start; the measured time after that
+BURST, HOT_SHARE = 1.5, 5.0  # factor on the load; factor on one scheduler's load
 MEAN_WORK_MS = {SHORT.name: 700.0, ONCE.name: 2600.0}
 ONCE_SHARE = 0.3  # of the requests
 MEAN_MS = ONCE_SHARE * MEAN_WORK_MS[ONCE.name] + (1 - ONCE_SHARE) * MEAN_WORK_MS[SHORT.name]
@@ -62,15 +59,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Scene:
-    """One kind of history."""
+    """The parameters of a simulation."""
 
     schedulers: int = 20
-    away: float = 0.0  # this share of the schedulers that the settings name is not there
+    absent: float = 0.0  # share of the configured schedulers that do not run
     workers: int = 30
     cold: int = 4
     slots: int = 5
     load: float = 0.6  # of the warm workers' capacity, before the burst
-    fresh: bool = False  # the schedulers start with the cold workers and have learned nothing
+    fresh: bool = False  # the schedulers start together with the cold workers, without learned estimates
 
 
 @dataclass(slots=True)
@@ -87,29 +84,31 @@
 
 @dataclass(slots=True)
 class Worker:
-    """Runs what fits, in order; cold, its slots run slower. Keeps what reached it while it was cold."""
+    """A worker that serves in order and slower while it is cold. It records the work that reaches it then."""
 
     name: str
     slots: int
-    started_at: float  # ms; -inf: long ago
+    started_at: float  # ms; -inf is long ago
     running: int = 0
     queue: deque[Work] = field(default_factory=deque)
-    reached: deque[tuple[float, float]] = field(default_factory=deque)  # when, and how many mean works
+    reached: deque[tuple[float, float]] = field(
+        default_factory=deque
+    )  # time, and work as a multiple of the mean
     sum_reached: float = 0.0
     fell_at: float = math.inf
     most_of_bound: float = 0.0
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has."""
+        """Return the share of its full capacity that it has now."""
         age = (now - self.started_at) / RAMP_MS
         return 1.0 if age >= 1 else COLD_FROM + (1 - COLD_FROM) * age
 
-    def take(self, now: float, works: float) -> None:
-        """Work reaches it: it falls if that was too much."""
+    def receive(self, now: float, mean_works: float) -> None:
+        """Record work that reaches a cold worker, and whether it exceeds the bound."""
         if now - self.started_at >= RAMP_MS:
             return
-        self.reached.append((now, works))
-        self.sum_reached += works
+        self.reached.append((now, mean_works))
+        self.sum_reached += mean_works
         while self.reached[0][0] <= now - TIP_AFTER_MS:
             self.sum_reached -= self.reached.popleft()[1]
         allowed = TIP_MULTIPLE * self.warmth(now) * self.slots / MEAN_MS * TIP_AFTER_MS
@@ -121,7 +120,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What became of one history, of the requests that came once the workers were there."""
+    """The result of a simulation; requests count from the start of the cold workers on."""
 
     fallen: int = 0
     most_of_bound: float = 0.0
@@ -131,7 +130,7 @@
 
 
 class ColdFleet:
-    """The schedulers, the workers and the clock."""
+    """A simulation: the schedulers, the workers and the clock."""
 
     def __init__(self, scene: Scene, seed: int) -> None:
         self.scene, self.random = scene, Random(seed)
@@ -139,7 +138,7 @@
         self.result = Result()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
-        self._born: dict[str, tuple[float, float, JobClass]] = {}  # when, its work
+        self._submitted: dict[str, tuple[float, float, JobClass]] = {}  # time, work and class
         self._open: dict[tuple[str, int], Work] = {}
         self._attempts: dict[str, int] = {}
         self._cancelled: set[tuple[str, int]] = set()
@@ -147,7 +146,7 @@
             name: Worker(name, scene.slots, -math.inf if i >= scene.cold else WARM_UP_MS)
             for i, name in enumerate(f"w{i}" for i in range(scene.workers))
         }
-        configured = round(scene.schedulers / (1 - scene.away))
+        configured = round(scene.schedulers / (1 - scene.absent))
         settings = Settings(
             (SHORT, ONCE),
             scheduler_count=configured,
@@ -164,21 +163,23 @@
         warm = tuple(self._info(w) for w in self.workers.values() if w.started_at < 0)
         self._begin = WARM_UP_MS if scene.fresh else 0.0
         if not scene.fresh:
-            self._tell(0.0, warm)
-        self._at(WARM_UP_MS, lambda: self._tell(WARM_UP_MS, tuple(map(self._info, self.workers.values()))))
+            self._publish(0.0, warm)
+        self._schedule(
+            WARM_UP_MS, lambda: self._publish(WARM_UP_MS, tuple(map(self._info, self.workers.values())))
+        )
 
     def _info(self, worker: Worker) -> WorkerInfo:
         return WorkerInfo(worker.name, kind="std", started_at_ms=max(worker.started_at, 0.0))
 
-    def _tell(self, at: float, infos: tuple[WorkerInfo, ...]) -> None:
+    def _publish(self, at: float, infos: tuple[WorkerInfo, ...]) -> None:
         for i, scheduler in enumerate(self.schedulers):
-            self._follow(i, scheduler.handle(at, EndpointsChanged(Scope.FULL, infos)))
+            self._execute(i, scheduler.handle(at, EndpointsChanged(Scope.FULL, infos)))
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
+    def _schedule(self, when: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._order), call))
 
     def run(self) -> Result:
-        """Play the history to its end."""
+        """Run the simulation to its end."""
         rate = self.scene.load * (self.scene.workers - self.scene.cold) * self.scene.slots / MEAN_MS
         shares = [HOT_SHARE if i == 0 else 1.0 for i in range(self.scene.schedulers)]
         for i, share in enumerate(shares):
@@ -195,40 +196,40 @@
     def _next_request(self, scheduler: int, rate: float) -> None:
         burst = BURST if self.now >= WARM_UP_MS else 1.0
         gap = self.random.expovariate(rate * burst)
-        self._at(max(self.now, self._begin) + gap, partial(self._ask, scheduler, rate))
+        self._schedule(max(self.now, self._begin) + gap, partial(self._submit, scheduler, rate))
 
-    def _ask(self, scheduler: int, rate: float) -> None:
+    def _submit(self, scheduler: int, rate: float) -> None:
         self._next_request(scheduler, rate)
         name = f"r{next(self._order)}"
         job_class = ONCE if self.random.random() < ONCE_SHARE else SHORT
         work = self.random.expovariate(1 / MEAN_WORK_MS[job_class.name])
-        self._born[name] = (self.now, work, job_class)
+        self._submitted[name] = (self.now, work, job_class)
         self.result.asked += self.now >= WARM_UP_MS
         key = f"k{self.random.randrange(200)}" if self.random.random() < 0.5 else None
-        self._hand(scheduler, RequestReceived(name, job_class.name, job_class.deadline_ms, key))
+        self._dispatch(scheduler, RequestReceived(name, job_class.name, job_class.deadline_ms, key))
 
-    def _hand(self, scheduler: int, event: Event) -> None:
-        self._follow(scheduler, self.schedulers[scheduler].handle(self.now, event))
+    def _dispatch(self, scheduler: int, event: Event) -> None:
+        self._execute(scheduler, self.schedulers[scheduler].handle(self.now, event))
 
-    def _follow(self, scheduler: int, actions: list[Action]) -> None:
+    def _execute(self, scheduler: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StartAttempt(request_id=name, worker=worker):
                     self._send(scheduler, name, self.workers[worker])
                 case RejectRequest(request_id=name):
-                    self.result.refused += self._born[name][0] >= WARM_UP_MS
+                    self.result.refused += self._submitted[name][0] >= WARM_UP_MS
                 case SetTimer(tag=tag, delay_ms=delay):
-                    self._at(self.now + delay, partial(self._hand, scheduler, TimerFired(tag)))
+                    self._schedule(self.now + delay, partial(self._dispatch, scheduler, TimerFired(tag)))
                 case CancelAttempt(request_id=name, attempt=attempt):
-                    self._at(self.now + 1.0, partial(self._cancel, name, attempt))
+                    self._schedule(self.now + 1.0, partial(self._cancel, name, attempt))
 
     def _send(self, scheduler: int, name: str, worker: Worker) -> None:
         attempt = self._attempts.get(name, 0)
         self._attempts[name] = attempt + 1
-        _, work_ms, job_class = self._born[name]
+        _, work_ms, job_class = self._submitted[name]
         work = Work(scheduler, name, attempt, job_class, work_ms, self.now)
         self._open[name, attempt] = work
-        worker.take(self.now, work_ms / MEAN_MS)
+        worker.receive(self.now, work_ms / MEAN_MS)
         worker.queue.append(work)
         self._start_next(worker)
 
@@ -239,46 +240,51 @@
                 continue
             worker.running += 1
             started = AttemptStarted(work.request, work.attempt, worker.name)
-            self._at(self.now + 1.0, partial(self._hand, work.scheduler, started))
-            self._at(self.now + work.work_ms / worker.warmth(self.now), partial(self._end, worker, work))
+            self._schedule(self.now + 1.0, partial(self._dispatch, work.scheduler, started))
+            self._schedule(
+                self.now + work.work_ms / worker.warmth(self.now), partial(self._end, worker, work)
+            )
 
     def _end(self, worker: Worker, work: Work) -> None:
         worker.running -= 1
         if self._open.pop((work.request, work.attempt), None) is not None:
-            born, work_ms, job_class = self._born[work.request]
+            submitted_at, work_ms, job_class = self._submitted[work.request]
             if (
-                born >= WARM_UP_MS
-                and self.now - born <= job_class.latency_objective_ms + job_class.objective_stretch * work_ms
+                submitted_at >= WARM_UP_MS
+                and self.now - submitted_at
+                <= job_class.latency_objective_ms + job_class.objective_stretch * work_ms
             ):
                 self.result.in_time += 1
             duration = self.now - work.sent
-            self._tell_end(worker.name, work, AttemptResult.OK, duration, final=True)
+            self._report_end(worker.name, work, AttemptResult.OK, duration, final=True)
         self._start_next(worker)
 
     def _cancel(self, name: str, attempt: int) -> None:
         work = self._open.pop((name, attempt), None)
         if work is not None:
             worker = self.schedulers[work.scheduler].state.requests[name].attempts[attempt].worker.name
-            self._tell_end(worker, work, AttemptResult.CANCELLED, self.now - work.sent, final=False)
+            self._report_end(worker, work, AttemptResult.CANCELLED, self.now - work.sent, final=False)
 
-    def _tell_end(self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool) -> None:
+    def _report_end(
+        self, worker: str, work: Work, result: AttemptResult, duration: float, final: bool
+    ) -> None:
         at = self.workers[worker]
         report = {"free_slots": float(at.slots - at.running), "waiting": float(len(at.queue))}
         outcome = AttemptEnded(work.request, work.attempt, worker, result, duration, final, report)
-        self._hand(work.scheduler, outcome)
+        self._dispatch(work.scheduler, outcome)
 
 
 def play(scene: Scene, seed: int) -> Result:
-    """One history."""
+    """Run one simulation."""
     return ColdFleet(scene, seed).run()
 
 
 SCENES = {
-    f"{n} schedulers, {cold} cold{', a tenth away' if away else ''}{', fresh' if fresh else ''}": Scene(
-        n, away, workers, cold, fresh=fresh
+    f"{n} schedulers, {cold} cold{', a tenth away' if absent else ''}{', fresh' if fresh else ''}": Scene(
+        n, absent, workers, cold, fresh=fresh
     )
     for n, workers in ((3, 10), (20, 30), (30, 40), (200, 200))
-    for cold, away, fresh in (
+    for cold, absent, fresh in (
         (1, 0.0, False),
         (4, 0.0, False),
         (min(12, workers // 2), 0.0, False),
@@ -290,10 +296,10 @@
 
 
 def main() -> None:
-    """Play every scene over many seeds; one JSON line each."""
+    """Run every scene over many seeds, and print a line of JSON for each scene."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1000)
-    parser.add_argument("--match", default="", help="only scenes whose name holds this")
+    parser.add_argument("--match", default="", help="only scenes whose name contains this")
     parser.add_argument("--processes", type=int, default=2)
     options = parser.parse_args()
     with ProcessPoolExecutor(options.processes) as pool:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,10 +1,11 @@
-"""Many schedulers begin at once against a list service of fixed capacity.
+"""Many schedulers start at once against a list service of fixed capacity.
 
     python -m benchmarks.cold_start [--sizes 24 100] [--virtual 300 1000 5000]
 
-Real processes: with [start] and [membership], and as they are without them ("today"); then with the service
-down and a list on each disk. Times are read from their logs, from the first process's begin. Virtual time:
-the turns alone against a model of the service, beside exponential backoff with full jitter.
+Real processes run with [start] and [membership] ("start"), without them ("today"), and with the service down
+and a cached list on each disk ("down"). Times are read from their logs and count from the start of the first
+process. In virtual time, fetch admission ("turns") is compared with exponential backoff with full jitter,
+against a model of the service.
 """
 
 from __future__ import annotations
@@ -29,28 +30,28 @@
 
 CONFIG = json.loads((ROOT / "examples/config.json").read_text())
 ASKED = json.loads((ROOT / "tests/settings_asked.json").read_text())
-SERVES = re.compile(r"^(\S+ \S+) .*state starting -> serving", re.M)
-TOLD = re.compile(r"^(\S+ \S+) .*discovery watch active: ", re.M)
+SERVING = re.compile(r"^(\S+ \S+) .*state starting -> serving", re.M)
+LIST_RECEIVED = re.compile(r"^(\S+ \S+) .*discovery watch active: ", re.M)
 
 
-def after(group: Fleet, line: re.Pattern[str], began: float) -> list[float]:
-    """Seconds until each process said so; those that have not are left out."""
+def times_of(group: Fleet, line: re.Pattern[str], began: float) -> list[float]:
+    """Return the seconds until each process logged the line, without those that have not logged it."""
     found = [m for member in group if (m := line.search(member.log()))]
     stamps = [datetime.strptime(m[1], "%Y-%m-%d %H:%M:%S,%f").timestamp() for m in found]
     return sorted(stamp - began for stamp in stamps)
 
 
-def shares(times: list[float], size: int) -> str:
-    """When half, 99% and all had it."""
-    told = []
+def quantiles(times: list[float], size: int) -> str:
+    """Return the times at which 50%, 99% and all of the processes had logged it, as text."""
+    texts = []
     for share in (0.5, 0.99, 1.0):
-        need = max(int(share * size + 0.999), 1)
-        told.append(f"{times[need - 1]:.1f}" if len(times) >= need else "never")
-    return " / ".join(told) + " s"
+        needed = max(int(share * size + 0.999), 1)
+        texts.append(f"{times[needed - 1]:.1f}" if len(times) >= needed else "never")
+    return " / ".join(texts) + " s"
 
 
 def measure_processes(size: int, kind: str, patience: float) -> str:
-    """One group's cold start."""
+    """Start a group of real processes and return its figures as text."""
     service = ListServiceThread(ListService(worker_entries(24)))
     config = CONFIG | {"discovery": service.address, "settings": ASKED | {"siblings": size}}
     try:
@@ -67,15 +68,17 @@
             began = time.time()
             for member in group:
                 member.start()
-            line = SERVES if kind == "down" else TOLD
-            with contextlib.suppress(AssertionError):  # what is missing shows in the figures
-                wait_until(lambda: len(after(group, line, began)) == size, "all have it", patience)
-            lists, serve = after(group, TOLD, began), after(group, SERVES, began)
-        s = service.service
+            line = SERVING if kind == "down" else LIST_RECEIVED
+            with contextlib.suppress(AssertionError):  # the figures show what is missing
+                wait_until(lambda: len(times_of(group, line, began)) == size, "all have it", patience)
+            lists, serve = times_of(group, LIST_RECEIVED, began), times_of(group, SERVING, began)
+        list_service = service.service
         return (
-            f"{size} processes, {kind}: whole lists {s.count('whole')}, newer {s.count('newer')}, turned "
-            f"down {s.count('refused')}, overload at most {s.longest_overload_s():.1f} s; "
-            f"told {shares(lists, size)}; serve {shares(serve, size)}"
+            f"{size} processes, {kind}: full lists {list_service.count('whole')}, "
+            f"changes {list_service.count('newer')}, "
+            f"rejected {list_service.count('refused')}, "
+            f"overload at most {list_service.longest_overload_s():.1f} s; "
+            f"lists after {quantiles(lists, size)}; serving after {quantiles(serve, size)}"
         )
     finally:
         service.close()
@@ -83,84 +86,87 @@
 
 @dataclass
 class Model:
-    """A service in virtual time: calls in turn, turned down when they would wait over two seconds."""
+    """A list service in virtual time, which serves calls in turn and rejects those that wait over 2 s."""
 
     cost: float
     free_at: float = 0.0
-    whole: int = 0
-    refused: list[float] = field(default_factory=list)
+    full_lists: int = 0
+    rejected: list[float] = field(default_factory=list)
 
-    def ask(self, now: float) -> float | None:
-        """When the answer is there, or None."""
+    def call(self, now: float) -> float | None:
+        """Return the time of the answer, or None if the call is rejected."""
         if max(self.free_at - now, 0.0) + self.cost > 2.0:
-            self.refused.append(now)
+            self.rejected.append(now)
             return None
-        self.whole += 1
+        self.full_lists += 1
         self.free_at = max(self.free_at, now) + self.cost
         return self.free_at
 
 
-def virtual(size: int, kind: str, slow: float, seed: int) -> str:
-    """The turns against the model; peers hand their list on."""
+def simulate(size: int, kind: str, slow: float, seed: int) -> str:
+    """Simulate a start against the model and return its figures as text; peers pass on their lists."""
     random, model = Random(seed), Model(0.1 * slow)
     names = [f"m{i}" for i in range(size)]
-    places = list(range(size))
-    random.shuffle(places)  # a digest's order is as good as chance
-    order = dict(zip(names, places, strict=True))
-    has: dict[str, float] = {}
+    ranks = list(range(size))
+    random.shuffle(ranks)  # ranks come from digests, so their order is as good as random
+    rank_of = dict(zip(names, ranks, strict=True))
+    received_at: dict[str, float] = {}
     events: list[tuple[float, int, Callable[[], None]]] = []
     count = 0
     now = 0.0
 
-    def at(when: float, do: Callable[[], None]) -> None:
+    def schedule(when: float, callback: Callable[[], None]) -> None:
         nonlocal count
         count += 1
-        heapq.heappush(events, (when, count, do))
+        heapq.heappush(events, (when, count, callback))
 
-    def call(name: str, tries: int) -> None:
-        if name in has:
+    def fetch(name: str, retries: int) -> None:
+        if name in received_at:
             return
-        ready = model.ask(now)
+        ready = model.call(now)
         if ready is not None:
-            at(ready, lambda: has.update({name: ready}) if name not in has else None)
+            schedule(ready, lambda: received_at.update({name: ready}) if name not in received_at else None)
         elif kind == "turns":
-            at(now + random.uniform(0, 0.25 * size * 2 ** min(tries, 2)), lambda: call(name, tries + 1))
+            schedule(
+                now + random.uniform(0, 0.25 * size * 2 ** min(retries, 2)), lambda: fetch(name, retries + 1)
+            )
         else:
-            at(now + random.uniform(0, min(0.1 * 2**tries, 60.0)), lambda: call(name, tries + 1))
+            schedule(now + random.uniform(0, min(0.1 * 2**retries, 60.0)), lambda: fetch(name, retries + 1))
 
     def ask_peers(name: str) -> None:
-        if name in has:
+        if name in received_at:
             return
-        if any(other in has and has[other] <= now for other in random.sample(names, 2)):
-            has[name] = now + 0.01
+        if any(other in received_at and received_at[other] <= now for other in random.sample(names, 2)):
+            received_at[name] = now + 0.01
             return
-        at(now + 0.5 * random.uniform(0.5, 1.5), lambda: ask_peers(name))
+        schedule(now + 0.5 * random.uniform(0.5, 1.5), lambda: ask_peers(name))
 
     for name in names:
         if kind == "turns":
             admission = FetchAdmission(name, 3, 2.0, random, 1.0)
-            at(admission.due_at_rank(order[name]), lambda name=name: call(name, 0))  # type: ignore[misc]
-            at(1.0, lambda name=name: ask_peers(name))  # type: ignore[misc]
+            schedule(admission.due_at_rank(rank_of[name]), lambda name=name: fetch(name, 0))  # type: ignore[misc]
+            schedule(1.0, lambda name=name: ask_peers(name))  # type: ignore[misc]
         else:
-            at(random.uniform(0, 0.1), lambda name=name: call(name, 0))  # type: ignore[misc]
-    while events and len(has) < size:
-        now, _, do = heapq.heappop(events)
-        do()
-    times = sorted(has.values())
-    runs = 0.0
+            schedule(random.uniform(0, 0.1), lambda name=name: fetch(name, 0))  # type: ignore[misc]
+    while events and len(received_at) < size:
+        now, _, callback = heapq.heappop(events)
+        callback()
+    times = sorted(received_at.values())
+    longest_overload = 0.0
     begin = last = -10.0
-    for when in model.refused:
+    for when in model.rejected:
         begin = when if when - last > 1.0 else begin
-        runs, last = max(runs, when - begin), when
+        longest_overload, last = max(longest_overload, when - begin), when
     return (
-        f"{size} in virtual time, {kind}, service {'at a tenth' if slow > 1 else 'well'}: whole lists "
-        f"{model.whole}, turned down {len(model.refused)}, overload at most {runs:.1f} s; "
-        f"told {shares(times, size)}"
+        f"{size} in virtual time, {kind}, service {'at a tenth of its capacity' if slow > 1 else 'healthy'}: "
+        f"full lists {model.full_lists}, rejected {len(model.rejected)}, "
+        f"overload at most {longest_overload:.1f} s; "
+        f"lists after {quantiles(times, size)}"
     )
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print a line for each case."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", type=int, nargs="*", default=[24, 100])
     parser.add_argument("--virtual", type=int, nargs="*", default=[300, 1000, 5000])
@@ -169,7 +175,7 @@
     for size in args.virtual:
         for slow in (1.0, 10.0):
             for kind in ("turns", "backoff"):
-                print(virtual(size, kind, slow, 1), flush=True)
+                print(simulate(size, kind, slow, 1), flush=True)
     for size in args.sizes:
         for kind in ("start", "today", "down"):
             print(measure_processes(size, kind, args.patience), flush=True)
--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -1,9 +1,9 @@
-"""The daemon with named points at which it kills itself: for the crash audit alone.
+"""Forks daemons that kill themselves at a named point, for the crash audit.
 
-It is the parent of all that it starts: a line of JSON on standard input names the arguments, the environment,
-the file for the log and the point (`at`, and `nth`: how often it is passed until then); the answer is the
-number of the process. Forked with all imported, a start costs some milliseconds. With `broken` a grant's
-commit comes after the send, so that the audit has something to find.
+Each line of JSON on standard input orders one process: its arguments, environment, log file, and the point at
+which it kills itself (`at`, on the `nth` time that it passes it). The answer is the process id. All modules
+are imported before the fork, so a start takes only a few milliseconds. With `broken` a grant is committed
+only after the job was sent, a defect that the audit must find.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from typing import Any
 
 import oxbowyard.__main__ as program
-import oxbowyard.clients.job_routes  # imported before the fork, once for all
+import oxbowyard.clients.job_routes  # imported before the fork, so that children start quickly
 import oxbowyard.durable.durable_store
 import oxbowyard.operator.file  # noqa: F401
 from oxbowyard.durable.journal import DurableJournal
@@ -32,7 +32,7 @@
 
 
 def point(name: str) -> None:
-    """Die here, if it is the turn of this point."""
+    """Kill this process if the ordered point has been passed often enough."""
     global passed
     if AT and name == AT:
         passed += 1
@@ -40,8 +40,8 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
 
-def before(owner: type, method: str, name: str) -> None:
-    """A point before each call of a method."""
+def add_point_before(owner: type, method: str, name: str) -> None:
+    """Add a point before each call of a method."""
     inner: Callable[..., Any] = getattr(owner, method)
 
     def wrapped(*args: Any, **named: Any) -> Any:
@@ -51,8 +51,8 @@
     setattr(owner, method, wrapped)
 
 
-def after_commit(database: Database, changes: Any) -> None:
-    """The points after a commit, by what it held."""
+def apply_with_points(database: Database, changes: Any) -> None:
+    """Apply changes, then pass the points that belong to them."""
     apply(database, changes)
     for change in changes:
         kind, kept = type(change).__name__, getattr(change, "state", None)
@@ -61,10 +61,10 @@
             point(kept.value)  # granted, started
 
 
-def written_at_once(
+def send_before_commit(
     submissions: CoreSubmissions, job: Any, lease: str, worker: str, then: Callable[[], None]
 ) -> None:
-    """The defect that the audit must find: the send does not wait, and its record comes late."""
+    """Send at once and record the grant later: the defect that the audit must find."""
     then()
     loop = submissions._loop
     loop.call_later(0.03, lambda: submissions._journal.record_grant(job, worker, lease))
@@ -73,7 +73,7 @@
 def written(
     submissions: CoreSubmissions, job: Any, lease: str, worker: str, then: Callable[[], None]
 ) -> None:
-    """A point just after the last byte was handed over."""
+    """Add a point just after the job was sent."""
 
     def sent() -> None:
         then()
@@ -83,21 +83,21 @@
 
 
 apply, grant = Database.apply, CoreSubmissions._record_lease
-Database.apply = after_commit  # type: ignore[method-assign,assignment]
-before(DurableJournal, "record_grant", "before grant")
-before(Recovery, "_restore", "recovering")
-before(DurableJournal, "record_change", "before record")
+Database.apply = apply_with_points  # type: ignore[method-assign,assignment]
+add_point_before(DurableJournal, "record_grant", "before grant")
+add_point_before(Recovery, "_restore", "recovering")
+add_point_before(DurableJournal, "record_change", "before record")
 
 
-def live(order: dict[str, Any]) -> None:
-    """The child: becomes the scheduler, or the worker, that was ordered."""
+def run_child(order: dict[str, Any]) -> None:
+    """Run the ordered scheduler or worker in the child process."""
     global AT, NTH
     if "port" in order:
         signal.signal(signal.SIGCHLD, signal.SIG_DFL)
         crash_worker.main(Path(order["folder"]), order["port"], order["seed"])
         os._exit(0)
     AT, NTH = order["at"], order["nth"]
-    setattr(CoreSubmissions, "_record_lease", written_at_once if order["broken"] else written)  # noqa: B010
+    setattr(CoreSubmissions, "_record_lease", send_before_commit if order["broken"] else written)  # noqa: B010
     log = os.open(order["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
     os.dup2(log, 1)
     os.dup2(log, 2)
@@ -110,14 +110,14 @@
 
 
 def main() -> None:
-    """Fork as ordered, until standard input ends."""
-    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # nobody waits for the dead: they are gone at once
+    """Fork one process for each order, until standard input ends."""
+    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # children are reaped by the system, without a wait
     gc.freeze()
     for line in sys.stdin:
         order = json.loads(line)
         child = os.fork()
         if not child:
-            live(order)
+            run_child(order)
         print(child, flush=True)
 
 
--- a/benchmarks/crash_worker.py
+++ b/benchmarks/crash_worker.py
@@ -1,7 +1,7 @@
-"""Workers for the crash audit, each a process of its own that now and then kills itself.
+"""Workers for the crash audit, each a process that kills itself at random.
 
-Each start of a job is a line in a file, written before anything else is done, so that no kill can take it
-back. While the file `calm` is there nobody dies.
+Before a worker runs a job it appends a line to the file `starts`, so that a kill can't undo the record of a
+start. While the file `calm` exists, no worker kills itself.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 
 from .stand_in_fleet import HEAD_END
 
-BEFORE, WITHIN = 0.03, 0.08  # chances to die when a job has come, before it is begun, and while it runs
+DEATH_CHANCE_BEFORE, DEATH_CHANCE_DURING = 0.03, 0.08  # before a job is recorded as started, and after it ran
 FUNCTIONS = (b"file_specimen", b"render_preview")
 
 
 class Worker:
-    """What both kinds do with a job."""
+    """A worker over HTTP or Gearman."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self._folder = folder
-        self._dice = random.Random(seed)
+        self._rng = random.Random(seed)
         self._starts = os.open(folder / "starts", os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
-    def may_die(self, chance: float) -> None:
-        """SIGKILL, by chance."""
-        if self._dice.random() < chance and not (self._folder / "calm").exists():
+    def die_by_chance(self, chance: float) -> None:
+        """Kill this process with a probability, unless the file `calm` exists."""
+        if self._rng.random() < chance and not (self._folder / "calm").exists():
             os.kill(os.getpid(), signal.SIGKILL)
 
     async def work(self, payload: str) -> None:
-        """One job."""
-        self.may_die(BEFORE)
+        """Run one job."""
+        self.die_by_chance(DEATH_CHANCE_BEFORE)
         os.write(self._starts, payload.encode() + b"\n")
-        await asyncio.sleep(self._dice.uniform(0, 0.05))
-        self.may_die(WITHIN)
+        await asyncio.sleep(self._rng.uniform(0, 0.05))
+        self.die_by_chance(DEATH_CHANCE_DURING)
 
-    async def http(self, port: int) -> None:
-        """Listen for ever; another process may have the port for a moment, on its own end of a connection."""
+    async def serve_http(self, port: int) -> None:
+        """Serve HTTP forever. Retry while another process has the port as the local port of a connection."""
         while True:
             try:
                 server = await asyncio.start_server(self._serve, "127.0.0.1", port)
@@ -70,8 +70,8 @@
         finally:
             writer.close()
 
-    async def gearman(self) -> None:
-        """Work for whichever scheduler the file `gearman` names, for ever."""
+    async def serve_gearman(self) -> None:
+        """Serve forever the scheduler whose address the file `gearman` holds."""
         while True:
             try:
                 host, port = (self._folder / "gearman").read_text().split()
@@ -79,9 +79,9 @@
             except (OSError, ValueError):
                 await asyncio.sleep(0.02)
                 continue
-            await self._stay(reader, writer)
+            await self._serve_connection(reader, writer)
 
-    async def _stay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         decoder = Decoder(1 << 20, magic=b"\0RES")
         writer.write(b"".join(encode(PacketType.CAN_DO, name, magic=b"\0REQ") for name in FUNCTIONS))
         writer.write(encode(PacketType.GRAB_JOB, magic=b"\0REQ"))
@@ -89,13 +89,13 @@
             while data := await reader.read(65536):
                 for packet in decoder.feed(data):
                     assert isinstance(packet, Packet)
-                    await self._take(packet, writer)
+                    await self._handle_packet(packet, writer)
         except OSError:
             pass
         finally:
             writer.close()
 
-    async def _take(self, packet: Packet, writer: asyncio.StreamWriter) -> None:
+    async def _handle_packet(self, packet: Packet, writer: asyncio.StreamWriter) -> None:
         if packet.type == PacketType.NO_JOB:
             writer.write(encode(PacketType.PRE_SLEEP, magic=b"\0REQ"))
         elif packet.type == PacketType.NOOP:
@@ -113,6 +113,6 @@
 
 
 def main(folder: Path, port: int, seed: int) -> None:
-    """One worker's life; port 0: a Gearman worker."""
+    """Run one worker: over HTTP on this port, or over Gearman if the port is 0."""
     worker = Worker(folder, seed)
-    asyncio.run(worker.http(port) if port else worker.gearman())
+    asyncio.run(worker.serve_http(port) if port else worker.serve_gearman())
--- a/benchmarks/durable_crash.py
+++ b/benchmarks/durable_crash.py
@@ -1,11 +1,11 @@
-"""Kills schedulers and workers at random and counts: no accession twice, one answer a job, none lost.
+"""Kills schedulers and workers at random; checks that no accession runs twice, and no job is lost.
 
     python -m benchmarks.durable_crash [--runs 100] [--seed 1] [--broken] [--parallel 4]
 
-A run is one store: jobs are handed in over HTTP and as Gearman background jobs, the scheduler is killed with
-SIGKILL a few times, at random or at a named point, and so are the workers, each a process; in the end all is
-left alone until nothing is open. Each start of a job is a line in a file that its worker wrote first.
-`--broken` has the grant's commit come after the send: the audit must then find a double run.
+Each run has one store. Jobs are submitted over HTTP and as Gearman background jobs. The scheduler is killed
+with SIGKILL several times, at random or at a named point, and so are the workers, each of which is a process.
+Then nothing is killed any more until no job is open. Before a worker runs a job, it writes a line to a file.
+With `--broken` the grant is committed only after the job was sent: the audit must then find a double run.
 """
 
 from __future__ import annotations
@@ -39,11 +39,15 @@
 POINTS = (
     "taken", "before grant", "before record", "granted", "written", "started", "answered", "recovering", "",
 )  # fmt: skip
-JOBS = 8  # of each front in a run
+JOBS = 8  # per front and run
 KILLS = 3
-RUN_WITHIN = 60.0
-FIRST_PORT, PORTS, SLOTS = 10_000, 5, 4_400  # below those that the system gives out: no run meets another's
-AT_ONCE = 10  # runs in one batch of a process
+RUN_TIMEOUT_S = 60.0
+FIRST_PORT, PORTS_PER_RUN, PORT_BLOCKS = (
+    10_000,
+    5,
+    4_400,
+)  # below the ephemeral ports; runs use disjoint blocks
+RUNS_PER_BATCH = 10  # that one process of the pool plays in a row
 OPERATOR = """
 [waiting]
 max_patience_s = 600.0
@@ -70,16 +74,16 @@
 
 @dataclass(slots=True)
 class Audit:
-    """What the workers and clients saw."""
+    """What the workers and clients of one run observed."""
 
-    starts: Counter[str] = field(default_factory=Counter)  # by payload: which names the job
-    handed_in: dict[str, str] = field(default_factory=dict)  # id by payload, once acknowledged
+    starts: Counter[str] = field(default_factory=Counter)  # number of starts by payload, which names the job
+    submitted: dict[str, str] = field(default_factory=dict)  # job id by payload, of acknowledged jobs
     ends: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
 
 
-class Nursery:
-    """The process that forks schedulers."""
+class ForkServer:
+    """The process that forks schedulers and workers (benchmarks.crash_points)."""
 
     def __init__(self) -> None:
         self._process = subprocess.Popen(
@@ -88,14 +92,14 @@
         )  # fmt: skip
 
     def start(self, order: Mapping[str, object]) -> int:
-        """Start one; returns its number."""
+        """Fork a scheduler or worker; return its process id."""
         assert self._process.stdin and self._process.stdout
         self._process.stdin.write(json.dumps(order) + "\n")
         self._process.stdin.flush()
         return int(self._process.stdout.readline())
 
     def close(self) -> None:
-        """No more of them."""
+        """End the process; its children go on."""
         assert self._process.stdin and self._process.stdout
         self._process.stdin.close()
         self._process.stdout.close()
@@ -103,7 +107,7 @@
 
 
 def alive(pid: int) -> bool:
-    """Whether a process has not died; the nursery leaves nobody as a zombie."""
+    """Return whether a process exists; the fork server leaves no zombies."""
     try:
         os.kill(pid, 0)
     except ProcessLookupError:
@@ -112,40 +116,40 @@
 
 
 def kill(pid: int) -> None:
-    """SIGKILL, and wait until it is gone."""
+    """Kill a process and wait until it no longer exists."""
     while alive(pid):
-        with suppress(ProcessLookupError):  # it died meanwhile
+        with suppress(ProcessLookupError):  # it has died meanwhile
             os.kill(pid, signal.SIGKILL)
         time.sleep(0.001)
 
 
 class Workers:
-    """Three HTTP workers with their list and two Gearman workers; whoever dies is replaced a moment later."""
+    """Three HTTP workers with discovery and two Gearman workers. Dead ones are replaced after a moment."""
 
-    def __init__(self, nursery: Nursery, folder: Path, dice: random.Random, port: int) -> None:
-        self._nursery = nursery
+    def __init__(self, fork_server: ForkServer, folder: Path, rng: random.Random, port: int) -> None:
+        self._fork_server = fork_server
         self._folder = folder
-        self._dice = dice
-        self._alive: dict[int, int] = {}  # port of each process; 0: a Gearman worker
+        self._rng = rng
+        self._alive: dict[int, int] = {}  # port by process id; 0 is a Gearman worker
         self._list: asyncio.Server | None = None
         self._ports = [port, port + 1, port + 2]
         self.deaths = 0
 
     async def start(self) -> str:
-        """Begin; returns discovery's address."""
+        """Start the workers and discovery; return discovery's address."""
         self._list = await asyncio.start_server(self._discover, "127.0.0.1", 0)
         for port in (*self._ports, 0, 0):
             self._spawn(port)
         return f"127.0.0.1:{self._list.sockets[0].getsockname()[1]}"
 
     def _spawn(self, port: int) -> None:
-        order = {"folder": str(self._folder), "port": port, "seed": self._dice.getrandbits(32)}
-        self._alive[self._nursery.start(order)] = port
+        order = {"folder": str(self._folder), "port": port, "seed": self._rng.getrandbits(32)}
+        self._alive[self._fork_server.start(order)] = port
 
     async def replace(self) -> None:
-        """Look after them, for ever."""
+        """Replace workers that have died, until cancelled."""
         while True:
-            await asyncio.sleep(self._dice.uniform(0.01, 0.1))
+            await asyncio.sleep(self._rng.uniform(0.01, 0.1))
             for pid in [pid for pid in self._alive if not alive(pid)]:
                 self.deaths += 1
                 self._spawn(self._alive.pop(pid))
@@ -154,7 +158,7 @@
         await serve_discovery(reader, writer, self._ports)
 
     def close(self) -> None:
-        """End all."""
+        """Kill all workers and close discovery."""
         if self._list is not None:
             self._list.close()
         for pid in self._alive:
@@ -162,10 +166,17 @@
 
 
 class Scheduler:
-    """One life of the scheduler under test."""
+    """One process of the scheduler under test."""
 
     def __init__(
-        self, nursery: Nursery, folder: Path, discovery: str, port: int, point: str, nth: int, broken: bool
+        self,
+        fork_server: ForkServer,
+        folder: Path,
+        discovery: str,
+        port: int,
+        point: str,
+        nth: int,
+        broken: bool,
     ) -> None:
         config = json.loads((ROOT / "examples/config.json").read_text())
         config |= {"listen": f"127.0.0.1:{port}", "discovery": discovery}
@@ -173,38 +184,38 @@
         (folder / "operator.toml").write_text(OPERATOR.format(path=folder / "jobs.db", port=port + 1))
         self._log = folder / f"log-{time.monotonic_ns()}"
         self._log.touch()
-        self._pid = nursery.start({
+        self._pid = fork_server.start({
             "arguments": ["--operator", str(folder / "operator.toml")], "log": str(self._log), "at": point,
             "env": {"LB_CONFIG": str(folder / "config.json")}, "nth": nth, "broken": broken,
         })  # fmt: skip
 
     @property
-    def lives(self) -> bool:
-        """It has not died."""
+    def is_running(self) -> bool:
+        """Whether the process still exists."""
         return alive(self._pid)
 
     async def address(self, front: str) -> tuple[str, int]:
-        """Where a front listens; raises OSError if it died before."""
-        while self.lives:
+        """Wait until a front listens; return its host and port. Raise OSError if the process died before."""
+        while self.is_running:
             if found := re.search(rf"{front} listens on ([\d.]+):(\d+)", self._log.read_text()):
                 return found[1], int(found[2])
             await asyncio.sleep(0.01)
-        raise OSError(f"it has died: {self._log.read_text()[-1500:]}")
+        raise OSError(f"the scheduler died before {front} listened: {self._log.read_text()[-1500:]}")
 
     def kill(self) -> None:
-        """SIGKILL, if it has not come to it by itself."""
+        """Kill the process, unless it has already killed itself at its point."""
         kill(self._pid)
 
     def log(self) -> str:
-        """What it said."""
+        """Return its log."""
         return self._log.read_text()
 
 
-async def hand_in(started: Scheduler, audit: Audit, names: list[str]) -> None:
-    """The clients: each job is handed in until it is acknowledged, with its idempotency key."""
+async def submit_jobs(started: Scheduler, audit: Audit, names: list[str]) -> None:
+    """Submit jobs over both fronts, with idempotency keys, since unacknowledged ones are submitted again."""
     try:
         host, port = await started.address("http")
-        gearman = asyncio.create_task(hand_in_gearman(started, audit, [n for n in names if "-g" in n]))
+        gearman = asyncio.create_task(submit_gearman_jobs(started, audit, [n for n in names if "-g" in n]))
         async with aiohttp.ClientSession() as session:
             for name in [n for n in names if "-h" in n]:
                 job_class = name.partition("-")[0]
@@ -212,15 +223,15 @@
                 url = f"http://{host}:{port}/jobs/{job_class}"
                 async with session.post(url, data=name.encode(), headers=headers) as response:
                     if response.status == 202:
-                        audit.handed_in[name] = (await response.json())["id"]
+                        audit.submitted[name] = (await response.json())["id"]
                 await asyncio.sleep(0.01)
         await gearman
     except (OSError, aiohttp.ClientError, asyncio.IncompleteReadError):
-        pass  # it was killed: what is not acknowledged comes again
+        pass  # the scheduler was killed; jobs not acknowledged are submitted again
 
 
-async def hand_in_gearman(started: Scheduler, audit: Audit, names: list[str]) -> None:
-    """The same by background jobs; unique ids make a job that is still open the same one."""
+async def submit_gearman_jobs(started: Scheduler, audit: Audit, names: list[str]) -> None:
+    """Submit Gearman background jobs; by its unique id a job that is still open is not created twice."""
     try:
         reader, writer = await asyncio.open_connection(*await started.address("gearman"))
         for name in names:
@@ -231,15 +242,15 @@
             head = await reader.readexactly(12)
             data = await reader.readexactly(int.from_bytes(head[8:], "big"))
             if int.from_bytes(head[4:8], "big") == PacketType.JOB_CREATED:
-                audit.handed_in[name] = data.decode()
+                audit.submitted[name] = data.decode()
             await asyncio.sleep(0.01)
         writer.close()
     except (OSError, asyncio.IncompleteReadError):
         pass
 
 
-async def look(started: Scheduler) -> list[dict[str, object]]:
-    """All jobs that are open."""
+async def fetch_open_jobs(started: Scheduler) -> list[dict[str, object]]:
+    """Return all open jobs."""
     host, port = await started.address("http")
     async with aiohttp.ClientSession() as session:
         states = "&".join(f"state={s}" for s in ("held", "timed", "quiet", "ready", "asked", "started"))
@@ -248,92 +259,94 @@
 
 
 async def answers(started: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
-    """Each job's answer as its client finds it; one that was found before must be the same."""
+    """Fetch the answer of each acknowledged job; report jobs that are lost or whose answer has changed."""
     host, port = await started.address("http")
     async with aiohttp.ClientSession() as session:
-        for name, id_ in audit.handed_in.items():
+        for name, id_ in audit.submitted.items():
             async with session.get(f"http://{host}:{port}/jobs/{id_}") as response:
                 view = await response.json()
             if response.status != 200:
                 audit.faults.append(f"{name} is lost: {view}")
                 continue
-            told = str(view.get("end") or view["state"])
-            if name in seen and seen[name] != told and seen[name] != "doubt" and "end" in view:
-                audit.faults.append(f"{name} had the answer {seen[name]}, and now {told}")
-            if "end" in view or told == "doubt":
-                seen[name] = told
+            answer = str(view.get("end") or view["state"])
+            if name in seen and seen[name] != answer and seen[name] != "doubt" and "end" in view:
+                audit.faults.append(f"{name} had the answer {seen[name]}, and now {answer}")
+            if "end" in view or answer == "doubt":
+                seen[name] = answer
 
 
 async def run(
-    nursery: Nursery, folder: Path, seed: int, broken: bool
+    fork_server: ForkServer, folder: Path, seed: int, broken: bool
 ) -> tuple[Audit, dict[str, str], list[str]]:
-    """One run; returns the audit, each job's answer, and the points at which it was killed."""
-    dice, audit = random.Random(seed), Audit()
-    port = FIRST_PORT + seed % SLOTS * PORTS
-    workers = Workers(nursery, folder, dice, port)
+    """Play one run; return the audit, the answer of each job, and the points of the kills."""
+    rng, audit = random.Random(seed), Audit()
+    port = FIRST_PORT + seed % PORT_BLOCKS * PORTS_PER_RUN
+    workers = Workers(fork_server, folder, rng, port)
     discovery = await workers.start()
     replacing = asyncio.create_task(workers.replace())
     names = [f"{c}-{f}{i}-{seed}" for i in range(JOBS // 2) for c in ("accession", "preview") for f in "hg"]
-    dice.shuffle(names)
+    rng.shuffle(names)
     seen: dict[str, str] = {}
     points = []
     try:
         for life in range(KILLS + 1):
             last = life == KILLS
-            point = "" if last else dice.choice(POINTS)
+            point = "" if last else rng.choice(POINTS)
             points.append(point or ("end" if last else "random"))
             if last:
                 (folder / "calm").touch()
-            started = Scheduler(nursery, folder, discovery, port + 3, point, dice.randint(1, 8), broken)
-            left = [name for name in names if name not in audit.handed_in]
-            clients = asyncio.create_task(hand_in(started, audit, left))
-            telling = asyncio.create_task(tell_gearman(started, folder))
+            started = Scheduler(fork_server, folder, discovery, port + 3, point, rng.randint(1, 8), broken)
+            left = [name for name in names if name not in audit.submitted]
+            clients = asyncio.create_task(submit_jobs(started, audit, left))
+            address_task = asyncio.create_task(write_gearman_address(started, folder))
             try:
                 if last:
                     await clients
-                    await settle(started, audit, seen)
-                    if not started.lives:
-                        audit.faults.append("it died by itself")
+                    await wait_until_settled(started, audit, seen)
+                    if not started.is_running:
+                        audit.faults.append("the scheduler died without being killed")
                 else:
-                    await asyncio.wait({clients}, timeout=dice.uniform(0.1, 0.5))
+                    await asyncio.wait({clients}, timeout=rng.uniform(0.1, 0.5))
                     if point == "":
-                        await asyncio.sleep(dice.uniform(0, 0.15))
+                        await asyncio.sleep(rng.uniform(0, 0.15))
             finally:
                 started.kill()
                 if "decision fault" in started.log() or "Traceback" in started.log():
-                    audit.faults.append("a fault of ours: " + started.log()[-1500:])
-                await asyncio.gather(clients, telling, return_exceptions=True)
+                    audit.faults.append("internal error of the scheduler: " + started.log()[-1500:])
+                await asyncio.gather(clients, address_task, return_exceptions=True)
     finally:
         replacing.cancel()
         workers.close()
     points += ["worker"] * workers.deaths
     audit.starts.update((folder / "starts").read_text().split())
-    judge(names, audit, seen)
+    check_run(names, audit, seen)
     return audit, seen, points
 
 
-async def tell_gearman(started: Scheduler, folder: Path) -> None:
-    """The Gearman workers find each scheduler by a file."""
+async def write_gearman_address(started: Scheduler, folder: Path) -> None:
+    """Write the scheduler's address to the file in which the Gearman workers look it up."""
     with suppress(OSError):
         host, port = await started.address("gearman")
         (folder / "gearman").write_text(f"{host} {port}")
 
 
-async def settle(started: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
-    """Until nothing is open but what is in doubt."""
-    end = time.monotonic() + RUN_WITHIN
-    while time.monotonic() < end and started.lives:
-        if not await look(started):  # and once more by name: some may not have been read back yet
+async def wait_until_settled(started: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
+    """Wait until no job is open except those whose result is indeterminate."""
+    end = time.monotonic() + RUN_TIMEOUT_S
+    while time.monotonic() < end and started.is_running:
+        if not await fetch_open_jobs(
+            started
+        ):  # ask for each by id as well: some may not have been recovered yet
             await answers(started, audit, seen)
-            if len(seen) == len(audit.handed_in) or audit.faults:
+            if len(seen) == len(audit.submitted) or audit.faults:
                 return
         await asyncio.sleep(0.05)
 
 
-def judge(names: list[str], audit: Audit, seen: dict[str, str]) -> None:
-    """What must hold."""
+def check_run(names: list[str], audit: Audit, seen: dict[str, str]) -> None:
+    """Check the invariants of a run and add what breaks them to the faults."""
     for name in names:
-        if name not in audit.handed_in:
+        if name not in audit.submitted:
             audit.faults.append(f"{name} was never acknowledged")
         elif name not in seen:
             audit.faults.append(f"{name} has no answer")
@@ -341,56 +354,58 @@
         if name.startswith("accession") and starts > 1:
             audit.faults.append(f"{name} ran {starts} times")
         if end == "served" and not starts:
-            audit.faults.append(f"{name} was served by nobody")
+            audit.faults.append(f"{name} was served, but no worker started it")
         if name.startswith("accession") and end in ("refused", "expired") and starts:
-            audit.faults.append(f"{name} ended {end}, and had run")
+            audit.faults.append(f"{name} ended {end}, although it had run")
         if end:
             audit.ends[f"{name.partition('-')[0]} {end}"] += 1
 
 
-Found = tuple[int, Counter[str], Counter[str], list[str]]
+Totals = tuple[int, Counter[str], Counter[str], list[str]]
 
 
-async def play(runs: int, seed: int, broken: bool) -> Found:
-    """So many runs: jobs, their ends, the points, the faults."""
+async def play(runs: int, seed: int, broken: bool) -> Totals:
+    """Play some runs; return the number of jobs, their ends, the points of the kills, and the faults."""
     jobs, ends, points, faults = 0, Counter[str](), Counter[str](), []
-    nursery = Nursery()
+    fork_server = ForkServer()
     try:
         for number in range(runs):
             with tempfile.TemporaryDirectory() as folder:
-                audit, seen, at = await run(nursery, Path(folder), seed + number, broken)
+                audit, seen, at = await run(fork_server, Path(folder), seed + number, broken)
             jobs += len(seen)
             ends += audit.ends
             points.update(at)
             faults += [f"run {seed + number}: {fault}" for fault in audit.faults]
     finally:
-        nursery.close()
+        fork_server.close()
     return jobs, ends, points, faults
 
 
-def play_some(runs: int, seed: int, broken: bool) -> Found:
-    """The same in a process of its own."""
+def play_in_new_loop(runs: int, seed: int, broken: bool) -> Totals:
+    """Play some runs in an event loop of their own, for a process of the pool."""
     return asyncio.run(play(runs, seed, broken))
 
 
-def play_all(runs: int, seed: int, broken: bool, parallel: int) -> Found:
-    """All runs, so many at once; the count goes on while they do."""
-    starts = range(seed, seed + runs, AT_ONCE)
+def play_all(runs: int, seed: int, broken: bool, parallel: int) -> Totals:
+    """Play all runs in parallel processes and print the progress."""
+    starts = range(seed, seed + runs, RUNS_PER_BATCH)
     jobs, ends, points = 0, Counter[str](), Counter[str]()
     faults: list[str] = []
     with ProcessPoolExecutor(parallel) as pool:
-        batches = [pool.submit(play_some, min(AT_ONCE, seed + runs - s), s, broken) for s in starts]
+        batches = [
+            pool.submit(play_in_new_loop, min(RUNS_PER_BATCH, seed + runs - s), s, broken) for s in starts
+        ]
         for done, batch in enumerate(as_completed(batches), 1):
-            more = batch.result()
-            jobs, ends, points = jobs + more[0], ends + more[1], points + more[2]
-            faults += more[3]
-            said = f"{min(done * AT_ONCE, runs)} runs, {jobs} jobs, {len(faults)} faults"
-            print(said, *more[3], flush=True)
+            totals = batch.result()
+            jobs, ends, points = jobs + totals[0], ends + totals[1], points + totals[2]
+            faults += totals[3]
+            progress = f"{min(done * RUNS_PER_BATCH, runs)} runs, {jobs} jobs, {len(faults)} faults"
+            print(progress, *totals[3], flush=True)
     return jobs, ends, points, faults
 
 
 def main() -> None:
-    """Print the counts; exit 1 if the audit found anything."""
+    """Print the totals; exit with 1 if the audit found a fault."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=100)
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/durable_recovery.py
+++ b/benchmarks/durable_recovery.py
@@ -1,9 +1,9 @@
-"""How soon a scheduler serves again with so many jobs in its store, and what memory that takes.
+"""Measures how soon a scheduler serves again with a given number of jobs in its store, and its memory.
 
     python -m benchmarks.durable_recovery [--sizes 0,10000,1000000]
 
-The store is filled beforehand. Timed from the start of the process: until /up says yes, until a job that was
-handed in after that is served, and until all jobs that fit in memory (max_jobs) are read back.
+The store is filled beforehand. Times count from the start of the process: until /up answers 200, until a job
+submitted after that is served, and until all jobs that fit into memory (max_jobs) are recovered.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def waiting_job(number: int, now: float) -> JobAccepted:
-    """A job that waits for an hour."""
+    """Return a job that is due in an hour."""
     return JobAccepted(
         number + 1,
         f"old.{number:x}",
@@ -53,8 +53,8 @@
     )
 
 
-def fill(path: Path, size: int) -> None:
-    """So many jobs, due in an hour."""
+def fill_store(path: Path, size: int) -> None:
+    """Fill a store with jobs that are due in an hour."""
     database = Database(path)
     now = time.time()
     for start in range(0, size, 5_000):
@@ -64,39 +64,40 @@
 
 
 def memory_mb(process: DaemonProcess) -> float:
-    """What the process has in memory."""
+    """Return the resident memory of the daemon in megabytes."""
     status = Path(f"/proc/{process.process.pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+)", status)
     return int(found[1]) / 1024 if found else 0.0
 
 
 async def measure(size: int) -> None:
-    """One size."""
+    """Measure one size and print its line."""
     fleet = StandInFleet(2, 4, {"preview": 0.01})
     discovery = await fleet.start()
     with tempfile.TemporaryDirectory(dir=".") as folder:
         path = Path(folder) / "jobs.db"
-        await asyncio.to_thread(fill, path, size)
-        begun = time.perf_counter()
+        await asyncio.to_thread(fill_store, path, size)
+        start = time.perf_counter()
         with run_daemon(OPERATOR.format(path=path), discovery) as process:
             host, port = await asyncio.to_thread(process.address, "http")
             async with aiohttp.ClientSession(f"http://{host}:{port}") as session:
-                await _until_up(session)
-                up = time.perf_counter() - begun
+                await _wait_until_up(session)
+                up_s = time.perf_counter() - start
                 headers = {"Req-Id": "now", "Req-Kind": "preview", "Req-Deadline": "9000m"}
                 async with session.post("/preview", data=b"x", headers=headers) as response:
                     assert response.status == 200, await response.text()
-                served = time.perf_counter() - begun
-                wanted = min(size, 10_000)
-                while wanted and len(await _page(session, wanted - 1)) < 1:
+                served_s = time.perf_counter() - start
+                expected = min(size, 10_000)
+                while expected and len(await _fetch_page(session, expected - 1)) < 1:
                     await asyncio.sleep(0.02)
-                back = time.perf_counter() - begun
-            print(f"{size:9,} jobs: up after {up:.2f} s, one served after {served:.2f} s, {wanted:,} "
-                  f"read back after {back:.2f} s, {memory_mb(process):.0f} MB", flush=True)  # fmt: skip
+                recovered_s = time.perf_counter() - start
+            print(f"{size:9,} jobs: up after {up_s:.2f} s, a job served after {served_s:.2f} s, {expected:,} "
+                  f"recovered after {recovered_s:.2f} s, {memory_mb(process):.0f} MB",
+                  flush=True)  # fmt: skip
     fleet.close()
 
 
-async def _until_up(session: aiohttp.ClientSession) -> None:
+async def _wait_until_up(session: aiohttp.ClientSession) -> None:
     while True:
         async with session.get("/up") as response:
             if response.status == 200:
@@ -104,13 +105,13 @@
         await asyncio.sleep(0.01)
 
 
-async def _page(session: aiohttp.ClientSession, after: int) -> list[object]:
+async def _fetch_page(session: aiohttp.ClientSession, after: int) -> list[object]:
     async with session.get(f"/jobs?limit=1&after={after}") as response:
         return list((await response.json())["jobs"])
 
 
 def main() -> None:
-    """A line a size."""
+    """Print a line for each size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default="0,10000,1000000")
     for size in map(int, parser.parse_args().sizes.split(",")):
--- a/benchmarks/gearman_queue.py
+++ b/benchmarks/gearman_queue.py
@@ -1,9 +1,9 @@
-"""The case that asked for queueing: 200 jobs of the `gear` client library at once, four workers, 20 runs.
+"""Submits 200 jobs at once with the `gear` client library to four workers: the use case of Gearman queueing.
 
     pip install -r benchmarks/requirements-gear.txt
     python -m benchmarks.gearman_queue [--runs 20] [--plain]
 
-`--plain` runs it without deferred jobs. The workers answer at once, as gear's own workers do.
+With `--plain` jobs are not deferred. The workers answer at once, as the example workers of gear do.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 import time
 from collections import Counter
 
-import gear  # type: ignore[import-not-found,import-untyped,unused-ignore]  # not among CI's
+import gear  # type: ignore[import-not-found,import-untyped,unused-ignore]  # not installed in CI
 
 from .daemon_process import ROOT, DaemonProcess, run_daemon
 
 JOBS, WORKERS = 200, 4
-RUN_WITHIN = 120.0  # seconds
+RUN_TIMEOUT_S = 120.0  # seconds
 FUNCTION = "render_preview"
 
 
 class Client(gear.Client):  # type: ignore[misc,unused-ignore]
-    """Counts the ends of its jobs."""
+    """A client that counts how its jobs end."""
 
     def __init__(self) -> None:
         super().__init__()
         self.ends: Counter[str] = Counter()
-        self.each: Counter[bytes] = Counter()
+        self.ends_by_handle: Counter[bytes] = Counter()
         self.done = threading.Event()
 
-    def _end(self, packet: gear.Packet, how: str) -> gear.Job:
+    def _record_end(self, packet: gear.Packet, outcome: str) -> gear.Job:
         job = packet.getJob()
-        self.each[job.handle] += 1
-        self.ends[how] += 1
+        self.ends_by_handle[job.handle] += 1
+        self.ends[outcome] += 1
         if sum(self.ends.values()) >= JOBS:
             self.done.set()
         return job
 
     def handleWorkComplete(self, packet: gear.Packet) -> gear.Job:  # noqa: N802
-        """One was served."""
-        self._end(packet, "served")
+        """Count a served job."""
+        self._record_end(packet, "served")
         return super().handleWorkComplete(packet)
 
     def handleWorkFail(self, packet: gear.Packet) -> gear.Job:  # noqa: N802
-        """One failed."""
-        self._end(packet, "failed")
+        """Count a failed job."""
+        self._record_end(packet, "failed")
         return super().handleWorkFail(packet)
 
 
 def work(worker: gear.Worker) -> None:
-    """Answer at once, until it is shut down."""
+    """Answer each job at once, until the worker is shut down."""
     while True:
         try:
             worker.getJob().sendWorkComplete(b"made")
@@ -61,7 +61,7 @@
 
 
 def run(process: DaemonProcess) -> tuple[Counter[str], float]:
-    """One run: how the jobs ended, and the seconds that they took."""
+    """Run once; return how the jobs ended, and the seconds that they took."""
     host, port = process.address("gearman")
     workers = []
     for i in range(WORKERS):
@@ -77,9 +77,9 @@
     start = time.monotonic()
     for i in range(JOBS):
         client.submitJob(gear.Job(FUNCTION.encode(), b"sheet %d" % i))
-    client.done.wait(RUN_WITHIN)
+    client.done.wait(RUN_TIMEOUT_S)
     taken = time.monotonic() - start
-    assert set(client.each.values()) <= {1}, "a job with two ends"
+    assert set(client.ends_by_handle.values()) <= {1}, "a job ended twice"
     for worker in workers:
         worker.stopWaitingForJobs()
         worker.shutdown()
@@ -88,7 +88,7 @@
 
 
 def main() -> None:
-    """Print a line a run."""
+    """Print a line for each run."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=20)
     parser.add_argument("--plain", action="store_true")
@@ -97,15 +97,15 @@
     if options.plain:
         lines = text.partition("[gearman]")[2].splitlines()
         text = "[gearman]" + "\n".join(x for x in lines if "patience" not in x and "queueing" not in x)
-    whole, rates = 0, []
+    complete_runs, rates = 0, []
     for number in range(options.runs):
         with run_daemon(text) as process:
             ends, taken = run(process)
-        whole += ends["served"] == JOBS
+        complete_runs += ends["served"] == JOBS
         rates.append(sum(ends.values()) / taken)
         print(f"run {number + 1}: {dict(ends)} in {taken:.2f} s, {rates[-1]:.0f} jobs/s", flush=True)
     rate = statistics.median(rates)
-    print(f"{whole} of {options.runs} runs with {JOBS} of {JOBS}; {rate:.0f} jobs/s (median)")
+    print(f"{complete_runs} of {options.runs} runs served {JOBS} of {JOBS} jobs; {rate:.0f} jobs/s (median)")
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -76,7 +76,7 @@
 
 
 def _may_be_unanswered(observation: Observation, exchange: Exchange, was_forwarded: bool) -> bool:
-    """Return whether an answer may be missing: the process was killed, or closed before it read the request."""
+    """Return whether an answer may be missing, after a kill or a close before the request was read."""
     closed_at = exchange.closed_at
     if closed_at is None:
         return False
--- a/benchmarks/stand_in_fleet.py
+++ b/benchmarks/stand_in_fleet.py
@@ -16,8 +16,8 @@
 
     id: str
     job_class: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 async def serve_discovery(
@@ -91,10 +91,10 @@
 
     async def _run(self, id_: str, kind: str, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         _write_line(writer, {"id": id_, "state": "started"})
         await asyncio.sleep(self.run_time_s[kind])
-        self.runs.append(JobRun(id_, kind, began, loop.time()))
+        self.runs.append(JobRun(id_, kind, started_at, loop.time()))
         _write_line(writer, {"id": id_, "state": "done", "result": "made"})
         writer.write(b"0\r\n\r\n")
         await writer.drain()
