--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -55,10 +55,10 @@
     """Apply changes, then pass the points that belong to them."""
     apply(database, changes)
     for change in changes:
-        kind, kept = type(change).__name__, getattr(change, "state", None)
+        kind, state = type(change).__name__, getattr(change, "state", None)
         point("taken" if kind == "JobAccepted" else "answered" if kind == "JobEnded" else "")
-        if kept is not None:
-            point(kept.value)  # granted, started
+        if state is not None:
+            point(state.value)  # granted, started
 
 
 def send_before_commit(
@@ -70,16 +70,16 @@
     loop.call_later(0.03, lambda: submissions._journal.record_grant(job, worker, lease))
 
 
-def written(
+def send_with_point(
     submissions: CoreSubmissions, job: Any, lease: str, worker: str, then: Callable[[], None]
 ) -> None:
     """Add a point just after the job was sent."""
 
-    def sent() -> None:
+    def on_sent() -> None:
         then()
         submissions._loop.call_later(0.001, point, "written")
 
-    grant(submissions, job, lease, worker, sent)
+    grant(submissions, job, lease, worker, on_sent)
 
 
 apply, grant = Database.apply, CoreSubmissions._record_lease
@@ -97,7 +97,7 @@
         crash_worker.main(Path(order["folder"]), order["port"], order["seed"])
         os._exit(0)
     AT, NTH = order["at"], order["nth"]
-    setattr(CoreSubmissions, "_record_lease", send_before_commit if order["broken"] else written)  # noqa: B010
+    setattr(CoreSubmissions, "_record_lease", send_before_commit if order["broken"] else send_with_point)  # noqa: B010
     log = os.open(order["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
     os.dup2(log, 1)
     os.dup2(log, 2)
--- a/benchmarks/crash_worker.py
+++ b/benchmarks/crash_worker.py
@@ -19,7 +19,7 @@
 
 from .stand_in_fleet import HEAD_END
 
-DEATH_CHANCE_BEFORE, DEATH_CHANCE_DURING = 0.03, 0.08  # before a job is recorded as started, and after it ran
+DEATH_CHANCE_BEFORE_START, DEATH_CHANCE_BEFORE_RESULT = 0.03, 0.08
 FUNCTIONS = (b"file_specimen", b"render_preview")
 
 
@@ -38,10 +38,10 @@
 
     async def work(self, payload: str) -> None:
         """Run one job."""
-        self.die_by_chance(DEATH_CHANCE_BEFORE)
+        self.die_by_chance(DEATH_CHANCE_BEFORE_START)
         os.write(self._starts, payload.encode() + b"\n")
         await asyncio.sleep(self._rng.uniform(0, 0.05))
-        self.die_by_chance(DEATH_CHANCE_DURING)
+        self.die_by_chance(DEATH_CHANCE_BEFORE_RESULT)
 
     async def serve_http(self, port: int) -> None:
         """Serve HTTP forever. Retry while another process has the port as the local port of a connection."""
--- a/benchmarks/decision_replay.py
+++ b/benchmarks/decision_replay.py
@@ -86,9 +86,9 @@
     failing_share: float = 0.0  # share of workers that fail a class
     reset_share: float = 0.0  # share of attempts whose connection is reset
     leave_share: float = 0.0  # share of requests whose client leaves
-    faults: bool = False  # peers report faults of workers
+    has_peer_faults: bool = False  # peers report faults of workers
     has_handovers: bool = False  # a scheduler is replaced by one that inherits its estimates
-    private: int = 0  # workers connected to one scheduler only
+    exclusive_workers: int = 0  # workers connected to one scheduler only
 
 
 def _lane(name: str, semantics: str, aim: float, deadline: float, **more: Any) -> dict[str, Any]:
@@ -141,7 +141,7 @@
         restarts_per_s=0.5,
         hangs_per_s=0.2,
         keys=6,
-        faults=True,
+        has_peer_faults=True,
         work_ms=150.0,
     ),
     Scenario(
@@ -184,7 +184,7 @@
         rate=45.0,
         failing_share=0.25,
         restarts_per_s=0.3,
-        faults=True,
+        has_peer_faults=True,
         has_handovers=True,
         has_load_reports=True,
         keys=30,
@@ -195,7 +195,7 @@
         siblings=2,
         workers=4,
         rate=30.0,
-        private=4,
+        exclusive_workers=4,
         hangs_per_s=0.05,
         failing_share=0.25,
     ),
@@ -260,9 +260,9 @@
         self._order = itertools.count()
         self.requests: dict[str, RequestModel] = {}
         self.workers = {w.name: w for w in map(self._worker, range(scenario.workers))}
-        self.private = {
+        self.exclusive_workers = {
             f"p{i}": WorkerModel(f"p{i}", "", "private", 0, 1.0, 1.0, PREVIEW["name"] if i == 0 else "")
-            for i in range(scenario.private)
+            for i in range(scenario.exclusive_workers)
         }
         self.subscribed: set[int] = set()
 
@@ -286,7 +286,7 @@
                 lambda scheduler=scheduler: self.arrive(scheduler),  # type: ignore[misc]
             )
         self.schedule(100.0, self.inject_faults)
-        if self.scenario.faults:
+        if self.scenario.has_peer_faults:
             self.schedule(700.0, self.send_peer_faults)
         if self.scenario.has_handovers:
             self.schedule(20_000.0, self.replace_scheduler)
@@ -301,8 +301,10 @@
     def start(self, scheduler: int) -> None:
         """Start a scheduler and send it the list."""
         self.send_line(["born", scheduler, 1000 + scheduler, self.settings(scheduler)])
-        if self.scenario.private:
-            event = private_workers(list(self.private), [lane["name"] for lane in self.scenario.lanes], 2)
+        if self.scenario.exclusive_workers:
+            event = private_workers(
+                list(self.exclusive_workers), [lane["name"] for lane in self.scenario.lanes], 2
+            )
             self.send_event(scheduler, event)
         self.send_list(scheduler, "restored")
 
@@ -487,7 +489,7 @@
         """Queue an attempt at its worker, or fail it."""
         if attempt.has_ended:
             return
-        worker = self.workers.get(attempt.worker) or self.private[attempt.worker]
+        worker = self.workers.get(attempt.worker) or self.exclusive_workers[attempt.worker]
         if not worker.is_up:
             self.end(attempt, "NOCONN")
         elif self.random.random() < self.scenario.reset_share:
@@ -529,7 +531,7 @@
         """Report the outcome of an attempt, once."""
         if attempt.has_ended:
             return
-        worker = self.workers.get(attempt.worker) or self.private[attempt.worker]
+        worker = self.workers.get(attempt.worker) or self.exclusive_workers[attempt.worker]
         if verdict in ("GOOD", "BAD") and attempt in worker.running and self.now < worker.hangs_until:
             self.schedule(worker.hangs_until - self.now + 1.0, lambda: self.end(attempt, verdict))
             return
--- a/benchmarks/durable_crash.py
+++ b/benchmarks/durable_crash.py
@@ -106,7 +106,7 @@
         self._process.wait(10)
 
 
-def alive(pid: int) -> bool:
+def process_exists(pid: int) -> bool:
     """Return whether a process exists; the fork server leaves no zombies."""
     try:
         os.kill(pid, 0)
@@ -117,7 +117,7 @@
 
 def kill(pid: int) -> None:
     """Kill a process and wait until it no longer exists."""
-    while alive(pid):
+    while process_exists(pid):
         with suppress(ProcessLookupError):  # it has died meanwhile
             os.kill(pid, signal.SIGKILL)
         time.sleep(0.001)
@@ -150,7 +150,7 @@
         """Replace workers that have died, until cancelled."""
         while True:
             await asyncio.sleep(self._rng.uniform(0.01, 0.1))
-            for pid in [pid for pid in self._alive if not alive(pid)]:
+            for pid in [pid for pid in self._alive if not process_exists(pid)]:
                 self.deaths += 1
                 self._spawn(self._alive.pop(pid))
 
@@ -192,7 +192,7 @@
     @property
     def is_running(self) -> bool:
         """Whether the process still exists."""
-        return alive(self._pid)
+        return process_exists(self._pid)
 
     async def address(self, front: str) -> tuple[str, int]:
         """Wait until a front listens; return its host and port. Raise OSError if the process died before."""
@@ -211,11 +211,11 @@
         return self._log.read_text()
 
 
-async def submit_jobs(started: Scheduler, audit: Audit, names: list[str]) -> None:
+async def submit_jobs(scheduler: Scheduler, audit: Audit, names: list[str]) -> None:
     """Submit jobs over both fronts, with idempotency keys, since unacknowledged ones are submitted again."""
     try:
-        host, port = await started.address("http")
-        gearman = asyncio.create_task(submit_gearman_jobs(started, audit, [n for n in names if "-g" in n]))
+        host, port = await scheduler.address("http")
+        gearman = asyncio.create_task(submit_gearman_jobs(scheduler, audit, [n for n in names if "-g" in n]))
         async with aiohttp.ClientSession() as session:
             for name in [n for n in names if "-h" in n]:
                 job_class = name.partition("-")[0]
@@ -230,10 +230,10 @@
         pass  # the scheduler was killed; jobs not acknowledged are submitted again
 
 
-async def submit_gearman_jobs(started: Scheduler, audit: Audit, names: list[str]) -> None:
+async def submit_gearman_jobs(scheduler: Scheduler, audit: Audit, names: list[str]) -> None:
     """Submit Gearman background jobs; by its unique id a job that is still open is not created twice."""
     try:
-        reader, writer = await asyncio.open_connection(*await started.address("gearman"))
+        reader, writer = await asyncio.open_connection(*await scheduler.address("gearman"))
         for name in names:
             function = b"file_specimen" if name.startswith("accession") else b"render_preview"
             writer.write(
@@ -249,18 +249,20 @@
         pass
 
 
-async def fetch_open_jobs(started: Scheduler) -> list[dict[str, object]]:
+async def fetch_open_jobs(scheduler: Scheduler) -> list[dict[str, object]]:
     """Return all open jobs."""
-    host, port = await started.address("http")
+    host, port = await scheduler.address("http")
     async with aiohttp.ClientSession() as session:
-        states = "&".join(f"state={s}" for s in ("held", "timed", "quiet", "ready", "asked", "started"))
+        states = "&".join(
+            f"state={state}" for state in ("held", "timed", "quiet", "ready", "asked", "started")
+        )
         async with session.get(f"http://{host}:{port}/jobs?limit=500&{states}") as response:
             return list((await response.json())["jobs"])
 
 
-async def answers(started: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
+async def check_answers(scheduler: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
     """Fetch the answer of each acknowledged job; report jobs that are lost or whose answer has changed."""
-    host, port = await started.address("http")
+    host, port = await scheduler.address("http")
     async with aiohttp.ClientSession() as session:
         for name, id_ in audit.submitted.items():
             async with session.get(f"http://{host}:{port}/jobs/{id_}") as response:
@@ -284,7 +286,12 @@
     workers = Workers(fork_server, folder, rng, port)
     discovery = await workers.start()
     replacing = asyncio.create_task(workers.replace())
-    names = [f"{c}-{f}{i}-{seed}" for i in range(JOBS // 2) for c in ("accession", "preview") for f in "hg"]
+    names = [
+        f"{job_class}-{f}{i}-{seed}"
+        for i in range(JOBS // 2)
+        for job_class in ("accession", "preview")
+        for f in "hg"
+    ]
     rng.shuffle(names)
     seen: dict[str, str] = {}
     points = []
@@ -295,24 +302,24 @@
             points.append(point or ("end" if last else "random"))
             if last:
                 (folder / "calm").touch()
-            started = Scheduler(fork_server, folder, discovery, port + 3, point, rng.randint(1, 8), broken)
+            scheduler = Scheduler(fork_server, folder, discovery, port + 3, point, rng.randint(1, 8), broken)
             left = [name for name in names if name not in audit.submitted]
-            clients = asyncio.create_task(submit_jobs(started, audit, left))
-            address_task = asyncio.create_task(write_gearman_address(started, folder))
+            clients = asyncio.create_task(submit_jobs(scheduler, audit, left))
+            address_task = asyncio.create_task(write_gearman_address(scheduler, folder))
             try:
                 if last:
                     await clients
-                    await wait_until_settled(started, audit, seen)
-                    if not started.is_running:
+                    await wait_until_settled(scheduler, audit, seen)
+                    if not scheduler.is_running:
                         audit.faults.append("the scheduler died without being killed")
                 else:
                     await asyncio.wait({clients}, timeout=rng.uniform(0.1, 0.5))
                     if point == "":
                         await asyncio.sleep(rng.uniform(0, 0.15))
             finally:
-                started.kill()
-                if "decision fault" in started.log() or "Traceback" in started.log():
-                    audit.faults.append("internal error of the scheduler: " + started.log()[-1500:])
+                scheduler.kill()
+                if "decision fault" in scheduler.log() or "Traceback" in scheduler.log():
+                    audit.faults.append("internal error of the scheduler: " + scheduler.log()[-1500:])
                 await asyncio.gather(clients, address_task, return_exceptions=True)
     finally:
         replacing.cancel()
@@ -323,21 +330,20 @@
     return audit, seen, points
 
 
-async def write_gearman_address(started: Scheduler, folder: Path) -> None:
+async def write_gearman_address(scheduler: Scheduler, folder: Path) -> None:
     """Write the scheduler's address to the file in which the Gearman workers look it up."""
     with suppress(OSError):
-        host, port = await started.address("gearman")
+        host, port = await scheduler.address("gearman")
         (folder / "gearman").write_text(f"{host} {port}")
 
 
-async def wait_until_settled(started: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
+async def wait_until_settled(scheduler: Scheduler, audit: Audit, seen: dict[str, str]) -> None:
     """Wait until no job is open except those whose result is indeterminate."""
     end = time.monotonic() + RUN_TIMEOUT_S
-    while time.monotonic() < end and started.is_running:
-        if not await fetch_open_jobs(
-            started
-        ):  # ask for each by id as well: some may not have been recovered yet
-            await answers(started, audit, seen)
+    while time.monotonic() < end and scheduler.is_running:
+        if not await fetch_open_jobs(scheduler):
+            # Ask for each by id as well: some may not have been recovered yet.
+            await check_answers(scheduler, audit, seen)
             if len(seen) == len(audit.submitted) or audit.faults:
                 return
         await asyncio.sleep(0.05)
@@ -393,7 +399,8 @@
     faults: list[str] = []
     with ProcessPoolExecutor(parallel) as pool:
         batches = [
-            pool.submit(play_in_new_loop, min(RUNS_PER_BATCH, seed + runs - s), s, broken) for s in starts
+            pool.submit(play_in_new_loop, min(RUNS_PER_BATCH, seed + runs - start), start, broken)
+            for start in starts
         ]
         for done, batch in enumerate(as_completed(batches), 1):
             totals = batch.result()
--- a/benchmarks/gearman_queue.py
+++ b/benchmarks/gearman_queue.py
@@ -19,7 +19,7 @@
 from .daemon_process import ROOT, DaemonProcess, run_daemon
 
 JOBS, WORKERS = 200, 4
-RUN_TIMEOUT_S = 120.0  # seconds
+RUN_TIMEOUT_S = 120.0
 FUNCTION = "render_preview"
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -70,17 +70,17 @@
 
 
 def heartbeat_rate(size: int, loss: float, minutes: float, seed: int) -> tuple[float, float]:
-    """Return the false deaths per member-hour and the messages per minute and member, for heartbeats."""
+    """Return the same for all-to-all heartbeats, which are taken to have 60 bytes each."""
     random, settings = Random(seed), OURS
     misses_until_dead = int(PLAIN_SWIM.suspicion_timeout_s(size, 0) / settings.probe_interval_s)
     false_deaths: set[tuple[str, float]] = set()
-    for observer in range(size):
-        for target in range(size):
+    for member in range(size):
+        for observer in range(size):
             missed = 0
             for beat in range(int(minutes * 60 / settings.probe_interval_s)):
                 missed = missed + 1 if random.random() < loss else 0
-                if observer != target and missed == misses_until_dead:
-                    false_deaths.add((str(observer), beat * settings.probe_interval_s))
+                if member != observer and missed == misses_until_dead:
+                    false_deaths.add((str(member), beat * settings.probe_interval_s))
     return count_episodes(false_deaths) / (size * minutes / 60), (size - 1) * 60 / settings.probe_interval_s
 
 
--- a/benchmarks/store_commits.py
+++ b/benchmarks/store_commits.py
@@ -151,7 +151,7 @@
             share = reached / rates["sqlite", client_count]
             print(f"store, {client_count:4} clients: {reached:7.0f} submissions/s, "
                   f"p50 {p50:.2f} ms, p99 {p99:.2f} ms, "
-                  f"{share:.2f} of its group commit, {reached / rates['bare', 1]:.2f} of a bare commit",
+                  f"{share:.2f} of its group commit, {reached / rates['bare', 1]:.2f} per bare commit",
                   flush=True)  # fmt: skip
 
 
--- a/benchmarks/waiting_flood.py
+++ b/benchmarks/waiting_flood.py
@@ -3,7 +3,7 @@
     python -m benchmarks.waiting_flood [--seconds 60] [--plot docs/design/waiting-waits.png]
 
 There are two runs, with and without ageing. Each prints the longest wait of a preview until a worker started
-it, to compare with the bound that follows from the settings; the worth of the flood's requests served in
+it, to compare with the bound that follows from the settings; the share of the flood's worth that is served in
 time; and, for pairs of a label check and an accession that depends on it, how many accessions started before
 their label check had ended. The load is open-loop: a request's time counts from when it was due.
 """
--- a/benchmarks/waiting_policy.py
+++ b/benchmarks/waiting_policy.py
@@ -21,7 +21,7 @@
 from oxbowyard.waiting.settings import WaitingSettings
 
 OPERATIONS = 2_000  # timed at each size, with that many jobs waiting
-MAX_WAIT_S = 3_600_000.0
+MAX_WAIT_MS = 3_600_000.0
 FULL_CAPACITY, FREE_CAPACITY = FleetCapacity(4, 0.0, 1), FleetCapacity(4, 1e9, 0)
 
 
@@ -68,7 +68,7 @@
 
 
 def _submission(i: int) -> JobSubmission:
-    return JobSubmission(f"job-{i}", "light" if i % 2 else "heavy", MAX_WAIT_S)
+    return JobSubmission(f"job-{i}", "light" if i % 2 else "heavy", MAX_WAIT_MS)
 
 
 def _timed(operation: object, policy: WaitingPolicy) -> tuple[float, float]:
