--- a/benchmarks/faults/relay.py
+++ b/benchmarks/faults/relay.py
@@ -1,8 +1,10 @@
-"""Stands between processes: what one sends to another passes here, and may be lost, late, doubled or out of
-order, each direction by itself. One seed, one sequence of chances.
+"""A UDP and TCP relay between processes, which loses, delays, duplicates and reorders what they send.
 
-Every process has a loopback address of its own and is known by it; the others reach it at its door here. A
-datagram leaves by the door of its sender, so that it seems to come from where the sender can be reached.
+Faults are set for each direction separately. The seed determines the sequence of random draws.
+
+Each process has its own loopback address, by which the relay recognises it, and a port of the relay at which
+the others reach it. A datagram is forwarded from the sender's port at the relay, so that the receiver can
+reply to its source address.
 """
 
 from __future__ import annotations
@@ -16,23 +18,23 @@
 from .loops import LoopThread
 
 Pair = tuple[str, str]
-RETRANSMIT = 0.2  # seconds: what a stream loses comes so much later, then twice as late
-CHUNK = 1 << 16
-DOORS = "127.78.0.1"  # no process has this address
+FIRST_RETRANSMIT_S = 0.2  # delay of a lost chunk of a stream; doubles with each further loss
+CHUNK_BYTES = 1 << 16
+RELAY_HOST = "127.78.0.1"  # differs from the address of every process
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What happens on the way from one to another."""
+    """The faults in one direction between two processes."""
 
     loss: float = 0.0
-    doubled: float = 0.0
-    least: float = 0.0  # seconds on the way; where most is larger, datagrams overtake each other
-    most: float = 0.0
-    cut: bool = False  # all is lost, and streams stand still
+    duplication: float = 0.0
+    min_delay_s: float = 0.0  # where max_delay_s is larger, datagrams overtake each other
+    max_delay_s: float = 0.0
+    is_cut: bool = False  # every datagram is lost, and streams stall
 
 
-class _Door(asyncio.DatagramProtocol):
+class _DatagramPort(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay, self.name = relay, name
         self.transport: asyncio.DatagramTransport
@@ -41,100 +43,108 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        self.relay.pass_on(self.name, data, source)
+        self.relay.forward(self.name, data, source)
 
 
 @dataclass(slots=True)
-class _End:
+class _Process:
     host: str
     port: int
-    door: _Door | None = None
+    datagram_port: _DatagramPort | None = None
     server: asyncio.Server | None = None
 
 
 @dataclass(slots=True)
 class Relay:
-    """All ways between the processes. To be used on its own loop: see `Thread`."""
+    """The relay and its faults. Use it only on its own event loop: see `RelayThread`."""
 
     seed: int
-    usual: Fault = field(default_factory=Fault)
+    default: Fault = field(default_factory=Fault)
     counts: Counter[str] = field(default_factory=Counter)
     _faults: dict[Pair, Fault] = field(default_factory=dict)
-    _ends: dict[str, _End] = field(default_factory=dict)
+    _processes: dict[str, _Process] = field(default_factory=dict)
     _random: Random = field(init=False)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        """Its chances."""
+        """Seed the generator."""
         self._random = Random(self.seed)
 
     async def add(self, name: str, host: str, port: int) -> str:
-        """A process that listens there; returns where the others reach it."""
-        end = self._ends[name] = _End(host, port)
+        """Add a process that listens there; return the address at which the others reach it."""
+        process = self._processes[name] = _Process(host, port)
         loop = asyncio.get_running_loop()
-        while end.server is None:  # one port for both: what is free for one may be taken for the other
-            _, door = await loop.create_datagram_endpoint(lambda: _Door(self, name), (DOORS, 0))
-            bound: int = door.transport.get_extra_info("sockname")[1]
+        while process.server is None:  # a port that is free for UDP may be taken for TCP
+            _, datagram_port = await loop.create_datagram_endpoint(
+                lambda: _DatagramPort(self, name), (RELAY_HOST, 0)
+            )
+            bound: int = datagram_port.transport.get_extra_info("sockname")[1]
             try:
-                end.server = await asyncio.start_server(
-                    lambda r, w: self._stream(name, r, w), DOORS, bound, limit=CHUNK
+                process.server = await asyncio.start_server(
+                    lambda r, w: self._stream(name, r, w), RELAY_HOST, bound, limit=CHUNK_BYTES
                 )
-                end.door = door
+                process.datagram_port = datagram_port
             except OSError:
-                door.transport.close()
-        return f"{DOORS}:{bound}"
+                datagram_port.transport.close()
+        return f"{RELAY_HOST}:{bound}"
 
-    def set(self, sender: str, receiver: str, **changed: Any) -> None:
-        """Change one direction; `*` stands for all."""
-        for one in self._ends if sender == "*" else [sender]:
-            for other in self._ends if receiver == "*" else [receiver]:
+    def set_fault(self, sender: str, receiver: str, **changed: Any) -> None:
+        """Change the faults from sender to receiver; `*` stands for every process."""
+        for one in self._processes if sender == "*" else [sender]:
+            for other in self._processes if receiver == "*" else [receiver]:
                 if one != other:
-                    self._faults[one, other] = replace(self._faults.get((one, other), self.usual), **changed)
+                    self._faults[one, other] = replace(
+                        self._faults.get((one, other), self.default), **changed
+                    )
 
     def heal(self) -> None:
-        """Every way is as usual again."""
+        """Restore the default fault in every direction."""
         self._faults.clear()
 
     async def close(self) -> None:
-        """Let go of all sockets."""
+        """Cancel the streams and close all sockets."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for end in self._ends.values():
-            if end.door is not None:
-                end.door.transport.close()
-            if end.server is not None:
-                end.server.close()
+        for process in self._processes.values():
+            if process.datagram_port is not None:
+                process.datagram_port.transport.close()
+            if process.server is not None:
+                process.server.close()
 
     def _fault(self, sender: str, receiver: str) -> Fault:
-        return self._faults.get((sender, receiver), self.usual)
+        return self._faults.get((sender, receiver), self.default)
 
-    def _named(self, host: str) -> str | None:
-        return next((name for name, end in self._ends.items() if end.host == host), None)
+    def _name_of(self, host: str) -> str | None:
+        return next((name for name, process in self._processes.items() if process.host == host), None)
 
     # ---- Datagrams ----
 
-    def pass_on(self, receiver: str, data: bytes, source: tuple[str, int]) -> None:
-        """A datagram came to the receiver's door."""
-        sender = self._named(source[0])
+    def forward(self, receiver: str, data: bytes, source: tuple[str, int]) -> None:
+        """Forward a datagram that arrived at the receiver's port."""
+        sender = self._name_of(source[0])
         if sender is None:
             self.counts["from nobody"] += 1
             return
         fault = self._fault(sender, receiver)
-        for _ in range(1 + (self._random.random() < fault.doubled)):
-            if fault.cut or self._random.random() < fault.loss:
+        for _ in range(1 + (self._random.random() < fault.duplication)):
+            if fault.is_cut or self._random.random() < fault.loss:
                 self.counts["lost"] += 1
                 continue
             self.counts["passed"] += 1
             self.counts["bytes"] += len(data)
             asyncio.get_running_loop().call_later(
-                self._random.uniform(fault.least, fault.most), self._deliver, sender, receiver, data
+                self._random.uniform(fault.min_delay_s, fault.max_delay_s),
+                self._deliver,
+                sender,
+                receiver,
+                data,
             )
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        door, end = self._ends[sender].door, self._ends[receiver]
-        if door is not None and not door.transport.is_closing():
-            door.transport.sendto(data, (end.host, end.port))
+        datagram_port, process = self._processes[sender].datagram_port, self._processes[receiver]
+        if datagram_port is not None and not datagram_port.transport.is_closing():
+            datagram_port.transport.sendto(data, (process.host, process.port))
 
     # ---- Streams ----
 
@@ -145,33 +155,35 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        sender = self._named(writer.get_extra_info("peername")[0])
-        onward: asyncio.StreamWriter | None = None
+        sender = self._name_of(writer.get_extra_info("peername")[0])
+        upstream_writer: asyncio.StreamWriter | None = None
         try:
             if sender is None:
                 self.counts["from nobody"] += 1
                 return
-            end = self._ends[receiver]
-            back, onward = await asyncio.open_connection(end.host, end.port, limit=CHUNK)
+            process = self._processes[receiver]
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                process.host, process.port, limit=CHUNK_BYTES
+            )
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._copy(sender, receiver, reader, onward))
-                group.create_task(self._copy(receiver, sender, back, writer))
-        except (OSError, ExceptionGroup, asyncio.CancelledError):  # the last one: the relay closes
+                group.create_task(self._copy(sender, receiver, reader, upstream_writer))
+                group.create_task(self._copy(receiver, sender, upstream_reader, writer))
+        except (OSError, ExceptionGroup, asyncio.CancelledError):  # CancelledError: the relay closes
             self.counts["streams broken"] += 1
         finally:
             writer.transport.abort()
-            if onward is not None:
-                onward.transport.abort()
+            if upstream_writer is not None:
+                upstream_writer.transport.abort()
 
     async def _copy(
         self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(CHUNK):
-            fault, again = self._fault(sender, receiver), RETRANSMIT
-            await asyncio.sleep(self._random.uniform(fault.least, fault.most))
-            while (fault := self._fault(sender, receiver)).cut or self._random.random() < fault.loss:
-                await asyncio.sleep(again)
-                again *= 1 if fault.cut else 2
+        while data := await reader.read(CHUNK_BYTES):
+            fault, retransmit_after_s = self._fault(sender, receiver), FIRST_RETRANSMIT_S
+            await asyncio.sleep(self._random.uniform(fault.min_delay_s, fault.max_delay_s))
+            while (fault := self._fault(sender, receiver)).is_cut or self._random.random() < fault.loss:
+                await asyncio.sleep(retransmit_after_s)
+                retransmit_after_s *= 1 if fault.is_cut else 2
             self.counts["bytes"] += len(data)
             writer.write(data)
             await writer.drain()
@@ -179,8 +191,8 @@
             writer.write_eof()
 
 
-class Thread:
-    """A relay on a thread of its own."""
+class RelayThread:
+    """A relay on a background thread."""
 
     def __init__(self, seed: int = 1) -> None:
         self._loop = LoopThread()
@@ -190,15 +202,15 @@
         """See Relay.add."""
         return self._loop.run(self.relay.add(name, host, port))
 
-    def set(self, sender: str = "*", receiver: str = "*", **changed: Any) -> None:
-        """See Relay.set."""
-        self._loop.call(lambda: self.relay.set(sender, receiver, **changed))
+    def set_fault(self, sender: str = "*", receiver: str = "*", **changed: Any) -> None:
+        """See Relay.set_fault."""
+        self._loop.call(lambda: self.relay.set_fault(sender, receiver, **changed))
 
     def heal(self) -> None:
         """See Relay.heal."""
         self._loop.call(self.relay.heal)
 
     def close(self) -> None:
-        """End it."""
+        """Close the relay and its thread."""
         self._loop.run(self.relay.close())
         self._loop.close()
--- a/benchmarks/soak/discovery.py
+++ b/benchmarks/soak/discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery: the agent on the scheduler's machine, with a list that changes."""
+"""A stand-in for discovery: the agent on the scheduler's machine, with a list that changes."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from .records import Drain, Observation
 from .workers import HEAD_END, HOST, Worker
 
-NOTIFIED_WITHIN_S = 6.0  # a change counts as told so long after the service has it (PROTOCOL)
+NOTIFIED_WITHIN_S = 6.0  # a change counts as notified this long after the service has it (PROTOCOL)
 SOCKET_SLACK_S = 0.05
 SLOW_S = 0.4
 POLL_S = 0.005
 
 
 class Discovery:
-    """The list of workers, and the calls for it."""
+    """Serves the list of workers and its changes."""
 
-    def __init__(self, workers: Sequence[Worker], seen: Observation) -> None:
+    def __init__(self, workers: Sequence[Worker], observation: Observation) -> None:
         self.address = ""
         self.fault: DiscoveryFault | None = None
         self._workers = workers
-        self._seen = seen
+        self._observation = observation
         self._revision = 1
         self._changed: dict[str, int] = {}  # revision of the last change, by worker
         self._draining: dict[str, Drain] = {}
@@ -32,38 +32,38 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
-    def change(self, worker: Worker) -> None:
-        """An entry is another: its start is."""
+    def notify_change(self, worker: Worker) -> None:
+        """Publish a changed entry, such as a worker that has restarted."""
         self._revision += 1
         self._changed[worker.name] = self._revision
 
     def drain(self, worker: Worker) -> None:
-        """The worker drains; that binds by the notification, and in any case some seconds later."""
+        """Mark the worker as draining. It is enforced a grace after the notification or its time limit."""
         if worker.name in self._draining:
             return
         now = asyncio.get_running_loop().time()
-        binds_at = now + NOTIFIED_WITHIN_S + DRAIN_GRACE_S + SOCKET_SLACK_S
-        drain = self._draining[worker.name] = Drain(worker.name, binds_at)
-        self._seen.drains.append(drain)
-        self.change(worker)
+        enforced_from = now + NOTIFIED_WITHIN_S + DRAIN_GRACE_S + SOCKET_SLACK_S
+        drain = self._draining[worker.name] = Drain(worker.name, enforced_from)
+        self._observation.drains.append(drain)
+        self.notify_change(worker)
 
-    def take_back(self, worker: Worker) -> None:
-        """The worker is ready again."""
+    def end_drain(self, worker: Worker) -> None:
+        """Mark the worker as ready again."""
         drain = self._draining.pop(worker.name, None)
         if drain is not None:
             drain.until = asyncio.get_running_loop().time()
-            self.change(worker)
+            self.notify_change(worker)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -111,10 +111,10 @@
         return json.dumps({"rev": self._revision, "all": after is None, "targets": rows}).encode()
 
     def _note_notified(self) -> None:
-        """What has been written counts as told."""
-        binds_at = asyncio.get_running_loop().time() + DRAIN_GRACE_S + SOCKET_SLACK_S
+        """Count all current drains as notified, because the answer has been written."""
+        enforced_from = asyncio.get_running_loop().time() + DRAIN_GRACE_S + SOCKET_SLACK_S
         for drain in self._draining.values():
-            drain.binds_at = min(drain.binds_at, binds_at)
+            drain.enforced_from = min(drain.enforced_from, enforced_from)
 
 
 def _number(head: bytes, pattern: bytes) -> int | None:
--- a/benchmarks/soak/workers.py
+++ b/benchmarks/soak/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in workers: each records what it is sent, and misbehaves as it is told."""
+"""Stand-in workers, which record the attempts that reach them and inject faults on request."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class Worker:
-    """One worker; `address` stays the same when it dies and comes back."""
+    """A worker whose address stays the same when it dies and returns."""
 
-    def __init__(self, name: str, slots: int, seen: Observation, seed: int) -> None:
+    def __init__(self, name: str, slots: int, observation: Observation, seed: int) -> None:
         self.name = name
         self.address = ""
         self.boot_unix_s = 0.0
         self.fault: WorkerFault | None = None
         self._slots = asyncio.Semaphore(slots)
-        self._seen = seen
+        self._observation = observation
         self._random = Random(seed)
         self._port = 0
         self._server: asyncio.Server | None = None
@@ -34,13 +34,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, at the address that it had before."""
+        """Start listening, after a restart on the same port as before."""
         self._server = await asyncio.start_server(self._serve, HOST, self._port, reuse_address=True)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"{HOST}:{self._port}"
 
     def die(self) -> None:
-        """Reset all connections and listen no more."""
+        """Reset all connections and stop listening."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -70,22 +70,22 @@
         arrival = Arrival("", self.name, loop.time())
         head = (received + await reader.readuntil(HEAD_END)).decode("latin-1")
         arrival.id = _header(head, "Req-Id")
-        self._seen.arrivals.append(arrival)
+        self._observation.arrivals.append(arrival)
         closed = None
         try:
             await reader.readexactly(int(_header(head, "Content-Length") or 0))
-            arrival.whole_at = loop.time()
+            arrival.received_at = loop.time()
             closed = asyncio.ensure_future(self._watch(reader, arrival))
             await self._answer(arrival, writer)
         finally:
-            if arrival.whole_at is None or self.fault is WorkerFault.DIE:
+            if arrival.received_at is None or self.fault is WorkerFault.DIE:
                 arrival.ended_at = loop.time()
             if closed is not None:
                 await asyncio.wait({closed}, timeout=None if arrival.ended_at is None else 0)
                 closed.cancel()
 
     async def _watch(self, reader: asyncio.StreamReader, arrival: Arrival) -> None:
-        """Note when the scheduler gives the attempt up."""
+        """Record when the scheduler closes the connection."""
         try:
             while await reader.read(1 << 16):
                 pass
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -84,7 +84,7 @@
         group, random = converged_group(8, seed), Random(seed)
         incarnations: dict[tuple[str, str, int], int] = {}
         faulted: set[str] = set()
-        group.reads_first = random.random() < 0.5
+        group.reads_sockets_first = random.random() < 0.5
 
         def check(
             node: Node, event: NotifyMemberEvent, seed: int = seed, faulted: set[str] = faulted
@@ -92,16 +92,19 @@
             if event.kind is MemberEventKind.DIED:
                 assert event.name in faulted, f"seed {seed}: {event.name} was declared dead by {node.name}"
 
-        group.watch = check
+        group.on_event = check
         for _ in range(4):
-            group.link.loss, group.link.doubled = random.choice((0.0, 0.1, 0.2)), random.choice((0.0, 0.3))
+            group.link.loss, group.link.duplication = (
+                random.choice((0.0, 0.1, 0.2)),
+                random.choice((0.0, 0.3)),
+            )
             name, kind = random.choice(sorted(group.nodes)), random.choice(("kill", "stop", "cut", "restart"))
             if kind == "cut":
                 other = random.choice(sorted(set(group.nodes) - {name}))
                 group.cut(name, other, both=False)
             elif kind == "stop":
                 faulted.add(name)
-                group.stop(name, random.choice((0.5, 5.0, 12.0)))
+                group.pause(name, random.choice((0.5, 5.0, 12.0)))
             elif len(group.nodes) > 4:
                 faulted.add(name)
                 killed = group.kill(name)
@@ -115,7 +118,7 @@
                     key = node.name, member.record.name, member.record.run_id
                     assert member.record.incarnation >= incarnations.get(key, 0), f"seed {seed}: {key}"
                     incarnations[key] = member.record.incarnation
-        group.link.loss = group.link.doubled = 0.0
+        group.link.loss = group.link.duplication = 0.0
         group.cuts.clear()
         group.run(group.now + 90)
         assert is_converged(group), f"seed {seed}: not converged 90 s after the last fault"
@@ -135,8 +138,8 @@
     before or after it runs its timers.
     """
     group = converged_group()
-    group.reads_first = reads_first
-    group.stop("m3", seconds)
+    group.reads_sockets_first = reads_first
+    group.pause("m3", seconds)
     group.run(CONVERGENCE_S + seconds - 0.1)
     if dies is not None:
         assert (names_declared_dead(group) == {"m3"}) is dies
@@ -266,7 +269,7 @@
 def test_changed_facts_reach_every_member() -> None:
     group = converged_group()
     node = group.nodes["m1"]
-    group.hand(node, FactsChanged({"open_jobs": 7.0}))
+    group.dispatch(node, FactsChanged({"open_jobs": 7.0}))
     group.run(CONVERGENCE_S + 10)
     views = [
         other.protocol.members.by_name["m1"].record.facts
--- a/tests/test_membership_histories.py
+++ b/tests/test_membership_histories.py
@@ -61,10 +61,10 @@
         self.steps = 0
         super().__init__(size, seed, settings)
 
-    def _carry_out(self, node: Node, instructions: list[Instruction]) -> None:
+    def _execute(self, node: Node, instructions: list[Instruction]) -> None:
         for instruction in instructions:
             self._record(f"{self.now!r} {node.name} {_format_instruction(instruction)}")
-        super()._carry_out(node, instructions)
+        super()._execute(node, instructions)
         protocol = node.protocol
         self._record(f"{node.name} due {protocol.due_at!r} health {protocol.health_score}")
 
@@ -96,15 +96,15 @@
     group, random = RecordedGroup(size, seed, settings), Random(seed)
     group.run(15.0)
     for step in range(8):
-        group.reads_first = random.random() < 0.5
-        group.link.loss, group.link.doubled = random.choice((0.0, 0.1, 0.3)), random.choice((0.0, 0.3))
+        group.reads_sockets_first = random.random() < 0.5
+        group.link.loss, group.link.duplication = random.choice((0.0, 0.1, 0.3)), random.choice((0.0, 0.3))
         name, other = random.sample(sorted(group.nodes), 2)
-        group.hand(group.nodes[name], FactsChanged({"state": 1.0, "held": float(step)}))
+        group.dispatch(group.nodes[name], FactsChanged({"state": 1.0, "held": float(step)}))
         group.write(name, EntryWritten(f"bar:w{step}", 0.0, 6.0, is_urgent=True))
         group.write(other, EntryWritten("out:w1", float(step % 2), 1e6, True, is_urgent=step % 3 > 0))
         match step % 6:
             case 0:
-                group.stop(name, random.choice((0.5, 5.0, 12.0)))
+                group.pause(name, random.choice((0.5, 5.0, 12.0)))
             case 1:
                 group.cut(name, other, both=False)
             case 2:
@@ -123,7 +123,7 @@
                 group.cuts.clear()
                 group.leave(name)
         group.run(group.now + random.uniform(3.0, 12.0))
-    group.link.loss = group.link.doubled = 0.0
+    group.link.loss = group.link.duplication = 0.0
     group.cuts.clear()
     group.run(group.now + 30.0)
     events = {code: len(list(group.events(kind))) for kind, code in EVENT_CODES.items()}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,12 +13,12 @@
 from benchmarks.soak.__main__ import verdict_line
 from benchmarks.soak.audit import audit
 from benchmarks.soak.clients import Client
-from benchmarks.soak.plan import Plan, Semantics, draw
+from benchmarks.soak.plan import Plan, Semantics, draw_plan
 from benchmarks.soak.records import Arrival, Drain, Exchange, Observation, Process
 from benchmarks.soak.run import Verdict, play
 
 SEEDS = (1, 2, 3, 4)
-PLAN = draw(1)
+PLAN = draw_plan(1)
 
 
 def class_name(semantics: Semantics) -> str:
@@ -53,14 +53,14 @@
 def inject_second_run(semantics: Semantics, after_s: float) -> Callable[[Observation], None]:
     def inject(observation: Observation) -> None:
         _, arrival = exchange_and_arrival(observation, semantics)
-        assert arrival.whole_at is not None
+        assert arrival.received_at is not None
         observation.arrivals.append(
             replace(
                 arrival,
                 worker="w2",
                 first_byte_at=arrival.first_byte_at + after_s,
-                whole_at=arrival.whole_at + after_s,
-                ended_at=arrival.whole_at + after_s + 0.1,
+                received_at=arrival.received_at + after_s,
+                ended_at=arrival.received_at + after_s + 0.1,
                 closed_at=None,
             )
         )
@@ -113,7 +113,7 @@
 
 
 def send_to_draining_worker(observation: Observation) -> None:
-    observation.drains.append(Drain("w1", binds_at=99.0, until=105.0))
+    observation.drains.append(Drain("w1", enforced_from=99.0, until=105.0))
 
 
 def crash(observation: Observation) -> None:
@@ -250,8 +250,8 @@
 
 
 def test_each_seed_draws_the_same_plan_and_different_seeds_differ() -> None:
-    assert draw(7) == draw(7)
-    plans = [draw(seed) for seed in range(40)]
+    assert draw_plan(7) == draw_plan(7)
+    plans = [draw_plan(seed) for seed in range(40)]
     assert len({plan.ending for plan in plans}) == 6
     assert any(plan.durable for plan in plans) and any(plan.membership for plan in plans)
     assert any(plan.crowd for plan in plans) and any(len(plan.reloads) == 3 for plan in plans)
@@ -267,6 +267,6 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_soak_run_violates_no_rule(seed: int) -> None:
-    verdict = play(draw(seed))
-    assert verdict.violations == [], "\n".join(process.log for process in verdict.seen.processes)
-    assert len(verdict.seen.exchanges) > 50
+    verdict = play(draw_plan(seed))
+    assert verdict.violations == [], "\n".join(process.log for process in verdict.observation.processes)
+    assert len(verdict.observation.exchanges) > 50
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, until
-from benchmarks.faults.service import Service, ServiceThread, workers
+from benchmarks.faults.processes import ROOT, Fleet, Member, fleet, wait_until
+from benchmarks.faults.service import ListService, ListServiceThread, worker_entries
 from oxbowyard.start.component import StartComponent
 from oxbowyard.start.dependencies import ServiceList, StartDependencies
 from oxbowyard.start.fetch_admission import FetchAdmission, rank, round_start_s
@@ -40,7 +40,7 @@
 
 
 def make_snapshot(source: Source, age_s: float) -> Snapshot:
-    return parse_snapshot(source, age_s, {"rev": 1, "targets": workers(2)}, 10)
+    return parse_snapshot(source, age_s, {"rev": 1, "targets": worker_entries(2)}, 10)
 
 
 # ---- Choice of a cached list ----
@@ -68,14 +68,16 @@
 @pytest.mark.parametrize(("document", "why"), [
     (None, "expected an object, found NoneType"), ([], "expected an object, found list"),
     ({"rev": "1", "targets": []}, "field rev: expected an integer from 0 to .*, found '1'"),
-    ({"rev": -1, "targets": workers(1)}, "field rev: expected an integer from 0 to .*, found -1"),
+    ({"rev": -1, "targets": worker_entries(1)}, "field rev: expected an integer from 0 to .*, found -1"),
     ({"rev": True, "targets": []}, "field rev: expected an integer from 0 to .*, found True"),
-    ({"rev": 1 << 70, "targets": workers(1)}, "field rev: expected an integer from 0 to .*, found 11805"),
+    ({"rev": 1 << 70, "targets": worker_entries(1)},
+     "field rev: expected an integer from 0 to .*, found 11805"),
     ({"rev": 1, "targets": "x"}, "field targets: expected a list of objects"),
     ({"rev": 1, "targets": [1]}, "field targets: expected a list of objects"),
     ({"rev": 1, "targets": []}, "field targets: empty"),
-    ({"rev": 1, "targets": workers(11)}, "field targets: 11 entries, the limit is 10"),
-    ({"rev": 1, "targets": workers(2) + workers(1)}, "field targets: 3 entries have 2 different uid values"),
+    ({"rev": 1, "targets": worker_entries(11)}, "field targets: 11 entries, the limit is 10"),
+    ({"rev": 1, "targets": worker_entries(2) + worker_entries(1)},
+     "field targets: 3 entries have 2 different uid values"),
     ({"rev": 1, "targets": [{}]}, "field targets: 1 entries have 0 different uid values"),
 ])  # fmt: skip
 def test_an_invalid_list_is_rejected_with_the_field_and_the_value(document: object, why: str) -> None:
@@ -92,16 +94,16 @@
 
 def test_a_written_snapshot_is_read_back_with_its_age(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(3))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(3))
     found = read_stored(path)
     assert (found.age_s, found.revision, len(found.targets), found.source) == (100.0, 7, 3, Source.DISK)
-    write_snapshot(path, "a", 990.0, 8, workers(2))
+    write_snapshot(path, "a", 990.0, 8, worker_entries(2))
     assert read_stored(path).revision == 8 and os.listdir(tmp_path) == ["list"]
 
 
 def test_a_snapshot_truncated_or_corrupted_at_any_byte_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(2))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(2))
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
@@ -121,7 +123,7 @@
         (900.0, "a", 11, "11 entries, the limit is 10"),
         (math.nan, "a", 2, "told_at: expected a Unix time in seconds, found None"),
     ):  # fmt: skip
-        write_snapshot(path, site, told_at, 7, workers(count))
+        write_snapshot(path, site, told_at, 7, worker_entries(count))
         with pytest.raises(UnusableSnapshotError, match=why):
             read_stored(path)
     with pytest.raises(UnusableSnapshotError, match=r"^file not found$"):
@@ -135,14 +137,14 @@
 
 def test_a_failed_write_keeps_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "list"
-    write_snapshot(path, "a", 900.0, 7, workers(2))
+    write_snapshot(path, "a", 900.0, 7, worker_entries(2))
 
     def raise_disk_full(descriptor: int) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", raise_disk_full)
     with pytest.raises(OSError, match="No space"):
-        write_snapshot(path, "a", 950.0, 8, workers(2))
+        write_snapshot(path, "a", 950.0, 8, worker_entries(2))
     assert read_stored(path).revision == 7 and os.listdir(tmp_path) == ["list"]
 
 
@@ -183,19 +185,19 @@
 
 
 @pytest.fixture
-def service() -> Iterator[ServiceThread]:
-    thread = ServiceThread(Service(workers(12)))
+def service() -> Iterator[ListServiceThread]:
+    thread = ListServiceThread(ListService(worker_entries(12)))
     yield thread
     thread.close()
 
 
 @contextmanager
-def scheduler_group(tmp_path: Path, service: ServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
+def scheduler_group(tmp_path: Path, service: ListServiceThread, size: int, **start: Any) -> Iterator[Fleet]:
     """Prepare processes with the tables [start] and [membership], without starting them."""
     config = CONFIG | {"discovery": service.address, "settings": SUBSCRIBING_SETTINGS | {"siblings": size}}
     with fleet(tmp_path, config) as schedulers:
-        schedulers.tables["start"] = {"keep_every_s": 0.3, **start}
-        schedulers.kept = True
+        schedulers.other_tables["start"] = {"keep_every_s": 0.3, **start}
+        schedulers.stores_snapshots = True
         schedulers.add(size)
         yield schedulers
 
@@ -221,46 +223,50 @@
     return all("list service answered" in m.log() for m in members)
 
 
-def test_a_group_that_starts_at_once_fetches_few_full_lists(tmp_path: Path, service: ServiceThread) -> None:
+def test_a_group_that_starts_at_once_fetches_few_full_lists(
+    tmp_path: Path, service: ListServiceThread
+) -> None:
     with scheduler_group(tmp_path, service, 14) as schedulers:
         members = list(schedulers)
         for member in members:
             member.start()
-        until(
+        wait_until(
             lambda: members[0].call("PUT", "/control/scan-workers/w1/offline")[0] == 200,
             "the first member accepts the cordon",
         )
-        until(
+        wait_until(
             lambda: have_discovery_list(members) and are_ready(members),
             "all members have the list from discovery",
         )
-        until(lambda: counter_values(members, "out_of_rotation") == {1}, "the drain applies at all members")
+        wait_until(
+            lambda: counter_values(members, "out_of_rotation") == {1}, "the drain applies at all members"
+        )
         assert service.service.count("whole") <= 4
         assert service.service.count("refused") == 0
         assert any("serving a cached list: source=peer" in m.log() for m in members)
 
 
 def test_schedulers_serve_from_disk_snapshots_while_discovery_is_down(
-    tmp_path: Path, service: ServiceThread
+    tmp_path: Path, service: ListServiceThread
 ) -> None:
     with scheduler_group(tmp_path, service, 6) as schedulers:
         members = list(schedulers)
-        service.service.down = True
+        service.service.is_down = True
         for number, member in enumerate(members):
             site = "other" if number == 5 else "default"
-            write_snapshot(member.folder / "list", site, time.time() - 300.0, 3, workers(9))
+            write_snapshot(member.folder / "list", site, time.time() - 300.0, 3, worker_entries(9))
             member.start()
-        until(lambda: are_ready(members[:5]), "the members with a snapshot of their own site are ready")
+        wait_until(lambda: are_ready(members[:5]), "the members with a snapshot of their own site are ready")
         said = r"serving a cached list: source=disk origin=list age_s=3\d\d workers=9 all_cold=yes"
         assert re.search(said, members[0].log()), members[0].log()
-        until(
+        wait_until(
             lambda: "list of site 'other', expected site 'default'" in members[5].log(),
             "the one with another site's list says so",
         )
-        answered = until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
+        answered = wait_until(lambda: members[5].call("GET", "/control/ready")[0], "its admin API answers")
         assert answered == 503, "it is not ready, since its snapshot belongs to another site"
-        service.service.down = False
-        until(
+        service.service.is_down = False
+        wait_until(
             lambda: have_discovery_list(members) and are_ready(members),
             "all members have the list from discovery",
             60,
@@ -268,34 +274,34 @@
         assert counter_values(members, "registry_entries") == {12}, (
             "the list from discovery replaced the snapshots"
         )
-        until(
+        wait_until(
             lambda: all(stored_revision(m) == 10 for m in members),
             "the snapshot files hold the list from discovery",
         )
 
 
 def test_truncated_answers_and_an_unwritable_snapshot_path_do_no_harm(
-    tmp_path: Path, service: ServiceThread
+    tmp_path: Path, service: ListServiceThread
 ) -> None:
-    service.service.cut_short = True
+    service.service.truncates_answers = True
     with scheduler_group(tmp_path, service, 3) as schedulers:
         members = list(schedulers)
-        schedulers.tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
+        schedulers.other_tables["start"]["path"] = str(tmp_path / "no such folder" / "list")
         for member in members:
-            schedulers.write(member)
+            schedulers.write_config_files(member)
             member.start()
-        until(
+        wait_until(
             lambda: any("discovery unavailable" in m.log() for m in members), "a member has polled discovery"
         )
         assert not any(are_ready([member]) for member in members)
-        service.service.cut_short = False
-        until(lambda: have_discovery_list(members) and are_ready(members), "all members are ready")
-        until(
+        service.service.truncates_answers = False
+        wait_until(lambda: have_discovery_list(members) and are_ready(members), "all members are ready")
+        wait_until(
             lambda: all("cached list cannot be written" in m.log() for m in members),
             "all members log the failed write",
         )
-        service.tell(targets=workers(13))
-        until(
+        service.publish(targets=worker_entries(13))
+        wait_until(
             lambda: counter_values(members, "registry_entries") == {13},
             "all members apply a change of the list",
         )
@@ -329,12 +335,12 @@
 
 
 def peer_list(rev: int, age: object, count: int = 2, site: str = "default") -> bytes:
-    return json.dumps({"rev": rev, "targets": workers(count), "age": age, "site": site}).encode()
+    return json.dumps({"rev": rev, "targets": worker_entries(count), "age": age, "site": site}).encode()
 
 
 def test_an_old_peer_snapshot_is_adopted_cold_and_a_young_one_admits() -> None:
     async def play() -> None:
-        harness = StartHarness({"rev": 2, "targets": workers(2)}, fresh_s=60.0, same_service_s=600.0)
+        harness = StartHarness({"rev": 2, "targets": worker_entries(2)}, fresh_s=60.0, same_service_s=600.0)
         harness.component._served.adopt_best()
         assert harness.adopted == [(2, True, False)], (
             "of unknown age: all workers are cold, and the watch may not resume from it"
@@ -378,14 +384,14 @@
 def test_peers_get_only_a_list_confirmed_by_discovery_with_its_age() -> None:
     async def play() -> None:
         harness = StartHarness()
-        harness.list = ServiceList(7, workers(3))
+        harness.list = ServiceList(7, worker_entries(3))
         assert harness.component._answer_peer() is None, (
             "a cached list is not passed on, because its age would be lost"
         )
         harness.component.service_answered()
         given = json.loads(harness.component._answer_peer() or b"")
         assert given["rev"] == 7 and 0 <= given["age"] < 1.0 and len(given["targets"]) == 3
-        harness.list = ServiceList(8, workers(99999))
+        harness.list = ServiceList(8, worker_entries(99999))
         assert harness.component._answer_peer() is None
 
     asyncio.run(play())
